--- a/bench/micro.c
+++ b/bench/micro.c
@@ -9,10 +9,10 @@
 
 #include "base/clock.h"
 #include "base/rng.h"
-#include "decide/place.h"
+#include "decide/placement.h"
 #include "decide/queue.h"
 #include "orgs/access.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 #define SEED 20261202
 /* Within what is written in a second.  */
@@ -41,11 +41,11 @@
   return (double)us * WY_NS_PER_US / n;
 }
 
-static struct wy_place *
+static struct wy_placement *
 table (uint32_t targets)
 {
-  struct wy_place_options o = { .targets_max = targets };
-  struct wy_place *p = wy_place_new (&o);
+  struct wy_placement_options o = { .targets_max = targets };
+  struct wy_placement *p = wy_placement_new (&o);
 
   if (!p)
     abort ();
@@ -54,8 +54,8 @@
       struct wy_target_options t = { .id = i + 1, .az = i % AZS };
       struct wy_load_report r = { .callers = i % 5, .streams_max = 64 };
 
-      wy_place_add (p, &t);
-      wy_place_load (p, i, &r, 0, 0);
+      wy_placement_add (p, &t);
+      wy_placement_load_reported (p, i, &r, 0, 0);
     }
   return p;
 }
@@ -64,8 +64,9 @@
 static double
 pick_ns (uint32_t targets)
 {
-  struct wy_place *p = table (targets);
-  struct wy_place_req req = { .prompt_tokens = 300, .predicted_tokens = 64 };
+  struct wy_placement *p = table (targets);
+  struct wy_placement_request req
+      = { .prompt_tokens = 300, .predicted_tokens = 64 };
   struct wy_rng rng;
   int64_t from_us;
 
@@ -76,12 +77,12 @@
       int slot;
 
       req.prefix_hash = i % 2 ? 1 + i % 1000 : 0;
-      slot = wy_place_pick (p, &req, i / 1000, &rng);
-      wy_place_started (p, (uint32_t)slot, &req, i / 1000);
-      wy_place_ended (p, (uint32_t)slot, req.work_class, WY_OUTCOME_OK,
-                      i / 1000);
+      slot = wy_placement_pick (p, &req, i / 1000, &rng);
+      wy_placement_request_started (p, (uint32_t)slot, &req, i / 1000);
+      wy_placement_request_ended (p, (uint32_t)slot, req.work_class,
+                                  WY_OUTCOME_OK, i / 1000);
     }
-  wy_place_free (p);
+  wy_placement_free (p);
   return ns_since (from_us, PICKS);
 }
 
@@ -98,7 +99,7 @@
     ids[i] = i + 1;
   from_us = wy_clock_mono_us (wy_clock_system ());
   for (uint32_t i = 0; i < KEYS; i++)
-    sum += (uint64_t)wy_place_home (i, ids, targets);
+    sum += (uint64_t)wy_placement_rendezvous (i, ids, targets);
   if (sum == 0)
     abort ();
   free (ids);
@@ -111,7 +112,7 @@
 {
   static struct wy_queue q;
   struct wy_queue_options o = { .kind = WY_QUEUE_ENGINE };
-  struct wy_item *r = calloc (rollouts, sizeof *r);
+  struct wy_queue_item *r = calloc (rollouts, sizeof *r);
   int64_t from_us;
 
   if (!r)
@@ -127,7 +128,8 @@
   from_us = wy_clock_mono_us (wy_clock_system ());
   for (uint32_t i = 0; i < OFFERS; i++)
     {
-      struct wy_item c = { .predicted_tokens = 64, .prompt_tokens = 200 };
+      struct wy_queue_item c
+          = { .predicted_tokens = 64, .prompt_tokens = 200 };
 
       c.deadline_ms = i + 4000;
       wy_queue_offer (&q, &c, i);
@@ -155,16 +157,16 @@
   if (out < 0 || nowhere < 0 || dup2 (nowhere, STDOUT_FILENO) < 0)
     abort ();
   uv_loop_init (&loop);
-  wy_note_open (&loop, "bench", "1");
+  wy_json_log_open (&loop, "bench", "1");
   from_us = wy_clock_mono_us (wy_clock_system ());
   for (int i = 0; i < LOG_LINES; i++)
-    wy_note ("request.ended",
-             "id=%s route=%s service=%s config=%lld outcome=answered "
-             "status=%d target=%s sends=%u ms=%lld target_ms=%lld",
-             "9c41d07be2a35f68", "claim-filing", "portal", 12LL, 200,
-             "i-7f3a91c2", 1U, 26LL, 25LL);
+    wy_json_log ("request.ended",
+                 "id=%s route=%s service=%s config=%lld outcome=answered "
+                 "status=%d target=%s sends=%u ms=%lld target_ms=%lld",
+                 "9c41d07be2a35f68", "claim-filing", "portal", 12LL, 200,
+                 "i-7f3a91c2", 1U, 26LL, 25LL);
   ns = ns_since (from_us, LOG_LINES);
-  wy_note_close ();
+  wy_json_log_close ();
   uv_run (&loop, UV_RUN_NOWAIT);
   uv_loop_close (&loop);
   if (dup2 (out, STDOUT_FILENO) < 0)
@@ -198,11 +200,11 @@
       struct wy_access_query q = { .orgs = orgs,
                                    .credential = WY_CREDENTIAL_KEY,
                                    .key = key[i % keys],
-                                   .route = WY_ROUTE_ACCESS_KEYED,
-                                   .config_is_fresh = true };
+                                   .route = WY_ROUTE_ACCESS_KEY_REQUIRED,
+                                   .config_is_current = true };
       const struct wy_org *found;
 
-      n += wy_access_decide (&q, &found) == WY_ACCESS_ADMIT;
+      n += wy_access_check (&q, &found) == WY_ACCESS_ALLOW;
     }
   ns = ns_since (from_us, OFFERS);
   if (n != OFFERS)
--- a/bench/support/agent.c
+++ b/bench/support/agent.c
@@ -10,7 +10,7 @@
 #define CACHE_EVENT_LOSS 5
 
 static struct wb_req *
-req_of (struct wy_item *it)
+req_of (struct wy_queue_item *it)
 {
   return it->data;
 }
@@ -79,7 +79,7 @@
     wb_events_add (&w->events, at, WB_EV_FINISH, i, a->stamp);
   if (w->p->queue == WB_QUEUE_FIFO)
     return;
-  wake = wy_queue_wake_ms (&a->queue, (int64_t)w->now_ms);
+  wake = wy_queue_next_wakeup_ms (&a->queue, (int64_t)w->now_ms);
   if (wake == INT64_MAX || (a->wake_ms > w->now_ms && a->wake_ms <= wake))
     return;
   a->wake_ms = (double)wake + 1;
@@ -94,10 +94,10 @@
   while (a->fifo.head && a->engine.n < WB_STREAMS_MAX
          && a->kv_tokens + a->fifo.head->kv_tokens <= WB_KV_TOKENS_MAX)
     {
-      struct wy_item *it = a->fifo.head;
+      struct wy_queue_item *it = a->fifo.head;
 
-      wy_item_unlink (&a->fifo, it);
-      it->state = WY_ITEM_RUNNING;
+      wy_queue_item_unlink (&a->fifo, it);
+      it->state = WY_QUEUE_ITEM_RUNNING;
       a->kv_tokens += it->kv_tokens;
       run (w, i, req_of (it));
     }
@@ -108,7 +108,7 @@
 {
   struct wy_queue *q = &w->agent[i].queue;
   int64_t now_ms = (int64_t)w->now_ms;
-  struct wy_item *it;
+  struct wy_queue_item *it;
   struct wy_preempt p;
 
   while ((it = wy_queue_expire (q, now_ms)))
@@ -146,27 +146,27 @@
 }
 
 /* Offer R to its target.  */
-enum wy_verdict_kind
+enum wy_admission_kind
 wb_agent_offer (struct wb_world *w, struct wb_req *r)
 {
   struct wb_agent *a = &w->agent[r->target];
-  struct wy_verdict v;
+  struct wy_admission v;
 
   r->item.data = r;
   if (a->dead) /* it looks accepted, nothing answers */
-    return WY_VERDICT_QUEUED;
+    return WY_ADMISSION_QUEUED;
   if (w->p->queue == WB_QUEUE_FIFO)
     {
       r->item.kv_tokens = r->item.prompt_tokens + r->item.predicted_tokens;
-      r->item.state = WY_ITEM_WAITING;
-      wy_item_push (&a->fifo, &r->item);
+      r->item.state = WY_QUEUE_ITEM_WAITING;
+      wy_queue_item_push (&a->fifo, &r->item);
       wb_agent_poll (w, r->target);
-      return WY_VERDICT_QUEUED;
+      return WY_ADMISSION_QUEUED;
     }
   v = wy_queue_offer (&a->queue, &r->item, (int64_t)w->now_ms);
-  if (v.kind == WY_VERDICT_RUN)
+  if (v.kind == WY_ADMISSION_RUN)
     run (w, r->target, r);
-  if (v.kind != WY_VERDICT_REFUSED)
+  if (v.kind != WY_ADMISSION_REFUSED)
     wb_agent_poll (w, r->target);
   return v.kind;
 }
@@ -178,18 +178,18 @@
 {
   struct wb_agent *a = &w->agent[r->target];
 
-  if (r->item.state == WY_ITEM_RUNNING)
+  if (r->item.state == WY_QUEUE_ITEM_RUNNING)
     wb_engine_stop (&a->engine, &r->stream, w->now_ms);
   if (w->p->queue == WB_QUEUE_PRIORITY)
     {
       wy_queue_cancel (&a->queue, &r->item, (int64_t)w->now_ms);
       return;
     }
-  if (r->item.state == WY_ITEM_RUNNING)
+  if (r->item.state == WY_QUEUE_ITEM_RUNNING)
     a->kv_tokens -= r->item.kv_tokens;
-  else if (r->item.state == WY_ITEM_WAITING)
-    wy_item_unlink (&a->fifo, &r->item);
-  r->item.state = WY_ITEM_OUT;
+  else if (r->item.state == WY_QUEUE_ITEM_WAITING)
+    wy_queue_item_unlink (&a->fifo, &r->item);
+  r->item.state = WY_QUEUE_ITEM_NOT_QUEUED;
 }
 
 static void
--- a/bench/support/entry.c
+++ b/bench/support/entry.c
@@ -46,8 +46,8 @@
   switch (w->p->place)
     {
     case WB_PLACE_TABLE:
-      return wy_place_pick (e->place, &r->place, (int64_t)w->now_ms,
-                            &w->place_rng);
+      return wy_placement_pick (e->place, &r->place, (int64_t)w->now_ms,
+                                &w->place_rng);
     case WB_PLACE_ROUND_ROBIN:
       return (int)(e->turn++ % w->c->engines);
     case WB_PLACE_LEAST_REPORTED:
@@ -68,11 +68,12 @@
     return false;
   r->target = (uint32_t)slot;
   e->since[slot]++;
-  wy_place_started (e->place, r->target, &r->place, (int64_t)w->now_ms);
-  if (wb_agent_offer (w, r) != WY_VERDICT_REFUSED)
+  wy_placement_request_started (e->place, r->target, &r->place,
+                                (int64_t)w->now_ms);
+  if (wb_agent_offer (w, r) != WY_ADMISSION_REFUSED)
     return true;
   wb_entry_ended (w, r, WY_OUTCOME_REFUSED);
-  if (r->place.n_tried < WY_PLACE_TRIED_MAX)
+  if (r->place.n_tried < WY_PLACEMENT_TRIED_MAX)
     r->place.tried[r->place.n_tried++] = r->target;
   return false;
 }
@@ -107,8 +108,8 @@
 
   if (e->since[r->target] > 0)
     e->since[r->target]--;
-  wy_place_ended (e->place, r->target, r->place.work_class, outcome,
-                  (int64_t)w->now_ms);
+  wy_placement_request_ended (e->place, r->target, r->place.work_class,
+                              outcome, (int64_t)w->now_ms);
 }
 
 /* The last snapshot of TARGET reaches all entries.  */
@@ -130,7 +131,8 @@
     return;
   for (uint32_t i = 0; i < w->c->entries; i++)
     {
-      wy_place_load (w->entry[i].place, target, &r, 100, (int64_t)w->now_ms);
+      wy_placement_load_reported (w->entry[i].place, target, &r, 100,
+                                  (int64_t)w->now_ms);
       w->entry[i].reported[target]
           = r.callers + r.rollouts_running + r.rollouts_waiting;
       w->entry[i].since[target] = 0;
@@ -143,6 +145,6 @@
                       bool present)
 {
   for (uint32_t i = 0; i < w->c->entries; i++)
-    wy_place_cached (w->entry[i].place, target, prefix, present,
-                     (int64_t)w->now_ms);
+    wy_placement_cache_event (w->entry[i].place, target, prefix, present,
+                              (int64_t)w->now_ms);
 }
--- a/bench/support/faults.c
+++ b/bench/support/faults.c
@@ -61,7 +61,7 @@
   for (uint32_t i = 0; i < w->c->entries; i++)
     for (uint32_t k = 0; k < w->c->engines; k++)
       if (w->agent[k].dead)
-        wy_place_leaving (w->entry[i].place, k);
+        wy_placement_drain (w->entry[i].place, k);
   for (uint32_t i = 0; i < w->n_req; i++)
     {
       struct wb_req *r = w->req[i];
--- a/bench/support/stragglers.c
+++ b/bench/support/stragglers.c
@@ -16,13 +16,13 @@
     if (!w->agent[i].dead && w->agent[i].engine.n < w->agent[best].engine.n)
       best = i;
   wy_step_moved (s->step, sample);
-  if (best == from || r->item.state != WY_ITEM_RUNNING)
+  if (best == from || r->item.state != WY_QUEUE_ITEM_RUNNING)
     return;
   wb_agent_take (w, r);
   wb_entry_ended (w, r, WY_OUTCOME_CANCELLED);
   r->target = best;
-  wy_place_started (w->entry[r->entry].place, best, &r->place,
-                    (int64_t)w->now_ms);
+  wy_placement_request_started (w->entry[r->entry].place, best, &r->place,
+                                (int64_t)w->now_ms);
   wb_agent_offer (w, r);
   wb_agent_poll (w, from);
 }
@@ -32,11 +32,11 @@
 {
   double limit = RESTART_FACTOR * w->c->rollout_tokens;
 
-  for (uint32_t k = 0; k < wy_step_slots (s->step); k++)
+  for (uint32_t k = 0; k < wy_step_samples_max (s->step); k++)
     {
       const struct wb_req *r = s->sample[k];
 
-      if (!r || r->item.state != WY_ITEM_RUNNING)
+      if (!r || r->item.state != WY_QUEUE_ITEM_RUNNING)
         continue;
       if (r->tokens - (r->stream.end_v - w->agent[r->target].engine.v) < limit)
         continue;
@@ -48,7 +48,7 @@
 static void
 progress (struct wb_world *w, struct wb_open *s)
 {
-  for (uint32_t k = 0; k < wy_step_slots (s->step); k++)
+  for (uint32_t k = 0; k < wy_step_samples_max (s->step); k++)
     {
       const struct wb_req *r = s->sample[k];
       const struct wb_engine *e;
@@ -58,11 +58,11 @@
         continue;
       e = &w->agent[r->target].engine;
       left = r->stream.left_tokens;
-      if (r->item.state == WY_ITEM_RUNNING)
+      if (r->item.state == WY_QUEUE_ITEM_RUNNING)
         left = r->stream.end_v - e->v;
       wy_step_progress (s->step, k,
                         left < r->tokens ? (uint32_t)(r->tokens - left) : 0,
-                        r->item.state == WY_ITEM_RUNNING
+                        r->item.state == WY_QUEUE_ITEM_RUNNING
                             ? (uint32_t)(wb_token_ms (e->n) / e->speed * 1000)
                             : WY_STEP_STALLED_US);
     }
@@ -73,7 +73,7 @@
 {
   for (;;)
     {
-      struct wy_step_now now = wb_trainer_state (w, t);
+      struct wy_step_inputs now = wb_trainer_state (w, t);
       struct wy_straggler what = wy_step_straggler (s->step, &now);
 
       switch (what.action)
--- a/bench/support/trainers.c
+++ b/bench/support/trainers.c
@@ -46,7 +46,7 @@
   *s = (struct wb_open){ .step = wy_step_new (&o), .version = o.version };
   if (!s->step)
     abort ();
-  s->sample = calloc (wy_step_slots (s->step), sizeof (struct wb_req *));
+  s->sample = calloc (wy_step_samples_max (s->step), sizeof (struct wb_req *));
   if (!s->sample)
     abort ();
   for (uint32_t g = 0; g < o.groups; g++)
@@ -88,13 +88,13 @@
 }
 
 /* What a decision about a step of T is told.  */
-struct wy_step_now
+struct wy_step_inputs
 wb_trainer_state (const struct wb_world *w, const struct wb_trainer *t)
 {
   uint32_t least = WB_STREAMS_MAX;
-  struct wy_step_now now = { .now_ms = (int64_t)w->now_ms,
-                             .version = t->version,
-                             .free_streams = free_streams (w, t) };
+  struct wy_step_inputs now = { .now_ms = (int64_t)w->now_ms,
+                                .version = t->version,
+                                .free_streams = free_streams (w, t) };
 
   for (uint32_t i = 0; i < w->c->engines; i++)
     if (w->agent[i].engine.n < least)
@@ -106,7 +106,7 @@
 
 static bool
 start_sample (struct wb_world *w, uint32_t i, struct wb_open *s,
-              const struct wy_issue *what)
+              const struct wy_step_issuance *what)
 {
   struct wb_trainer *t = &w->trainer[i];
   struct wb_req *r = wb_req_new (w);
@@ -144,12 +144,12 @@
   for (uint32_t k = 0; k < t->n_open; k++)
     for (;;)
       {
-        struct wy_step_now now = wb_trainer_state (w, t);
-        struct wy_issue s;
+        struct wy_step_inputs now = wb_trainer_state (w, t);
+        struct wy_step_issuance s;
 
-        now.spare = spare;
+        now.may_over_issue = spare;
         s = wy_step_issue (t->open[k].step, &now);
-        if (!s.any || !start_sample (w, i, &t->open[k], &s))
+        if (!s.is_issued || !start_sample (w, i, &t->open[k], &s))
           break;
       }
 }
@@ -207,9 +207,9 @@
   struct wb_trainer *t = &w->trainer[i];
   struct wb_open *s = &t->open[0];
 
-  if (t->training || !wy_step_whole (s->step))
+  if (t->training || !wy_step_is_complete (s->step))
     return;
-  for (uint32_t k = 0; k < wy_step_slots (s->step); k++)
+  for (uint32_t k = 0; k < wy_step_samples_max (s->step); k++)
     if (s->sample[k])
       wb_trainer_abandon (w, s, k);
   count_batch (w, t, s);
@@ -244,7 +244,7 @@
   s->sample[r->sample] = NULL;
   t->running--;
   if (wy_step_done (s->step, r->sample, r->version, r->tokens)
-      == WY_SAMPLE_TAKE)
+      == WY_STEP_VERDICT_ACCEPT)
     {
       s->accepted++;
       s->tokens += r->tokens;
--- a/bench/support/world.c
+++ b/bench/support/world.c
@@ -282,10 +282,11 @@
 {
   const struct wb_case *c = w->c;
   struct wb_entry *e = &w->entry[k];
-  struct wy_place_options o = { .targets_max = c->engines, .az = k % c->azs };
+  struct wy_placement_options o
+      = { .targets_max = c->engines, .az = k % c->azs };
   struct wy_retry_options retry = { 0 };
 
-  e->place = wy_place_new (&o);
+  e->place = wy_placement_new (&o);
   e->reported = calloc (c->engines, sizeof *e->reported);
   e->since = calloc (c->engines, sizeof *e->since);
   if (!e->place || !e->reported || !e->since)
@@ -297,7 +298,7 @@
       struct wy_target_options t
           = { .id = i + 1, .az = i % c->azs, .streams_max = WB_STREAMS_MAX };
 
-      wy_place_add (e->place, &t);
+      wy_placement_add (e->place, &t);
     }
 }
 
@@ -348,7 +349,7 @@
 {
   for (uint32_t i = 0; i < w->c->entries; i++)
     {
-      wy_place_free (w->entry[i].place);
+      wy_placement_free (w->entry[i].place);
       free (w->entry[i].reported);
       free (w->entry[i].since);
     }
--- a/bench/support/world.h
+++ b/bench/support/world.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 #include "base/rng.h"
-#include "decide/place.h"
+#include "decide/placement.h"
 #include "decide/queue.h"
 #include "decide/retry.h"
 #include "engine.h"
--- a/bench/support/world_state.h
+++ b/bench/support/world_state.h
@@ -32,8 +32,8 @@
 struct wb_req
 {
   struct wb_stream stream;
-  struct wy_item item;
-  struct wy_place_req place;
+  struct wy_queue_item item;
+  struct wy_placement_request place;
   double arrived_ms;
   uint32_t entry;
   uint32_t target;
@@ -51,7 +51,7 @@
 {
   struct wb_engine engine;
   struct wy_queue queue;
-  struct wy_item_list fifo;
+  struct wy_queue_item_list fifo;
   uint64_t kv_tokens; /* FIFO only */
   uint64_t stamp;     /* of the valid finish event */
   double wake_ms;
@@ -66,7 +66,7 @@
 
 struct wb_entry
 {
-  struct wy_place *place;
+  struct wy_placement *place;
   struct wy_retry_budget retry;
   uint32_t turn;
   uint32_t *reported; /* load of each target, for the baselines */
@@ -148,7 +148,7 @@
                            uint64_t prefix, bool present);
 
 /* agent.c */
-enum wy_verdict_kind wb_agent_offer (struct wb_world *w, struct wb_req *r);
+enum wy_admission_kind wb_agent_offer (struct wb_world *w, struct wb_req *r);
 void wb_agent_poll (struct wb_world *w, uint32_t i);
 void wb_agent_wake (struct wb_world *w, uint32_t i, uint64_t stamp);
 void wb_agent_finish (struct wb_world *w, uint32_t i, uint64_t stamp);
@@ -163,8 +163,8 @@
 void wb_trainer_tick (struct wb_world *w, uint32_t i);
 void wb_trainers_free (struct wb_world *w);
 
-struct wy_step_now wb_trainer_state (const struct wb_world *w,
-                                     const struct wb_trainer *t);
+struct wy_step_inputs wb_trainer_state (const struct wb_world *w,
+                                        const struct wb_trainer *t);
 void wb_trainer_abandon (struct wb_world *w, struct wb_open *s,
                          uint32_t sample);
 
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "duties/usage_count.h"
-#include "gate/events.h"
+#include "duties/usage_counts.h"
+#include "gate/sse.h"
 #include "jobs/record.h"
 #include "platform/config_wire.h"
 #include "platform/duty_wire.h"
@@ -24,7 +24,7 @@
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
 static void
-on_event (void *ctx, const struct wy_event *ev)
+on_event (void *ctx, const struct wy_sse_event *ev)
 {
   size_t *seen = ctx;
 
@@ -36,27 +36,27 @@
 static void
 events (const char *p, size_t n)
 {
-  struct wy_events e;
+  struct wy_sse_parser e;
   size_t seen = 0;
 
-  wy_events_init (&e);
+  wy_sse_init (&e);
   for (size_t at = 0; at < n; at += 7)
-    wy_events_feed (&e, p + at, MIN (7, n - at), on_event, &seen);
-  if (seen + e.held->len != n)
+    wy_sse_feed (&e, p + at, MIN (7, n - at), on_event, &seen);
+  if (seen + e.partial_event->len != n)
     abort ();
-  wy_events_clear (&e);
+  wy_sse_clear (&e);
 }
 
 static void
 store (enum wy_store_verb verb, const char *p, size_t n)
 {
   struct wy_rows_result r = { 0 };
-  struct wy_store_answer *a = wy_store_decode (verb, 200, p, n, &r);
+  struct wy_store_response *a = wy_store_decode_response (verb, 200, p, n, &r);
 
   for (size_t i = 0; i < r.n; i++)
-    if (!r.rows[i].key || !r.rows[i].part || !r.rows[i].value)
+    if (!r.rows[i].key || !r.rows[i].partition || !r.rows[i].value)
       abort ();
-  wy_store_answer_free (a);
+  wy_store_response_free (a);
 }
 
 static void
@@ -86,8 +86,9 @@
 static void
 record (const char *p, size_t n)
 {
-  struct wy_row row
-      = { .part = "j", .key = WY_JOB_KEY, .value = p, .size_bytes = n };
+  struct wy_row row = {
+    .partition = "j", .key = WY_JOB_ROW_KEY, .value = p, .size_bytes = n
+  };
 
   wy_job_record_free (wy_job_record_decode (&row));
 }
@@ -100,7 +101,7 @@
   struct wy_job_call c;
 
   wy_h1_head_init (&head);
-  wy_job_call_read ("GET", target, &head, &c);
+  wy_job_call_parse ("GET", target, &head, &c);
   if (c.kind != WY_JOB_CALL_NONE && !*c.name)
     abort ();
   wy_h1_head_clear (&head);
@@ -116,10 +117,10 @@
   struct wy_request_info info;
 
   wy_h1_head_init (&head);
-  wy_h1_head_url (&head, "/", 1);
-  wy_h1_head_name (&head, "Authorization", strlen ("Authorization"));
-  wy_h1_head_value (&head, value, strlen (value));
-  wy_request_read (&head, &info);
+  wy_h1_head_append_url (&head, "/", 1);
+  wy_h1_head_append_name (&head, "Authorization", strlen ("Authorization"));
+  wy_h1_head_append_value (&head, value, strlen (value));
+  wy_request_parse_head (&head, &info);
   if ((info.credential == WY_CREDENTIAL_KEY) != (info.key != NULL)
       || (info.key && (!*info.key || !strstr (value, info.key))))
     abort ();
@@ -130,7 +131,7 @@
 static void
 usage (const char *p, size_t n)
 {
-  GHashTable *sum = wy_usage_counts_table ();
+  GHashTable *sum = wy_usage_counts_table_new ();
 
   wy_usage_counts_add (sum, p, n);
   g_free (wy_usage_report_body (1, sum));
@@ -143,7 +144,7 @@
   const char *p = (const char *)data + 1;
   struct wy_replica replica;
   struct wy_replica_report report;
-  struct wy_named_version version;
+  struct wy_requested_version version;
   const char *why;
 
   if (size == 0)
@@ -161,7 +162,7 @@
       wy_routing_free (wy_config_decode (p, size, &why));
       break;
     case 3:
-      wy_named_version_decode (p, size, &version);
+      wy_requested_version_decode (p, size, &version);
       break;
     case 4:
       job (p, size);
--- a/scripts/logs-page.sh
+++ b/scripts/logs-page.sh
@@ -5,7 +5,7 @@
 here=$(cd "$(dirname "$0")/.." && pwd)
 list=$here/src/trace/catalogue.txt
 used=$(cat "$here"/src/*/*.c | tr '\n' ' ' \
-  | grep -oE '(wy_note \(|append_head \(ts,) *(ok \? |ready \? )?"[a-z_]+\.[a-z_]+"( *: *"[a-z_]+\.[a-z_]+")?' \
+  | grep -oE '(wy_json_log \(|append_head \(ts,) *(ok \? |ready \? )?"[a-z_]+\.[a-z_]+"( *: *"[a-z_]+\.[a-z_]+")?' \
   | grep -oE '[a-z_]+\.[a-z_]+' | sort -u)
 known=$(grep -v '^#' "$list" | cut -d'|' -f1 | sort -u)
 if [ "$used" != "$known" ]; then
--- a/src/agent/control.c
+++ b/src/agent/control.c
@@ -41,10 +41,10 @@
 static void
 steer_again (struct wy_run *r, bool told_running)
 {
-  bool running = r->item.state == WY_ITEM_RUNNING;
+  bool running = r->item.state == WY_QUEUE_ITEM_RUNNING;
 
   if (r->phase == WY_PHASE_RUNNING && r->call && running != told_running
-      && r->item.state != WY_ITEM_WAITING)
+      && r->item.state != WY_QUEUE_ITEM_WAITING)
     wy_agent_control (r, running ? "/control/resume" : "/control/pause");
 }
 
--- a/src/agent/dispatch.c
+++ b/src/agent/dispatch.c
@@ -101,8 +101,8 @@
 {
   struct wy_agent *a = r->agent;
   int64_t now_ms = wy_agent_now_ms (a);
-  struct wy_item *it = &r->item;
-  struct wy_verdict v;
+  struct wy_queue_item *it = &r->item;
+  struct wy_admission v;
 
   it->data = r;
   it->deadline_ms = s->deadline_ms ? now_ms + s->deadline_ms : 0;
@@ -113,12 +113,12 @@
       = s->predicted_tokens ? s->predicted_tokens : s->max_tokens;
   it->suspect = s->suspect;
   v = wy_queue_offer (&a->queue, it, now_ms);
-  if (v.kind == WY_VERDICT_REFUSED)
+  if (v.kind == WY_ADMISSION_REFUSED)
     {
       wy_agent_run_refuse (r, reason_of (v.reason), v.retry_after_ms);
       return;
     }
-  if (v.kind == WY_VERDICT_RUN)
+  if (v.kind == WY_ADMISSION_RUN)
     start (r);
   wy_agent_dispatch (a);
 }
@@ -126,11 +126,11 @@
 static void
 expire (struct wy_agent *a, int64_t now_ms)
 {
-  struct wy_item *it;
+  struct wy_queue_item *it;
 
   while ((it = wy_queue_expire (&a->queue, now_ms)))
     wy_agent_run_refuse (it->data, WY_REFUSED_BUSY,
-                         1 + wy_queue_wait_ms (&a->queue, now_ms));
+                         1 + wy_queue_expected_wait_ms (&a->queue, now_ms));
 }
 
 static void
@@ -153,7 +153,7 @@
 static void
 arm (struct wy_agent *a, int64_t now_ms)
 {
-  int64_t wake_ms = wy_queue_wake_ms (&a->queue, now_ms);
+  int64_t wake_ms = wy_queue_next_wakeup_ms (&a->queue, now_ms);
 
   if (wake_ms == INT64_MAX)
     uv_timer_stop (&a->queue_timer);
@@ -168,7 +168,7 @@
 wy_agent_dispatch (struct wy_agent *a)
 {
   int64_t now_ms = wy_agent_now_ms (a);
-  struct wy_item *it;
+  struct wy_queue_item *it;
 
   expire (a, now_ms);
   if (a->target.state == WY_TARGET_UP)
--- a/src/agent/links.c
+++ b/src/agent/links.c
@@ -225,7 +225,7 @@
 {
   struct wy_agent *a = ((struct wy_link *)ctx)->agent;
 
-  p->stamp = wy_trace_stamp (a->trace);
+  p->stamp = wy_trace_timestamp (a->trace);
   p->config_revision = wy_config_feed_revision (a->feed);
   p->config_confirmed_ms = wy_config_feed_confirmed_ms (a->feed);
   p->has_load = true;
--- a/src/agent/state.h
+++ b/src/agent/state.h
@@ -67,7 +67,7 @@
 struct wy_run
 {
   struct wy_agent *agent;
-  struct wy_item item;
+  struct wy_queue_item item;
   char *id;
   char *method;
   char *path;
--- a/src/agent/target.c
+++ b/src/agent/target.c
@@ -229,7 +229,7 @@
 static bool
 is_silent (const struct wy_run *r, int64_t now_ms)
 {
-  return r->phase == WY_PHASE_RUNNING && r->item.state == WY_ITEM_RUNNING
+  return r->phase == WY_PHASE_RUNNING && r->item.state == WY_QUEUE_ITEM_RUNNING
          && r->call && now_ms - r->heard_ms >= r->agent->s->target_silence_ms;
 }
 
--- a/src/cmd/wygated.c
+++ b/src/cmd/wygated.c
@@ -6,7 +6,7 @@
 #include "base/clock.h"
 #include "config/program.h"
 #include "gate/gate.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -39,7 +39,7 @@
 
   if (wy_settings_load (p->path, wy_gate_settings_table,
                         wy_gate_settings_count, &fresh, errors))
-    wy_note ("process.reload_failed", "path=%s", p->path);
+    wy_json_log ("process.reload_failed", "path=%s", p->path);
   else
     wy_gate_reload (p->gate, &fresh);
   wy_settings_free (wy_gate_settings_table, wy_gate_settings_count, &fresh);
@@ -78,7 +78,7 @@
     uv_close ((uv_handle_t *)&p->signals[i], NULL);
   for (int i = 0; i < CLOSING_TURNS; i++)
     uv_run (p->loop, UV_RUN_NOWAIT);
-  wy_note_close ();
+  wy_json_log_close ();
 }
 
 int
@@ -109,7 +109,7 @@
   err = wy_gate_new (&process.gate, &o);
   if (err)
     {
-      wy_note_flush ();
+      wy_json_log_flush ();
       fprintf (stderr, "wygated: cannot start: error %d\n", err);
       return WY_EXIT_FAILED;
     }
--- a/src/cmd/wyorderd.c
+++ b/src/cmd/wyorderd.c
@@ -5,7 +5,7 @@
 
 #include "config/program.h"
 #include "orders/orderer.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -19,7 +19,7 @@
 on_signal (uv_signal_t *s, int number)
 {
   if (number == SIGHUP)
-    wy_note ("process.reloaded", "changed=0");
+    wy_json_log ("process.reloaded", "changed=0");
   else
     uv_stop (s->loop);
 }
@@ -51,7 +51,7 @@
     uv_close ((uv_handle_t *)&signals[i], NULL);
   for (int i = 0; i < CLOSING_TURNS; i++)
     uv_run (loop, UV_RUN_NOWAIT);
-  wy_note_close ();
+  wy_json_log_close ();
   return WY_EXIT_OK;
 }
 
--- a/src/config/home.c
+++ b/src/config/home.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #include "base/id.h"
-#include "decide/place.h"
+#include "decide/placement.h"
 
 enum
 {
@@ -28,7 +28,7 @@
 
   for (; n < members->len && n < MEMBERS_MAX; n++)
     ids[n] = wy_hash64 (members->pdata[n], strlen (members->pdata[n]), 0);
-  i = wy_place_home (wy_hash64 (id, strlen (id), 0), ids, n);
+  i = wy_placement_rendezvous (wy_hash64 (id, strlen (id), 0), ids, n);
   return i < 0 ? NULL : members->pdata[i];
 }
 
--- a/src/decide/attempt.c
+++ b/src/decide/attempt.c
@@ -22,12 +22,12 @@
 {
   if (!a->sent)
     return false;
-  return !a->complete || a->spoilt || !a->not_run;
+  return !a->complete || a->mismatched || !a->not_run;
 }
 
 /* Whether STATUS tells callers that the request has not run and will not.  */
 bool
-wy_status_implies_not_run (int status)
+wy_attempt_status_implies_not_run (int status)
 {
   return status == REQUEST_TIMEOUT || status == MISDIRECTED_REQUEST
          || status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE;
@@ -38,12 +38,13 @@
 bool
 wy_attempt_is_unclear_refusal (const struct wy_attempt *a)
 {
-  return a->complete && !a->not_run && wy_status_implies_not_run (a->status);
+  return a->complete && !a->not_run
+         && wy_attempt_status_implies_not_run (a->status);
 }
 
 /* Status for a request that is given up; LATE if at its time limit.  */
 int
-wy_status_of_failure (bool may_have_run, bool late)
+wy_attempt_failure_status (bool may_have_run, bool late)
 {
   if (!may_have_run)
     return SERVICE_UNAVAILABLE;
--- a/src/decide/attempt.h
+++ b/src/decide/attempt.h
@@ -7,16 +7,16 @@
 
 struct wy_attempt
 {
-  bool sent;     /* bytes of the request may have reached the target */
-  bool complete; /* a complete answer was received */
-  bool spoilt;   /* the answer is to another request or not the target's */
-  bool not_run;  /* the answer says that the request was not run */
-  int status;    /* of the answer; 0: none */
+  bool sent;       /* bytes of the request may have reached the target */
+  bool complete;   /* a complete answer was received */
+  bool mismatched; /* the answer is to another request or not the target's */
+  bool not_run;    /* the answer says that the request was not run */
+  int status;      /* of the answer; 0: none */
 };
 
 bool wy_attempt_may_have_run (const struct wy_attempt *a);
 bool wy_attempt_is_unclear_refusal (const struct wy_attempt *a);
-bool wy_status_implies_not_run (int status);
-int wy_status_of_failure (bool may_have_run, bool late);
+bool wy_attempt_status_implies_not_run (int status);
+int wy_attempt_failure_status (bool may_have_run, bool late);
 
 #endif
--- a/src/decide/crash_watch.c
+++ b/src/decide/crash_tracker.c
@@ -8,7 +8,7 @@
    comes again and again, or an item that is run until it has a result: without
    this it would take down one replica after another, each with all that runs
    there, for as long as it is sent.  */
-#include "decide/crash_watch.h"
+#include "decide/crash_tracker.h"
 
 #include <string.h>
 
@@ -29,7 +29,7 @@
 
 /* Make W empty.  */
 void
-wy_crash_watch_init (struct wy_crash_watch *w)
+wy_crash_tracker_init (struct wy_crash_tracker *w)
 {
   memset (w, 0, sizeof *w);
   wy_suspects_init (&w->suspects);
@@ -43,8 +43,9 @@
 
 /* The run of FINGERPRINT at TARGET broke off without an answer.  */
 void
-wy_crash_watch_broken (struct wy_crash_watch *w, uint64_t fingerprint,
-                       const char *target, int64_t now_ms)
+wy_crash_tracker_run_interrupted (struct wy_crash_tracker *w,
+                                  uint64_t fingerprint, const char *target,
+                                  int64_t now_ms)
 {
   struct wy_broken_run *b = &w->broken[w->next];
 
@@ -58,8 +59,8 @@
    before counts.  Returns the number of requests that are held back from now
    on.  */
 uint32_t
-wy_crash_watch_crashed (struct wy_crash_watch *w, const char *target,
-                        int64_t now_ms)
+wy_crash_tracker_target_crashed (struct wy_crash_tracker *w,
+                                 const char *target, int64_t now_ms)
 {
   uint64_t hash = hash_of (target);
   uint32_t running = 0;
@@ -75,9 +76,9 @@
         continue;
       if (now_ms - b->at_ms <= CONFIRM_MS)
         {
-          wy_suspects_crashed (&w->suspects, b->fingerprint, hash, running,
-                               now_ms);
-          held += wy_crash_watch_holds_back (w, b->fingerprint, now_ms);
+          wy_suspects_record_crash (&w->suspects, b->fingerprint, hash,
+                                    running, now_ms);
+          held += wy_crash_tracker_is_blocked (w, b->fingerprint, now_ms);
         }
       b->fingerprint = 0;
     }
@@ -86,22 +87,22 @@
 
 /* The request of FINGERPRINT has been answered.  */
 void
-wy_crash_watch_cleared (struct wy_crash_watch *w, uint64_t fingerprint)
+wy_crash_tracker_clear (struct wy_crash_tracker *w, uint64_t fingerprint)
 {
-  wy_suspects_cleared (&w->suspects, fingerprint);
+  wy_suspects_clear (&w->suspects, fingerprint);
 }
 
 /* Whether there is any suspect, so that a fingerprint is worth computing.  */
 bool
-wy_crash_watch_any (const struct wy_crash_watch *w)
+wy_crash_tracker_has_suspects (const struct wy_crash_tracker *w)
 {
   return w->suspects.n > 0;
 }
 
 /* Whether the request of FINGERPRINT must not run now.  */
 bool
-wy_crash_watch_holds_back (struct wy_crash_watch *w, uint64_t fingerprint,
-                           int64_t now_ms)
+wy_crash_tracker_is_blocked (struct wy_crash_tracker *w, uint64_t fingerprint,
+                             int64_t now_ms)
 {
   return wy_suspects_check (&w->suspects, fingerprint, now_ms)
          == WY_SUSPICION_REFUSE;
@@ -110,7 +111,7 @@
 /* How long work waits that can't be refused and has broken off UNSTARTED
    times in a row, each time before it gave a sign of life.  */
 int64_t
-wy_crash_watch_pause_ms (uint32_t unstarted)
+wy_crash_tracker_backoff_ms (uint32_t unstarted)
 {
   uint32_t n = unstarted < FREE_BREAKS ? 0 : unstarted - FREE_BREAKS;
 
--- a/src/decide/item_list.c
+++ b/src/decide/item_list.c
@@ -5,7 +5,7 @@
 
 /* Append IT to L.  */
 void
-wy_item_push (struct wy_item_list *l, struct wy_item *it)
+wy_queue_item_push (struct wy_queue_item_list *l, struct wy_queue_item *it)
 {
   it->next = NULL;
   it->prev = l->tail;
@@ -19,7 +19,8 @@
 
 /* Put IT before all others of L.  */
 void
-wy_item_push_front (struct wy_item_list *l, struct wy_item *it)
+wy_queue_item_push_front (struct wy_queue_item_list *l,
+                          struct wy_queue_item *it)
 {
   it->prev = NULL;
   it->next = l->head;
@@ -33,7 +34,7 @@
 
 /* Take IT out of L, in which it must be.  */
 void
-wy_item_unlink (struct wy_item_list *l, struct wy_item *it)
+wy_queue_item_unlink (struct wy_queue_item_list *l, struct wy_queue_item *it)
 {
   if (it->prev)
     it->prev->next = it->next;
--- a/src/decide/item_list.h
+++ b/src/decide/item_list.h
@@ -4,8 +4,11 @@
 
 #include "decide/queue.h"
 
-void wy_item_push (struct wy_item_list *l, struct wy_item *it);
-void wy_item_push_front (struct wy_item_list *l, struct wy_item *it);
-void wy_item_unlink (struct wy_item_list *l, struct wy_item *it);
+void wy_queue_item_push (struct wy_queue_item_list *l,
+                         struct wy_queue_item *it);
+void wy_queue_item_push_front (struct wy_queue_item_list *l,
+                               struct wy_queue_item *it);
+void wy_queue_item_unlink (struct wy_queue_item_list *l,
+                           struct wy_queue_item *it);
 
 #endif
--- a/src/decide/item_slots.c
+++ b/src/decide/item_slots.c
@@ -26,10 +26,10 @@
    start; 0: all of them.  One that was interrupted has lost time already, and
    may well be longer than it was expected to be.  */
 double
-wy_item_slots_share (const struct wy_item_slots_options *o)
+wy_item_slots_occupancy_max (const struct wy_item_slots_options *o)
 {
-  if (o->has_begun || o->place < o->items / LONG_DIVISOR || o->due_ms <= 0
-      || o->waited_ms >= o->due_ms / WAIT_DIVISOR)
+  if (o->has_partial_text || o->length_rank < o->items / LONG_DIVISOR
+      || o->due_ms <= 0 || o->waited_ms >= o->due_ms / WAIT_DIVISOR)
     return 0;
   return short_share;
 }
--- a/src/decide/item_slots.h
+++ b/src/decide/item_slots.h
@@ -7,13 +7,14 @@
 
 struct wy_item_slots_options
 {
-  uint32_t place; /* of the item, longest expected first */
-  uint32_t items; /* of the job */
-  bool has_begun; /* there is text of it, from a run that was interrupted */
+  uint32_t length_rank;  /* of the item, longest expected first */
+  uint32_t items;        /* of the job */
+  bool has_partial_text; /* there is text of it, from a run that was
+                            interrupted */
   int64_t waited_ms;
   int64_t due_ms; /* all results are due so long after the start; 0: never */
 };
 
-double wy_item_slots_share (const struct wy_item_slots_options *o);
+double wy_item_slots_occupancy_max (const struct wy_item_slots_options *o);
 
 #endif
--- a/src/decide/job_turn.c
+++ b/src/decide/job_priority.c
@@ -2,7 +2,7 @@
 
    An organisation's priority goes before its route's; among equals the older
    job is due sooner.  */
-#include "decide/job_turn.h"
+#include "decide/job_priority.h"
 
 static int
 by_number (int64_t a, int64_t b)
@@ -12,7 +12,7 @@
 
 /* The priority that counts for T.  */
 static uint32_t
-rank_of (const struct wy_job_turn *t)
+rank_of (const struct wy_job_priority *t)
 {
   return t->organisation_priority != UINT32_MAX ? t->organisation_priority
                                                 : t->route_priority;
@@ -20,7 +20,8 @@
 
 /* Less than 0 where A goes before B.  */
 int
-wy_job_turn_compare (const struct wy_job_turn *a, const struct wy_job_turn *b)
+wy_job_priority_compare (const struct wy_job_priority *a,
+                         const struct wy_job_priority *b)
 {
   int order = by_number (rank_of (a), rank_of (b));
 
--- a/src/decide/job_turn.h
+++ b/src/decide/job_priority.h
@@ -1,17 +1,17 @@
 /* Whose items are started first, of the jobs that one entry runs.  */
-#ifndef WY_DECIDE_JOB_TURN_H
-#define WY_DECIDE_JOB_TURN_H
+#ifndef WY_DECIDE_JOB_PRIORITY_H
+#define WY_DECIDE_JOB_PRIORITY_H
 
 #include <stdint.h>
 
-struct wy_job_turn
+struct wy_job_priority
 {
   uint32_t organisation_priority; /* 0 is the highest; UINT32_MAX: none */
   uint32_t route_priority;        /* 0 is the highest */
   int64_t accepted_ms;
 };
 
-int wy_job_turn_compare (const struct wy_job_turn *a,
-                         const struct wy_job_turn *b);
+int wy_job_priority_compare (const struct wy_job_priority *a,
+                             const struct wy_job_priority *b);
 
 #endif
--- a/src/decide/listing.c
+++ b/src/decide/listing.c
@@ -21,10 +21,10 @@
 /* Whether results that are known wait for others.  They do not once they are
    due: each group counts for itself then, and a late one is still of use.  */
 bool
-wy_listing_waits (const struct wy_listing_options *o)
+wy_listing_is_deferred (const struct wy_listing_options *o)
 {
   if (o->stopping || o->due_ms <= 0 || o->age_ms >= o->due_ms
-      || o->whole_groups >= o->wanted_groups)
+      || o->complete_groups >= o->wanted_groups)
     return false;
   return o->items - o->results < (o->items + LAST_DIVISOR - 1) / LAST_DIVISOR;
 }
--- a/src/decide/listing.h
+++ b/src/decide/listing.h
@@ -7,15 +7,15 @@
 
 struct wy_listing_options
 {
-  uint32_t items;         /* of the job */
-  uint32_t results;       /* known, listed or not */
-  uint32_t whole_groups;  /* whose results are all known */
-  uint32_t wanted_groups; /* with which the trainer goes on; 0: not told */
-  int64_t age_ms;         /* of the job */
-  int64_t due_ms;         /* all results are due at this age; 0: never */
-  bool stopping;          /* another entry is about to run the job */
+  uint32_t items;           /* of the job */
+  uint32_t results;         /* known, listed or not */
+  uint32_t complete_groups; /* whose results are all known */
+  uint32_t wanted_groups;   /* with which the trainer goes on; 0: not told */
+  int64_t age_ms;           /* of the job */
+  int64_t due_ms;           /* all results are due at this age; 0: never */
+  bool stopping;            /* another entry is about to run the job */
 };
 
-bool wy_listing_waits (const struct wy_listing_options *o);
+bool wy_listing_is_deferred (const struct wy_listing_options *o);
 
 #endif
--- a/src/decide/place.c
+++ b/src/decide/placement.c
@@ -1,11 +1,11 @@
 /* Table of targets as one entry sees them.  */
-#include "decide/place.h"
+#include "decide/placement.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/id.h"
-#include "decide/place_table.h"
+#include "decide/placement_state.h"
 
 #define TARGETS_MAX 4096
 /* Two choices do most of the work of comparing all; more give little and all
@@ -31,7 +31,7 @@
 }
 
 static void
-set_options (struct wy_place *p, const struct wy_place_options *o)
+set_options (struct wy_placement *p, const struct wy_placement_options *o)
 {
   p->o = *o;
   p->o.targets_max = or_default (o->targets_max, TARGETS_MAX);
@@ -50,13 +50,13 @@
 
 /* A table without targets, or NULL when memory or the options don't allow
    it.  */
-struct wy_place *
-wy_place_new (const struct wy_place_options *o)
+struct wy_placement *
+wy_placement_new (const struct wy_placement_options *o)
 {
-  struct wy_place *p;
+  struct wy_placement *p;
   uint32_t n;
 
-  if (o->az >= WY_PLACE_AZS_MAX)
+  if (o->az >= WY_PLACEMENT_AZS_MAX)
     return NULL;
   p = calloc (1, sizeof *p);
   if (!p)
@@ -67,20 +67,20 @@
   p->prefix
       = calloc ((size_t)p->o.prefix_slots * WY_PREFIX_WAYS, sizeof *p->prefix);
   p->all.slot
-      = calloc ((size_t)n * (WY_PLACE_AZS_MAX + 1), sizeof *p->all.slot);
+      = calloc ((size_t)n * (WY_PLACEMENT_AZS_MAX + 1), sizeof *p->all.slot);
   if (!p->target || !p->prefix || !p->all.slot)
     {
-      wy_place_free (p);
+      wy_placement_free (p);
       return NULL;
     }
-  for (uint32_t i = 0; i < WY_PLACE_AZS_MAX; i++)
+  for (uint32_t i = 0; i < WY_PLACEMENT_AZS_MAX; i++)
     p->az[i].slot = p->all.slot + (size_t)(i + 1) * n;
   return p;
 }
 
 /* Free P; NULL is fine.  */
 void
-wy_place_free (struct wy_place *p)
+wy_placement_free (struct wy_placement *p)
 {
   if (!p)
     return;
@@ -92,7 +92,7 @@
 
 /* The first position in the order whose target ranks RANK or higher.  */
 static uint32_t
-position (const struct wy_place *p, uint64_t rank)
+position (const struct wy_placement *p, uint64_t rank)
 {
   uint32_t lo = 0;
   uint32_t hi = p->all.n;
@@ -113,7 +113,7 @@
    so that entries agree, without talking, on which targets callers go to
    first.  Adding and removing cost a move of the list; both are rare.  */
 static void
-make_placeable (struct wy_place *p, uint32_t slot)
+make_placeable (struct wy_placement *p, uint32_t slot)
 {
   struct wy_target *t = &p->target[slot];
   struct wy_slot_list *az = &p->az[t->o.az];
@@ -133,7 +133,7 @@
 }
 
 static void
-make_unplaceable (struct wy_place *p, uint32_t slot)
+make_unplaceable (struct wy_placement *p, uint32_t slot)
 {
   struct wy_target *t = &p->target[slot];
   struct wy_slot_list *az = &p->az[t->o.az];
@@ -159,7 +159,7 @@
 }
 
 static struct wy_target *
-at (struct wy_place *p, uint32_t slot)
+at (struct wy_placement *p, uint32_t slot)
 {
   if (slot >= p->o.targets_max || !p->target[slot].used)
     return NULL;
@@ -168,9 +168,9 @@
 
 /* Add the target that O describes; its slot, or a negative error.  */
 int
-wy_place_add (struct wy_place *p, const struct wy_target_options *o)
+wy_placement_add (struct wy_placement *p, const struct wy_target_options *o)
 {
-  if (o->az >= WY_PLACE_AZS_MAX)
+  if (o->az >= WY_PLACEMENT_AZS_MAX)
     return WY_DECIDE_ERANGE;
   for (uint32_t i = 0; i < p->o.targets_max; i++)
     if (!p->target[i].used)
@@ -188,7 +188,7 @@
 
 /* Forget the target of SLOT.  */
 void
-wy_place_remove (struct wy_place *p, uint32_t slot)
+wy_placement_remove (struct wy_placement *p, uint32_t slot)
 {
   struct wy_target *t = at (p, slot);
 
@@ -202,7 +202,7 @@
 
 /* The target of SLOT is leaving and gets no new work from now on.  */
 void
-wy_place_leaving (struct wy_place *p, uint32_t slot)
+wy_placement_drain (struct wy_placement *p, uint32_t slot)
 {
   if (at (p, slot))
     make_unplaceable (p, slot);
@@ -211,7 +211,8 @@
 /* The target of SLOT came back as a new INCARNATION: nothing known of the
    earlier one holds.  */
 void
-wy_place_restarted (struct wy_place *p, uint32_t slot, uint64_t incarnation)
+wy_placement_restarted (struct wy_placement *p, uint32_t slot,
+                        uint64_t incarnation)
 {
   struct wy_target *t = at (p, slot);
   struct wy_target_options o;
@@ -230,7 +231,8 @@
 
 /* The target of SLOT serves weight VERSION from now on.  */
 void
-wy_place_version (struct wy_place *p, uint32_t slot, uint64_t version)
+wy_placement_set_version (struct wy_placement *p, uint32_t slot,
+                          uint64_t version)
 {
   struct wy_target *t = at (p, slot);
 
@@ -240,7 +242,7 @@
 
 /* The pace that T's agent measured against what its streams should get.  */
 static void
-take_pace (struct wy_place *p, struct wy_target *t,
+take_pace (struct wy_placement *p, struct wy_target *t,
            const struct wy_load_report *r, int64_t now_ms)
 {
   uint32_t streams = r->callers + r->rollouts_running;
@@ -259,8 +261,9 @@
 /* Take in the load report R of SLOT, made AGE_MS ago.  An older one than the
    last is ignored: reports pass each other on different connections.  */
 void
-wy_place_load (struct wy_place *p, uint32_t slot,
-               const struct wy_load_report *r, uint32_t age_ms, int64_t now_ms)
+wy_placement_load_reported (struct wy_placement *p, uint32_t slot,
+                            const struct wy_load_report *r, uint32_t age_ms,
+                            int64_t now_ms)
 {
   struct wy_target *t = at (p, slot);
 
@@ -284,8 +287,8 @@
 
 /* A cache event of SLOT: the prefix is or is not in its cache.  */
 void
-wy_place_cached (struct wy_place *p, uint32_t slot, uint64_t prefix_hash,
-                 bool present, int64_t now_ms)
+wy_placement_cache_event (struct wy_placement *p, uint32_t slot,
+                          uint64_t prefix_hash, bool present, int64_t now_ms)
 {
   if (!at (p, slot) || prefix_hash == 0)
     return;
@@ -297,8 +300,9 @@
 
 /* REQ was sent to SLOT.  */
 void
-wy_place_started (struct wy_place *p, uint32_t slot,
-                  const struct wy_place_req *req, int64_t now_ms)
+wy_placement_request_started (struct wy_placement *p, uint32_t slot,
+                              const struct wy_placement_request *req,
+                              int64_t now_ms)
 {
   struct wy_target *t = at (p, slot);
 
@@ -329,9 +333,9 @@
 
 /* A request on SLOT ended with OUTCOME.  */
 void
-wy_place_ended (struct wy_place *p, uint32_t slot,
-                enum wy_work_class work_class, enum wy_outcome outcome,
-                int64_t now_ms)
+wy_placement_request_ended (struct wy_placement *p, uint32_t slot,
+                            enum wy_work_class work_class,
+                            enum wy_outcome outcome, int64_t now_ms)
 {
   struct wy_target *t = at (p, slot);
 
@@ -349,7 +353,7 @@
 
 /* Requests of this entry in flight on SLOT.  */
 uint32_t
-wy_place_in_flight (const struct wy_place *p, uint32_t slot)
+wy_placement_in_flight (const struct wy_placement *p, uint32_t slot)
 {
   if (slot >= p->o.targets_max)
     return 0;
--- a/src/decide/place_health.c
+++ b/src/decide/placement_health.c
@@ -4,12 +4,12 @@
    requests fail or crawl; by load alone it even looks the emptiest and draws
    the work of all.  One notices by failures and by the pace of its streams.
    It is left out for a while, then let back a few requests at a time.  */
-#include "decide/place_table.h"
+#include "decide/placement_state.h"
 
 /* One failure happens to sound targets; three in a row hardly.  */
 #define FAILURES_MAX 3
 /* A target at a third of the expected pace harms each caller on it; smaller
-   differences are left to the cost in wy_place_pick.  */
+   differences are left to the cost in wy_placement_pick.  */
 #define SLOWNESS_MAX 3.0
 #define PACES_MIN 3
 #define PACE_SMOOTHING 0.3
@@ -27,7 +27,7 @@
 #define ROLLOUT_PROBES 2
 
 static void
-eject (struct wy_place *p, struct wy_target *t, int64_t now_ms)
+eject (struct wy_placement *p, struct wy_target *t, int64_t now_ms)
 {
   if (t->ejected_until_ms > now_ms)
     return;
@@ -45,7 +45,7 @@
 }
 
 static void
-make_sound (struct wy_place *p, struct wy_target *t)
+make_sound (struct wy_placement *p, struct wy_target *t)
 {
   if (t->ejected_until_ms)
     p->ejected--;
@@ -55,7 +55,7 @@
 
 /* Learn from the OUTCOME of a request on T.  */
 void
-wy_target_outcome (struct wy_place *p, struct wy_target *t,
+wy_target_outcome (struct wy_placement *p, struct wy_target *t,
                    enum wy_outcome outcome, int64_t now_ms)
 {
   switch (outcome)
@@ -79,7 +79,7 @@
 }
 
 static double
-expected_us (const struct wy_place *p, const struct wy_target *t,
+expected_us (const struct wy_placement *p, const struct wy_target *t,
              int64_t now_ms)
 {
   uint32_t streams
@@ -94,7 +94,7 @@
    how it compares with the others, whose engines may all be faster or slower
    than the curve that was guessed.  */
 void
-wy_target_pace (struct wy_place *p, struct wy_target *t, double ratio,
+wy_target_pace (struct wy_placement *p, struct wy_target *t, double ratio,
                 int64_t now_ms)
 {
   t->slowness += PACE_SMOOTHING * (ratio - t->slowness);
@@ -107,8 +107,8 @@
 /* A stream on SLOT ran at US_PER_TOKEN lately.  Waiting for whole answers
    would show a slow target only after its slowest answers have ended.  */
 void
-wy_place_pace (struct wy_place *p, uint32_t slot, uint32_t us_per_token,
-               int64_t now_ms)
+wy_placement_token_latency (struct wy_placement *p, uint32_t slot,
+                            uint32_t us_per_token, int64_t now_ms)
 {
   struct wy_target *t;
 
@@ -120,7 +120,7 @@
 
 /* Whether T may get work of WORK_CLASS as far as its health goes.  */
 bool
-wy_target_admits (const struct wy_place *p, const struct wy_target *t,
+wy_target_admits (const struct wy_placement *p, const struct wy_target *t,
                   enum wy_work_class work_class, int64_t now_ms)
 {
   int64_t since_ms;
--- a/src/decide/place_pick.c
+++ b/src/decide/placement_pick.c
@@ -6,7 +6,7 @@
    old reports, from sending everything to the one that looked best.  */
 #include <stddef.h>
 
-#include "decide/place_table.h"
+#include "decide/placement_state.h"
 
 /* Draws per wanted sample before giving up on targets that are left out.  */
 #define DRAWS_PER_SAMPLE 4
@@ -27,7 +27,7 @@
 
 struct choice
 {
-  const struct wy_place_req *req;
+  const struct wy_placement_request *req;
   int64_t now_ms;
   int slot;
   uint64_t cost_us;
@@ -44,7 +44,7 @@
 /* Callers on T: what it reported and what this entry did since; its own count
    alone once the report is stale.  */
 uint32_t
-wy_target_callers (const struct wy_place *p, const struct wy_target *t,
+wy_target_callers (const struct wy_placement *p, const struct wy_target *t,
                    int64_t now_ms)
 {
   if (now_ms - t->report_ms > (int64_t)p->o.report_stale_ms)
@@ -54,7 +54,7 @@
 
 /* The same for rollout streams, running and waiting.  */
 uint32_t
-wy_target_rollouts (const struct wy_place *p, const struct wy_target *t,
+wy_target_rollouts (const struct wy_placement *p, const struct wy_target *t,
                     int64_t now_ms)
 {
   if (now_ms - t->report_ms > (int64_t)p->o.report_stale_ms)
@@ -64,7 +64,8 @@
 }
 
 static bool
-holds (const struct wy_place *p, uint32_t slot, uint64_t hash, int64_t now_ms)
+holds (const struct wy_placement *p, uint32_t slot, uint64_t hash,
+       int64_t now_ms)
 {
   uint32_t holder[WY_PREFIX_WAYS];
   uint32_t n = wy_prefix_holders (p, hash, now_ms, holder);
@@ -78,7 +79,7 @@
 /* Streams that will run beside a caller: rollouts give way to callers down
    to what both share.  */
 static uint32_t
-beside_caller (const struct wy_place *p, const struct wy_target *t,
+beside_caller (const struct wy_placement *p, const struct wy_target *t,
                uint32_t callers, int64_t now_ms)
 {
   uint32_t all = callers + 1 + wy_target_rollouts (p, t, now_ms);
@@ -91,7 +92,7 @@
 
 /* Expected time for the output of a caller's request.  */
 static double
-caller_us (const struct wy_place *p, const struct wy_target *t,
+caller_us (const struct wy_placement *p, const struct wy_target *t,
            const struct choice *c)
 {
   uint32_t callers = wy_target_callers (p, t, c->now_ms);
@@ -109,7 +110,7 @@
 
 /* The same for a rollout, which waits for the streams that callers leave.  */
 static double
-rollout_us (const struct wy_place *p, const struct wy_target *t,
+rollout_us (const struct wy_placement *p, const struct wy_target *t,
             const struct choice *c)
 {
   uint32_t callers = wy_target_callers (p, t, c->now_ms);
@@ -124,7 +125,7 @@
 
 /* Expected time of the request on the target of SLOT.  */
 static uint64_t
-cost_us (const struct wy_place *p, uint32_t slot, const struct choice *c)
+cost_us (const struct wy_placement *p, uint32_t slot, const struct choice *c)
 {
   const struct wy_target *t = &p->target[slot];
   uint32_t fresh = c->req->prompt_tokens;
@@ -143,16 +144,16 @@
 }
 
 static bool
-tried (const struct wy_place_req *req, uint32_t slot)
+tried (const struct wy_placement_request *req, uint32_t slot)
 {
-  for (uint32_t i = 0; i < req->n_tried && i < WY_PLACE_TRIED_MAX; i++)
+  for (uint32_t i = 0; i < req->n_tried && i < WY_PLACEMENT_TRIED_MAX; i++)
     if (req->tried[i] == slot)
       return true;
   return false;
 }
 
 static bool
-consider (const struct wy_place *p, uint32_t slot, struct choice *c)
+consider (const struct wy_placement *p, uint32_t slot, struct choice *c)
 {
   const struct wy_target *t = &p->target[slot];
   uint64_t cost;
@@ -174,7 +175,7 @@
 
 /* Consider WANT targets drawn from the first N of L.  */
 static void
-sample (const struct wy_place *p, const struct wy_slot_list *l, uint32_t n,
+sample (const struct wy_placement *p, const struct wy_slot_list *l, uint32_t n,
         uint32_t want, struct choice *c, struct wy_rng *rng)
 {
   uint32_t got = 0;
@@ -193,7 +194,7 @@
    thinly, a few callers would take all engines from the trainers.  Without
    rollouts there is nothing to spare and callers spread out.  */
 static uint32_t
-callers_width (const struct wy_place *p)
+callers_width (const struct wy_placement *p)
 {
   int64_t width = p->callers / CALLERS_PACKED + WIDTH_MIN;
 
@@ -206,7 +207,7 @@
 /* The sampled draws all met targets that are left out.  Starting at a random
    one, take the first that will do: rare, and better than refusing.  */
 static void
-walk (const struct wy_place *p, struct choice *c, struct wy_rng *rng)
+walk (const struct wy_placement *p, struct choice *c, struct wy_rng *rng)
 {
   uint32_t first;
 
@@ -218,7 +219,7 @@
 }
 
 static void
-sample_for_caller (const struct wy_place *p, struct choice *c,
+sample_for_caller (const struct wy_placement *p, struct choice *c,
                    struct wy_rng *rng)
 {
   uint32_t width = callers_width (p);
@@ -236,8 +237,9 @@
    take it.  Looks at a few targets of this entry's zone, as many of all zones
    and those that hold the prompt's prefix.  */
 int
-wy_place_pick (struct wy_place *p, const struct wy_place_req *req,
-               int64_t now_ms, struct wy_rng *rng)
+wy_placement_pick (struct wy_placement *p,
+                   const struct wy_placement_request *req, int64_t now_ms,
+                   struct wy_rng *rng)
 {
   struct choice c = { req, now_ms, WY_DECIDE_ENONE, NO_COST };
   uint32_t holder[WY_PREFIX_WAYS];
--- a/src/decide/place_prefix.c
+++ b/src/decide/placement_prefix.c
@@ -3,14 +3,14 @@
    Engines publish cache events late and with gaps, so the table also notes
    where this entry sent a prefix, and forgets what it has not heard of for a
    while.  A wrong note costs one prefill.  */
-#include "decide/place_table.h"
+#include "decide/placement_state.h"
 
 /* Caches are small against the traffic; after this time without use the
    prefix is likely gone.  */
 #define PREFIX_TTL_MS 60000
 
 static struct wy_prefix *
-set_of (const struct wy_place *p, uint64_t hash)
+set_of (const struct wy_placement *p, uint64_t hash)
 {
   uint64_t i = hash % p->o.prefix_slots;
 
@@ -19,7 +19,7 @@
 
 /* Note that SLOT holds HASH; the note not renewed longest gives way.  */
 void
-wy_prefix_note (struct wy_place *p, uint64_t hash, uint32_t slot,
+wy_prefix_note (struct wy_placement *p, uint64_t hash, uint32_t slot,
                 int64_t now_ms)
 {
   struct wy_prefix *set = set_of (p, hash);
@@ -42,7 +42,7 @@
 
 /* Forget that SLOT holds HASH.  */
 void
-wy_prefix_drop (struct wy_place *p, uint64_t hash, uint32_t slot)
+wy_prefix_drop (struct wy_placement *p, uint64_t hash, uint32_t slot)
 {
   struct wy_prefix *set = set_of (p, hash);
 
@@ -53,7 +53,7 @@
 
 /* Fill OUT with the slots believed to hold HASH; how many.  */
 uint32_t
-wy_prefix_holders (const struct wy_place *p, uint64_t hash, int64_t now_ms,
+wy_prefix_holders (const struct wy_placement *p, uint64_t hash, int64_t now_ms,
                    uint32_t out[WY_PREFIX_WAYS])
 {
   const struct wy_prefix *set = set_of (p, hash);
--- a/src/decide/home.c
+++ b/src/decide/placement_rendezvous.c
@@ -1,13 +1,13 @@
 /* Home of a key among the members of a list.  */
 #include "base/id.h"
-#include "decide/place.h"
+#include "decide/placement.h"
 
 /* The index of the member that is home to KEY, by highest random weight: two
    entries with the same list agree without talking, and a change of the list
    moves only the keys of the member that changed.  WY_DECIDE_ENONE for an
    empty list.  */
 int
-wy_place_home (uint64_t key, const uint64_t *ids, uint32_t n)
+wy_placement_rendezvous (uint64_t key, const uint64_t *ids, uint32_t n)
 {
   uint64_t best_weight = 0;
   int best = WY_DECIDE_ENONE;
--- a/src/decide/place_table.h
+++ b/src/decide/placement_state.h
@@ -1,8 +1,8 @@
 /* State of the placement table; inside the package only.  */
-#ifndef WY_DECIDE_PLACE_TABLE_H
-#define WY_DECIDE_PLACE_TABLE_H
+#ifndef WY_DECIDE_PLACEMENT_STATE_H
+#define WY_DECIDE_PLACEMENT_STATE_H
 
-#include "decide/place.h"
+#include "decide/placement.h"
 
 #define WY_PREFIX_WAYS 4
 
@@ -40,12 +40,12 @@
   uint32_t n;
 };
 
-struct wy_place
+struct wy_placement
 {
-  struct wy_place_options o;
+  struct wy_placement_options o;
   struct wy_target *target;
   struct wy_slot_list all;
-  struct wy_slot_list az[WY_PLACE_AZS_MAX];
+  struct wy_slot_list az[WY_PLACEMENT_AZS_MAX];
   struct wy_prefix *prefix; /* o.prefix_slots sets of WY_PREFIX_WAYS */
   double slowness;          /* of all targets, smoothed */
   uint32_t ejected;
@@ -53,20 +53,20 @@
   int64_t rollouts; /* running on all targets, as reported */
 };
 
-void wy_prefix_note (struct wy_place *p, uint64_t hash, uint32_t slot,
+void wy_prefix_note (struct wy_placement *p, uint64_t hash, uint32_t slot,
                      int64_t now_ms);
-void wy_prefix_drop (struct wy_place *p, uint64_t hash, uint32_t slot);
-uint32_t wy_prefix_holders (const struct wy_place *p, uint64_t hash,
+void wy_prefix_drop (struct wy_placement *p, uint64_t hash, uint32_t slot);
+uint32_t wy_prefix_holders (const struct wy_placement *p, uint64_t hash,
                             int64_t now_ms, uint32_t out[WY_PREFIX_WAYS]);
-uint32_t wy_target_callers (const struct wy_place *p,
+uint32_t wy_target_callers (const struct wy_placement *p,
                             const struct wy_target *t, int64_t now_ms);
-uint32_t wy_target_rollouts (const struct wy_place *p,
+uint32_t wy_target_rollouts (const struct wy_placement *p,
                              const struct wy_target *t, int64_t now_ms);
-bool wy_target_admits (const struct wy_place *p, const struct wy_target *t,
+bool wy_target_admits (const struct wy_placement *p, const struct wy_target *t,
                        enum wy_work_class work_class, int64_t now_ms);
-void wy_target_pace (struct wy_place *p, struct wy_target *t, double ratio,
+void wy_target_pace (struct wy_placement *p, struct wy_target *t, double ratio,
                      int64_t now_ms);
-void wy_target_outcome (struct wy_place *p, struct wy_target *t,
+void wy_target_outcome (struct wy_placement *p, struct wy_target *t,
                         enum wy_outcome outcome, int64_t now_ms);
 
 #endif
--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #include "decide/item_list.h"
-#include "decide/queue_rank.h"
+#include "decide/queue_order.h"
 
 /* An engine's batch; beyond it the engine queues by itself, blind to
    priorities.  */
@@ -85,21 +85,21 @@
   return 0;
 }
 
-static struct wy_verdict
+static struct wy_admission
 refuse (enum wy_refusal reason, uint32_t retry_after_ms)
 {
-  struct wy_verdict v = { WY_VERDICT_REFUSED, reason, retry_after_ms };
+  struct wy_admission v = { WY_ADMISSION_REFUSED, reason, retry_after_ms };
 
   return v;
 }
 
-static struct wy_verdict
-accepted (const struct wy_item *it)
+static struct wy_admission
+accepted (const struct wy_queue_item *it)
 {
-  struct wy_verdict v = { WY_VERDICT_QUEUED, WY_REFUSAL_NONE, 0 };
+  struct wy_admission v = { WY_ADMISSION_QUEUED, WY_REFUSAL_NONE, 0 };
 
-  if (it->state == WY_ITEM_RUNNING)
-    v.kind = WY_VERDICT_RUN;
+  if (it->state == WY_QUEUE_ITEM_RUNNING)
+    v.kind = WY_ADMISSION_RUN;
   return v;
 }
 
@@ -107,7 +107,8 @@
    refused here, at once: under saturation, work that would be answered too
    late takes the place of work that could still be answered in time.  */
 static enum wy_refusal
-check (const struct wy_queue *q, const struct wy_item *it, int64_t now_ms)
+check (const struct wy_queue *q, const struct wy_queue_item *it,
+       int64_t now_ms)
 {
   int64_t end_ms;
 
@@ -125,8 +126,8 @@
     return WY_REFUSAL_FULL;
   if (it->deadline_ms == 0)
     return WY_REFUSAL_NONE;
-  end_ms = now_ms + wy_queue_run_ms (q, it)
-           + (int64_t)(WAIT_MARGIN * wy_queue_wait_ms (q, now_ms));
+  end_ms = now_ms + wy_queue_expected_run_ms (q, it)
+           + (int64_t)(WAIT_MARGIN * wy_queue_expected_wait_ms (q, now_ms));
   return end_ms > it->deadline_ms ? WY_REFUSAL_DEADLINE : WY_REFUSAL_NONE;
 }
 
@@ -134,17 +135,18 @@
    asks for; with a guess of nothing a burst on a fresh target would all be
    admitted and most of it answered too late.  */
 static void
-note_caller (struct wy_queue *q, const struct wy_item *it, int64_t now_ms)
+note_caller (struct wy_queue *q, const struct wy_queue_item *it,
+             int64_t now_ms)
 {
   q->caller_seen_ms = now_ms;
   if (q->caller_ms == 0)
-    q->caller_ms = wy_queue_run_ms (q, it);
+    q->caller_ms = wy_queue_expected_run_ms (q, it);
 }
 
 /* Offer IT to Q.  A refused item is not kept and has not run.  An item that
    may run now is running when the call returns and must be started.  */
-struct wy_verdict
-wy_queue_offer (struct wy_queue *q, struct wy_item *it, int64_t now_ms)
+struct wy_admission
+wy_queue_offer (struct wy_queue *q, struct wy_queue_item *it, int64_t now_ms)
 {
   enum wy_refusal why;
 
@@ -160,17 +162,18 @@
   if (why == WY_REFUSAL_CLOSING || why == WY_REFUSAL_TOO_LARGE)
     return refuse (why, 0);
   if (why != WY_REFUSAL_NONE)
-    return refuse (why, 1 + wy_queue_wait_ms (q, now_ms));
+    return refuse (why, 1 + wy_queue_expected_wait_ms (q, now_ms));
   it->arrived_ms = now_ms;
-  it->start_by_ms = it->deadline_ms ? it->deadline_ms - wy_queue_run_ms (q, it)
-                                    : INT64_MAX;
+  it->start_by_ms = it->deadline_ms
+                        ? it->deadline_ms - wy_queue_expected_run_ms (q, it)
+                        : INT64_MAX;
   wy_queue_enqueue (q, it);
   wy_queue_start_if_first (q, it, now_ms);
   return accepted (it);
 }
 
-static struct wy_item_list *
-running_list (struct wy_queue *q, const struct wy_item *it)
+static struct wy_queue_item_list *
+running_list (struct wy_queue *q, const struct wy_queue_item *it)
 {
   return it->work_class == WY_CLASS_ROLLOUT ? &q->running_rollouts
                                             : &q->running_callers;
@@ -178,9 +181,9 @@
 
 /* Learn from a run of TOKENS that took RUN_MS.  */
 static void
-learn (struct wy_queue *q, const struct wy_item *it, int64_t run_ms)
+learn (struct wy_queue *q, const struct wy_queue_item *it, int64_t run_ms)
 {
-  double expected = wy_queue_run_ms (q, it) / q->pace;
+  double expected = wy_queue_expected_run_ms (q, it) / q->pace;
 
   if (it->work_class != WY_CLASS_ROLLOUT)
     q->caller_ms += SMOOTHING * ((double)run_ms - q->caller_ms);
@@ -193,7 +196,7 @@
    prefill.  An engine can fall to a tenth of its speed and look sound in all
    else; its agent sees it here, refuses by it and reports it.  */
 static void
-learn_pace (struct wy_queue *q, struct wy_item *it, uint32_t tokens,
+learn_pace (struct wy_queue *q, struct wy_queue_item *it, uint32_t tokens,
             int64_t now_ms)
 {
   uint32_t streams = q->running_callers.n + q->running_rollouts.n;
@@ -213,12 +216,12 @@
 /* Note that IT has TOKENS of output by now.  A stream that outgrows its
    prediction is charged for what it really holds.  */
 void
-wy_queue_progress (struct wy_queue *q, struct wy_item *it, uint32_t tokens,
-                   int64_t now_ms)
+wy_queue_progress (struct wy_queue *q, struct wy_queue_item *it,
+                   uint32_t tokens, int64_t now_ms)
 {
   uint32_t held = it->prompt_tokens + tokens;
 
-  if (q->o.kind == WY_QUEUE_ENGINE && it->state == WY_ITEM_RUNNING
+  if (q->o.kind == WY_QUEUE_ENGINE && it->state == WY_QUEUE_ITEM_RUNNING
       && tokens > it->seen_tokens)
     learn_pace (q, it, tokens, now_ms);
   if (it->work_class == WY_CLASS_ROLLOUT && tokens > it->tokens)
@@ -228,19 +231,19 @@
     it->tokens = tokens;
   if (q->o.kind != WY_QUEUE_ENGINE || held <= it->kv_tokens)
     return;
-  if (it->state == WY_ITEM_RUNNING || it->state == WY_ITEM_PAUSED)
+  if (it->state == WY_QUEUE_ITEM_RUNNING || it->state == WY_QUEUE_ITEM_PAUSED)
     q->kv_used_tokens += held - it->kv_tokens;
-  if (it->state == WY_ITEM_PAUSED)
+  if (it->state == WY_QUEUE_ITEM_PAUSED)
     q->kv_paused_tokens += held - it->kv_tokens;
   it->kv_tokens = held;
 }
 
 /* IT has ended after TOKENS of output; it is out of the queue.  */
 void
-wy_queue_done (struct wy_queue *q, struct wy_item *it, uint32_t tokens,
+wy_queue_done (struct wy_queue *q, struct wy_queue_item *it, uint32_t tokens,
                int64_t now_ms)
 {
-  if (it->state != WY_ITEM_RUNNING)
+  if (it->state != WY_QUEUE_ITEM_RUNNING)
     {
       wy_queue_cancel (q, it, now_ms);
       return;
@@ -252,23 +255,23 @@
 
 /* Take IT out of the queue in whatever state it is.  */
 void
-wy_queue_cancel (struct wy_queue *q, struct wy_item *it, int64_t now_ms)
+wy_queue_cancel (struct wy_queue *q, struct wy_queue_item *it, int64_t now_ms)
 {
   switch (it->state)
     {
-    case WY_ITEM_OUT:
+    case WY_QUEUE_ITEM_NOT_QUEUED:
       return;
-    case WY_ITEM_WAITING:
+    case WY_QUEUE_ITEM_WAITING:
       wy_queue_dequeue (q, it);
       break;
-    case WY_ITEM_RUNNING:
-      wy_item_unlink (running_list (q, it), it);
+    case WY_QUEUE_ITEM_RUNNING:
+      wy_queue_item_unlink (running_list (q, it), it);
       q->kv_used_tokens -= it->kv_tokens;
       if (it->work_class != WY_CLASS_ROLLOUT)
         q->caller_seen_ms = now_ms;
       break;
-    case WY_ITEM_PAUSED:
-      wy_item_unlink (&q->trainer[it->trainer].paused, it);
+    case WY_QUEUE_ITEM_PAUSED:
+      wy_queue_item_unlink (&q->trainer[it->trainer].paused, it);
       q->rollouts_paused--;
       q->kv_used_tokens -= it->kv_tokens;
       q->kv_paused_tokens -= it->kv_tokens;
@@ -276,7 +279,7 @@
     }
   if (q->alone == it)
     q->alone = NULL;
-  it->state = WY_ITEM_OUT;
+  it->state = WY_QUEUE_ITEM_NOT_QUEUED;
 }
 
 /* Take no new work from now on; what is in the queue goes on.  */
@@ -295,14 +298,14 @@
          && q->running_rollouts.n == 0;
 }
 
-static struct wy_item *
+static struct wy_queue_item *
 find_expired (struct wy_queue *q, int64_t now_ms)
 {
-  struct wy_item_list *lists[] = { &q->callers, &q->suspects };
+  struct wy_queue_item_list *lists[] = { &q->callers, &q->suspects };
 
   q->expire_ms = INT64_MAX;
   for (uint32_t i = 0; i < sizeof lists / sizeof lists[0]; i++)
-    for (struct wy_item *it = lists[i]->head; it; it = it->next)
+    for (struct wy_queue_item *it = lists[i]->head; it; it = it->next)
       {
         if (it->start_by_ms <= now_ms)
           return it;
@@ -316,10 +319,10 @@
    taken out of the queue; NULL when there is none.  It has not run, and its
    refusal goes out at once.  The list is walked only when the earliest of
    them is due.  */
-struct wy_item *
+struct wy_queue_item *
 wy_queue_expire (struct wy_queue *q, int64_t now_ms)
 {
-  struct wy_item *it;
+  struct wy_queue_item *it;
 
   if (now_ms < q->expire_ms)
     return NULL;
@@ -334,7 +337,7 @@
 /* When to call wy_queue_expire and wy_queue_next again though nothing else
    happens; INT64_MAX when there is no such time.  */
 int64_t
-wy_queue_wake_ms (const struct wy_queue *q, int64_t now_ms)
+wy_queue_next_wakeup_ms (const struct wy_queue *q, int64_t now_ms)
 {
   int64_t at = q->expire_ms;
   int64_t quiet_ms = q->caller_seen_ms + q->o.quiet_ms;
--- a/src/decide/queue.h
+++ b/src/decide/queue.h
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "decide/work.h"
+#include "decide/work_class.h"
 
 #define WY_QUEUE_TRAINERS_MAX 32
 
@@ -15,19 +15,19 @@
   WY_QUEUE_SERVICE, /* whole calls, limited by concurrency */
 };
 
-enum wy_item_state
+enum wy_queue_item_state
 {
-  WY_ITEM_OUT, /* not in the queue */
-  WY_ITEM_WAITING,
-  WY_ITEM_RUNNING,
-  WY_ITEM_PAUSED, /* started, holds KV memory, not generating */
+  WY_QUEUE_ITEM_NOT_QUEUED, /* not in the queue */
+  WY_QUEUE_ITEM_WAITING,
+  WY_QUEUE_ITEM_RUNNING,
+  WY_QUEUE_ITEM_PAUSED, /* started, holds KV memory, not generating */
 };
 
-enum wy_verdict_kind
+enum wy_admission_kind
 {
-  WY_VERDICT_RUN, /* running now; the caller starts it */
-  WY_VERDICT_QUEUED,
-  WY_VERDICT_REFUSED, /* not run, not kept */
+  WY_ADMISSION_RUN, /* running now; the caller starts it */
+  WY_ADMISSION_QUEUED,
+  WY_ADMISSION_REFUSED, /* not run, not kept */
 };
 
 enum wy_refusal
@@ -41,7 +41,7 @@
 
 /* One request.  Its owner keeps it in place from the offer until it is out
    again; a fresh one is all zero.  */
-struct wy_item
+struct wy_queue_item
 {
   /* Set by the owner before the offer.  */
   void *data;
@@ -56,7 +56,7 @@
   /* Kept by the queue; the owner may read them.  */
   bool started; /* has run before; the next run is a resume */
   bool evicted; /* its KV memory was given up; resume from the prefix */
-  enum wy_item_state state;
+  enum wy_queue_item_state state;
   uint32_t tokens; /* output so far */
   uint32_t kv_tokens;
   uint32_t seen_tokens; /* at the last measurement of its pace */
@@ -65,14 +65,14 @@
   int64_t seen_ms;     /* of the last measurement of its pace, 0: none */
   int64_t run_ms;      /* start of the present run */
   int64_t ran_ms;      /* sum of the earlier runs */
-  struct wy_item *prev;
-  struct wy_item *next;
+  struct wy_queue_item *prev;
+  struct wy_queue_item *next;
 };
 
-struct wy_item_list
+struct wy_queue_item_list
 {
-  struct wy_item *head;
-  struct wy_item *tail;
+  struct wy_queue_item *head;
+  struct wy_queue_item *tail;
   uint32_t n;
 };
 
@@ -97,19 +97,19 @@
 {
   double worth;  /* 0: free slot */
   double served; /* tokens over worth */
-  struct wy_item_list waiting;
-  struct wy_item_list paused;
+  struct wy_queue_item_list waiting;
+  struct wy_queue_item_list paused;
 };
 
 struct wy_queue
 {
   struct wy_queue_options o;
-  struct wy_item_list callers;
-  struct wy_item_list suspects;
-  struct wy_item_list running_callers;
-  struct wy_item_list running_rollouts;
+  struct wy_queue_item_list callers;
+  struct wy_queue_item_list suspects;
+  struct wy_queue_item_list running_callers;
+  struct wy_queue_item_list running_rollouts;
   struct wy_queue_trainer trainer[WY_QUEUE_TRAINERS_MAX];
-  struct wy_item *alone; /* the suspect that runs now */
+  struct wy_queue_item *alone; /* the suspect that runs now */
   uint32_t rollouts_waiting;
   uint32_t rollouts_paused;
   uint64_t kv_used_tokens; /* running and paused */
@@ -124,9 +124,9 @@
   bool closing;
 };
 
-struct wy_verdict
+struct wy_admission
 {
-  enum wy_verdict_kind kind;
+  enum wy_admission_kind kind;
   enum wy_refusal reason;
   uint32_t retry_after_ms; /* refused: when to come back, 0: never */
 };
@@ -141,7 +141,7 @@
 struct wy_preempt
 {
   enum wy_preempt_kind kind;
-  struct wy_item *item;
+  struct wy_queue_item *item;
 };
 
 /* What a load report carries.  */
@@ -160,21 +160,23 @@
 
 void wy_queue_init (struct wy_queue *q, const struct wy_queue_options *o);
 int wy_queue_set_trainer (struct wy_queue *q, uint32_t slot, double worth);
-struct wy_verdict wy_queue_offer (struct wy_queue *q, struct wy_item *it,
-                                  int64_t now_ms);
-struct wy_item *wy_queue_next (struct wy_queue *q, int64_t now_ms);
+struct wy_admission wy_queue_offer (struct wy_queue *q,
+                                    struct wy_queue_item *it, int64_t now_ms);
+struct wy_queue_item *wy_queue_next (struct wy_queue *q, int64_t now_ms);
 struct wy_preempt wy_queue_preempt (struct wy_queue *q, int64_t now_ms);
-void wy_queue_progress (struct wy_queue *q, struct wy_item *it,
+void wy_queue_progress (struct wy_queue *q, struct wy_queue_item *it,
                         uint32_t tokens, int64_t now_ms);
-void wy_queue_done (struct wy_queue *q, struct wy_item *it, uint32_t tokens,
-                    int64_t now_ms);
-void wy_queue_cancel (struct wy_queue *q, struct wy_item *it, int64_t now_ms);
-struct wy_item *wy_queue_expire (struct wy_queue *q, int64_t now_ms);
-int64_t wy_queue_wake_ms (const struct wy_queue *q, int64_t now_ms);
+void wy_queue_done (struct wy_queue *q, struct wy_queue_item *it,
+                    uint32_t tokens, int64_t now_ms);
+void wy_queue_cancel (struct wy_queue *q, struct wy_queue_item *it,
+                      int64_t now_ms);
+struct wy_queue_item *wy_queue_expire (struct wy_queue *q, int64_t now_ms);
+int64_t wy_queue_next_wakeup_ms (const struct wy_queue *q, int64_t now_ms);
 void wy_queue_close (struct wy_queue *q);
 bool wy_queue_empty (const struct wy_queue *q);
-uint32_t wy_queue_wait_ms (const struct wy_queue *q, int64_t now_ms);
-uint32_t wy_queue_run_ms (const struct wy_queue *q, const struct wy_item *it);
+uint32_t wy_queue_expected_wait_ms (const struct wy_queue *q, int64_t now_ms);
+uint32_t wy_queue_expected_run_ms (const struct wy_queue *q,
+                                   const struct wy_queue_item *it);
 void wy_queue_load (const struct wy_queue *q, int64_t now_ms,
                     struct wy_queue_load *out);
 
--- a/src/decide/queue_estimate.c
+++ b/src/decide/queue_estimate.c
@@ -13,7 +13,8 @@
 
 /* Expected milliseconds of a run of IT, once started, from here on.  */
 uint32_t
-wy_queue_run_ms (const struct wy_queue *q, const struct wy_item *it)
+wy_queue_expected_run_ms (const struct wy_queue *q,
+                          const struct wy_queue_item *it)
 {
   uint32_t streams = q->running_callers.n + q->running_rollouts.n + 1;
   uint64_t us;
@@ -36,7 +37,7 @@
 /* Expected wait of a caller that arrives now.  Rollouts give way at once, so
    only callers count; the rate at which they leave is measured.  */
 uint32_t
-wy_queue_wait_ms (const struct wy_queue *q, int64_t now_ms)
+wy_queue_expected_wait_ms (const struct wy_queue *q, int64_t now_ms)
 {
   uint32_t before = q->callers.n + q->suspects.n;
   double each;
@@ -63,7 +64,7 @@
   out->kv_free_tokens = caller_kv < q->o.kv_tokens_max
                             ? (uint32_t)(q->o.kv_tokens_max - caller_kv)
                             : 0;
-  out->caller_wait_ms = wy_queue_wait_ms (q, now_ms);
+  out->caller_wait_ms = wy_queue_expected_wait_ms (q, now_ms);
   out->us_per_token
       = us_per_token (q, q->running_callers.n + q->running_rollouts.n);
   out->closing = q->closing;
--- a/src/decide/queue_rank.c
+++ b/src/decide/queue_order.c
@@ -1,5 +1,5 @@
 /* Order in which queued work starts, and who gives way.  */
-#include "decide/queue_rank.h"
+#include "decide/queue_order.h"
 
 #include <stddef.h>
 
@@ -12,8 +12,8 @@
    would never be empty for it.  */
 #define ALONE_WAIT_MS 2000
 
-static struct wy_item_list *
-waiting_list (struct wy_queue *q, const struct wy_item *it)
+static struct wy_queue_item_list *
+waiting_list (struct wy_queue *q, const struct wy_queue_item *it)
 {
   if (it->suspect)
     return &q->suspects;
@@ -23,19 +23,19 @@
 }
 
 static bool
-counts_as_rollout (const struct wy_item *it)
+counts_as_rollout (const struct wy_queue_item *it)
 {
   return it->work_class == WY_CLASS_ROLLOUT && !it->suspect;
 }
 
 /* Put IT among the waiting.  */
 void
-wy_queue_enqueue (struct wy_queue *q, struct wy_item *it)
+wy_queue_enqueue (struct wy_queue *q, struct wy_queue_item *it)
 {
   struct wy_queue_trainer *t;
 
-  it->state = WY_ITEM_WAITING;
-  wy_item_push (waiting_list (q, it), it);
+  it->state = WY_QUEUE_ITEM_WAITING;
+  wy_queue_item_push (waiting_list (q, it), it);
   if (it->start_by_ms < q->expire_ms && it->work_class != WY_CLASS_ROLLOUT)
     q->expire_ms = it->start_by_ms;
   if (!counts_as_rollout (it))
@@ -52,9 +52,9 @@
 
 /* Take IT from among the waiting.  */
 void
-wy_queue_dequeue (struct wy_queue *q, struct wy_item *it)
+wy_queue_dequeue (struct wy_queue *q, struct wy_queue_item *it)
 {
-  wy_item_unlink (waiting_list (q, it), it);
+  wy_queue_item_unlink (waiting_list (q, it), it);
   if (counts_as_rollout (it))
     q->rollouts_waiting--;
 }
@@ -81,14 +81,14 @@
 }
 
 static bool
-fits (const struct wy_queue *q, const struct wy_item *it)
+fits (const struct wy_queue *q, const struct wy_queue_item *it)
 {
-  uint32_t more = it->state == WY_ITEM_PAUSED ? 0 : it->kv_tokens;
+  uint32_t more = it->state == WY_QUEUE_ITEM_PAUSED ? 0 : it->kv_tokens;
 
   return q->kv_used_tokens + more <= q->o.kv_tokens_max;
 }
 
-static struct wy_item *
+static struct wy_queue_item *
 first_of (const struct wy_queue_trainer *t)
 {
   return t->paused.head ? t->paused.head : t->waiting.head;
@@ -96,7 +96,7 @@
 
 /* The rollout whose turn it is: that of the trainer served least for its
    worth; among its own, paused ones first, which hold memory.  */
-static struct wy_item *
+static struct wy_queue_item *
 next_rollout (const struct wy_queue *q)
 {
   const struct wy_queue_trainer *best = NULL;
@@ -114,13 +114,13 @@
 }
 
 static void
-start (struct wy_queue *q, struct wy_item *it, int64_t now_ms)
+start (struct wy_queue *q, struct wy_queue_item *it, int64_t now_ms)
 {
   bool rollout = it->work_class == WY_CLASS_ROLLOUT;
 
-  if (it->state == WY_ITEM_PAUSED)
+  if (it->state == WY_QUEUE_ITEM_PAUSED)
     {
-      wy_item_unlink (&q->trainer[it->trainer].paused, it);
+      wy_queue_item_unlink (&q->trainer[it->trainer].paused, it);
       q->rollouts_paused--;
       q->kv_paused_tokens -= it->kv_tokens;
     }
@@ -133,8 +133,9 @@
     q->served_floor = q->trainer[it->trainer].served;
   if (it->suspect)
     q->alone = it;
-  wy_item_push (rollout ? &q->running_rollouts : &q->running_callers, it);
-  it->state = WY_ITEM_RUNNING;
+  wy_queue_item_push (rollout ? &q->running_rollouts : &q->running_callers,
+                      it);
+  it->state = WY_QUEUE_ITEM_RUNNING;
   it->run_ms = now_ms;
   it->seen_ms = 0;
 }
@@ -147,24 +148,25 @@
 }
 
 static bool
-rollout_may_start (const struct wy_queue *q, const struct wy_item *it,
+rollout_may_start (const struct wy_queue *q, const struct wy_queue_item *it,
                    int64_t now_ms)
 {
   return it && running (q) < rollout_cap (q, now_ms) && fits (q, it);
 }
 
 static bool
-aged_turn (const struct wy_queue *q, const struct wy_item *it, int64_t now_ms)
+aged_turn (const struct wy_queue *q, const struct wy_queue_item *it,
+           int64_t now_ms)
 {
   return it && q->starts_since_aged >= AGED_EVERY
          && now_ms - it->arrived_ms >= (int64_t)q->o.ageing_ms;
 }
 
 /* The item that may start now, left where it is; NULL when there is none.  */
-static struct wy_item *
+static struct wy_queue_item *
 candidate (const struct wy_queue *q, int64_t now_ms)
 {
-  struct wy_item *r = next_rollout (q);
+  struct wy_queue_item *r = next_rollout (q);
 
   if (q->alone)
     return NULL;
@@ -182,7 +184,7 @@
 }
 
 static void
-count_start (struct wy_queue *q, const struct wy_item *it)
+count_start (struct wy_queue *q, const struct wy_queue_item *it)
 {
   if (it->work_class == WY_CLASS_ROLLOUT)
     q->starts_since_aged = 0;
@@ -193,10 +195,10 @@
 /* The next item to start, or to resume when its `started' was set before the
    call returned it earlier; it runs from now on.  NULL when nothing may
    start.  */
-struct wy_item *
+struct wy_queue_item *
 wy_queue_next (struct wy_queue *q, int64_t now_ms)
 {
-  struct wy_item *it = candidate (q, now_ms);
+  struct wy_queue_item *it = candidate (q, now_ms);
 
   if (!it)
     return NULL;
@@ -207,7 +209,7 @@
 
 /* Start IT, just queued, if it is the one whose turn it is.  */
 void
-wy_queue_start_if_first (struct wy_queue *q, struct wy_item *it,
+wy_queue_start_if_first (struct wy_queue *q, struct wy_queue_item *it,
                          int64_t now_ms)
 {
   if (!it || candidate (q, now_ms) != it)
@@ -219,16 +221,16 @@
 static struct wy_preempt
 pause_last (struct wy_queue *q, int64_t now_ms)
 {
-  struct wy_item *it = q->running_rollouts.tail;
+  struct wy_queue_item *it = q->running_rollouts.tail;
   struct wy_preempt p = { it ? WY_PREEMPT_PAUSE : WY_PREEMPT_NONE, it };
 
   if (!it)
     return p;
-  wy_item_unlink (&q->running_rollouts, it);
+  wy_queue_item_unlink (&q->running_rollouts, it);
   it->ran_ms += now_ms - it->run_ms;
   it->started = true;
-  it->state = WY_ITEM_PAUSED;
-  wy_item_push_front (&q->trainer[it->trainer].paused, it);
+  it->state = WY_QUEUE_ITEM_PAUSED;
+  wy_queue_item_push_front (&q->trainer[it->trainer].paused, it);
   q->rollouts_paused++;
   q->kv_paused_tokens += it->kv_tokens;
   return p;
@@ -248,13 +250,13 @@
     return p;
   p.kind = WY_PREEMPT_EVICT;
   p.item = most->paused.tail;
-  wy_item_unlink (&most->paused, p.item);
+  wy_queue_item_unlink (&most->paused, p.item);
   q->rollouts_paused--;
   q->kv_used_tokens -= p.item->kv_tokens;
   q->kv_paused_tokens -= p.item->kv_tokens;
   p.item->evicted = true;
-  p.item->state = WY_ITEM_WAITING;
-  wy_item_push_front (&most->waiting, p.item);
+  p.item->state = WY_QUEUE_ITEM_WAITING;
+  wy_queue_item_push_front (&most->waiting, p.item);
   q->rollouts_waiting++;
   return p;
 }
@@ -267,7 +269,7 @@
 wy_queue_preempt (struct wy_queue *q, int64_t now_ms)
 {
   struct wy_preempt none = { WY_PREEMPT_NONE, NULL };
-  const struct wy_item *head = q->callers.head;
+  const struct wy_queue_item *head = q->callers.head;
   bool alone = suspect_due (q, now_ms) && !q->alone;
 
   if (q->alone)
--- a/src/decide/headway.c
+++ b/src/decide/run_progress.c
@@ -4,7 +4,7 @@
    events each, while a fifth of the targets turn several times slower for some
    seconds, load weights, or go dark.  A run that stays there for long ends
    last and holds up its whole step.  */
-#include "decide/headway.h"
+#include "decide/run_progress.h"
 
 #include <glib.h>
 
@@ -28,19 +28,20 @@
 static const double slow_factor = 1.7;
 
 /* How the run of O gets on; sound, while the usual time is not known.  */
-enum wy_headway
-wy_headway_of (const struct wy_headway_options *o)
+enum wy_run_progress
+wy_run_progress_assess (const struct wy_run_progress_options *o)
 {
   double stall_ms
-      = o->n_events
-            ? MAX (STALL_EVENTS * o->typical_ms, STALL_MIN_MS)
-            : MAX (FIRST_STALL_EVENTS * o->typical_ms, FIRST_STALL_MIN_MS);
+      = o->n_events ? MAX (STALL_EVENTS * o->typical_event_ms, STALL_MIN_MS)
+                    : MAX (FIRST_STALL_EVENTS * o->typical_event_ms,
+                           FIRST_STALL_MIN_MS);
 
-  if (o->typical_ms <= 0)
-    return WY_HEADWAY_SOUND;
+  if (o->typical_event_ms <= 0)
+    return WY_RUN_PROGRESS_NORMAL;
   if ((double)o->silent_ms > stall_ms)
-    return WY_HEADWAY_STALLED;
-  return MIN (o->event_ms, o->event_before_ms) > slow_factor * o->typical_ms
-             ? WY_HEADWAY_SLOW
-             : WY_HEADWAY_SOUND;
+    return WY_RUN_PROGRESS_STALLED;
+  return MIN (o->last_event_ms, o->previous_event_ms)
+                 > slow_factor * o->typical_event_ms
+             ? WY_RUN_PROGRESS_SLOW
+             : WY_RUN_PROGRESS_NORMAL;
 }
--- a/src/decide/scaling.c
+++ b/src/decide/scaling.c
@@ -24,7 +24,7 @@
 static uint32_t
 wanted (const struct wy_scaling_load *l)
 {
-  double n = l->slots ? ceil (l->busy / (l->slots * target_use)) : 0;
+  double n = l->slots ? ceil (l->busy_slots / (l->slots * target_use)) : 0;
 
   return CLAMP ((uint32_t)n, l->minimum, MAX (l->minimum, l->maximum));
 }
@@ -39,7 +39,7 @@
 
   s->desired
       = CLAMP (s->desired, load->minimum, MAX (load->minimum, load->maximum));
-  if (n >= s->desired || !load->complete)
+  if (n >= s->desired || !load->all_reported)
     {
       s->desired = MAX (s->desired, n);
       s->is_low = false;
--- a/src/decide/scaling.h
+++ b/src/decide/scaling.h
@@ -10,10 +10,10 @@
 {
   uint32_t minimum; /* bounds of the answer */
   uint32_t maximum;
-  uint32_t boot_ms; /* from the order to the first request served */
-  uint32_t slots;   /* of one replica */
-  double busy;      /* slots in use, averaged over a second or so */
-  bool complete;    /* all who send requests have told */
+  uint32_t boot_ms;  /* from the order to the first request served */
+  uint32_t slots;    /* of one replica */
+  double busy_slots; /* slots in use, averaged over a second or so */
+  bool all_reported; /* all who send requests have told */
 };
 
 /* The decision so far; desired is to be set to the replicas that there are. */
--- a/src/decide/scoring.c
+++ b/src/decide/scoring.c
@@ -30,8 +30,8 @@
    that lacks least comes first; at the deadline more of them are whole than if
    all were in progress.  */
 bool
-wy_scoring_goes_first (const struct wy_scoring_turn *a,
-                       const struct wy_scoring_turn *b)
+wy_scoring_precedes (const struct wy_scoring_candidate *a,
+                     const struct wy_scoring_candidate *b)
 {
   if (a->group_missing != b->group_missing)
     return a->group_missing < b->group_missing;
@@ -42,7 +42,7 @@
    usual (1 or less: not known) and the route promises TARGET_LATENCY_MS (0:
    nothing).  */
 int64_t
-wy_scoring_second_ms (double typical_ms, uint32_t target_latency_ms)
+wy_scoring_hedge_delay_ms (double typical_ms, uint32_t target_latency_ms)
 {
   double ms = second_factor * typical_ms;
 
@@ -53,14 +53,14 @@
 
 /* Targets slower than this get no call; 0: any may.  */
 double
-wy_scoring_pace_limit_ms (double typical_ms)
+wy_scoring_latency_limit_ms (double typical_ms)
 {
   return typical_ms <= 1 ? 0 : slow_factor * typical_ms;
 }
 
 /* Pause before the next call when BROKEN in a row brought nothing.  */
 int64_t
-wy_scoring_pause_ms (uint32_t broken)
+wy_scoring_backoff_ms (uint32_t broken)
 {
   uint32_t n = broken < PAUSE_DOUBLINGS_MAX ? broken : PAUSE_DOUBLINGS_MAX;
 
--- a/src/decide/scoring.h
+++ b/src/decide/scoring.h
@@ -10,20 +10,21 @@
   /* Slots of each target that calls for scores leave to people.  Their entries
      do not know which target has a free one, so each needs it.  More do not
      help them: what they leave is not used, and steps end later.  */
-  WY_SCORING_SLOTS_LEFT = 1
+  WY_SCORING_RESERVED_SLOTS = 1
 };
 
 /* A text that waits for its score.  */
-struct wy_scoring_turn
+struct wy_scoring_candidate
 {
   uint32_t group_missing; /* items of its group without a result */
   int64_t since_ms;
 };
 
-bool wy_scoring_goes_first (const struct wy_scoring_turn *a,
-                            const struct wy_scoring_turn *b);
-int64_t wy_scoring_second_ms (double typical_ms, uint32_t target_latency_ms);
-double wy_scoring_pace_limit_ms (double typical_ms);
-int64_t wy_scoring_pause_ms (uint32_t broken);
+bool wy_scoring_precedes (const struct wy_scoring_candidate *a,
+                          const struct wy_scoring_candidate *b);
+int64_t wy_scoring_hedge_delay_ms (double typical_ms,
+                                   uint32_t target_latency_ms);
+double wy_scoring_latency_limit_ms (double typical_ms);
+int64_t wy_scoring_backoff_ms (uint32_t broken);
 
 #endif
--- a/src/decide/steps.c
+++ b/src/decide/steps.c
@@ -74,7 +74,7 @@
 
 /* Sample numbers are below this.  */
 uint32_t
-wy_step_slots (const struct wy_step *s)
+wy_step_samples_max (const struct wy_step *s)
 {
   return s->o.groups * s->per_group;
 }
@@ -82,7 +82,7 @@
 struct wy_step_sample *
 wy_step_at (struct wy_step *s, uint32_t sample)
 {
-  if (sample >= wy_step_slots (s))
+  if (sample >= wy_step_samples_max (s))
     return NULL;
   return &s->sample[sample];
 }
@@ -141,7 +141,7 @@
 }
 
 /* SAMPLE ended; its oldest segment is of OLDEST_VERSION.  */
-enum wy_sample_verdict
+enum wy_step_verdict
 wy_step_done (struct wy_step *s, uint32_t sample, uint64_t oldest_version,
               uint32_t tokens)
 {
@@ -149,25 +149,25 @@
   struct wy_step_group *g;
 
   if (!m || m->state != WY_SAMPLE_RUNNING)
-    return WY_SAMPLE_SURPLUS;
+    return WY_STEP_VERDICT_SURPLUS;
   g = &s->group[wy_step_group_of (s, sample)];
   m->tokens = tokens;
   m->oldest_version = oldest_version;
   if (!wy_sample_eligible (oldest_version, s->o.version, s->o.staleness_max))
     {
       drop (s, sample);
-      return WY_SAMPLE_STALE;
+      return WY_STEP_VERDICT_STALE;
     }
   if (g->accepted >= s->o.group_samples)
     {
       drop (s, sample);
-      return WY_SAMPLE_SURPLUS;
+      return WY_STEP_VERDICT_SURPLUS;
     }
   m->state = WY_SAMPLE_ACCEPTED;
   stops_running (g, m);
   g->accepted++;
   s->accepted++;
-  return WY_SAMPLE_TAKE;
+  return WY_STEP_VERDICT_ACCEPT;
 }
 
 /* SAMPLE was lost or can't be proven; another is issued in its place.  */
@@ -192,7 +192,7 @@
 
 /* Whether every group has its samples.  */
 bool
-wy_step_whole (const struct wy_step *s)
+wy_step_is_complete (const struct wy_step *s)
 {
   return s->accepted == s->o.groups * s->o.group_samples;
 }
@@ -210,7 +210,7 @@
 {
   uint32_t n = 0;
 
-  for (uint32_t i = 0; i < wy_step_slots (s) && n < out_max; i++)
+  for (uint32_t i = 0; i < wy_step_samples_max (s) && n < out_max; i++)
     if (s->sample[i].state == WY_SAMPLE_ACCEPTED)
       out[n++] = i;
   return n;
@@ -230,12 +230,12 @@
 /* The trainer takes the batch at TRAINER_VERSION: drop the accepted samples
    that are too old for it; how many.  They are issued anew.  */
 uint32_t
-wy_step_recheck (struct wy_step *s, uint64_t trainer_version)
+wy_step_drop_stale (struct wy_step *s, uint64_t trainer_version)
 {
   uint32_t n = 0;
 
   s->o.version = trainer_version;
-  for (uint32_t i = 0; i < wy_step_slots (s); i++)
+  for (uint32_t i = 0; i < wy_step_samples_max (s); i++)
     {
       struct wy_step_sample *m = &s->sample[i];
 
--- a/src/decide/steps.h
+++ b/src/decide/steps.h
@@ -16,11 +16,11 @@
   WY_SAMPLE_DROPPED, /* stale, surplus or given up */
 };
 
-enum wy_sample_verdict
+enum wy_step_verdict
 {
-  WY_SAMPLE_TAKE,
-  WY_SAMPLE_STALE,   /* older than the bound; the place is open again */
-  WY_SAMPLE_SURPLUS, /* its group is whole without it */
+  WY_STEP_VERDICT_ACCEPT,
+  WY_STEP_VERDICT_STALE,   /* older than the bound; the place is open again */
+  WY_STEP_VERDICT_SURPLUS, /* its group is whole without it */
 };
 
 /* Pace of a sample that waits or is paused.  */
@@ -36,7 +36,7 @@
 
 /* The one set of knobs of a yard.  Only the proportion of the weights
    counts.  */
-struct wy_yard_weights
+struct wy_step_cost_weights
 {
   double staleness;
   double idle;
@@ -49,11 +49,11 @@
   uint32_t groups;
   uint32_t group_samples; /* that make a group whole */
   uint32_t staleness_max; /* versions */
-  struct wy_yard_weights weights;
+  struct wy_step_cost_weights weights;
 };
 
 /* What the yard knows at the time of a decision.  */
-struct wy_step_now
+struct wy_step_inputs
 {
   int64_t now_ms;
   uint64_t version;        /* that engines generate with */
@@ -62,12 +62,12 @@
   uint32_t us_per_token;      /* that a new stream would see */
   uint32_t best_us_per_token; /* on the emptiest replica */
   uint32_t free_streams;
-  bool spare; /* they would stay empty: over-issue is welcome */
+  bool may_over_issue; /* they would stay empty: over-issue is welcome */
 };
 
-struct wy_issue
+struct wy_step_issuance
 {
-  bool any;
+  bool is_issued;
   bool extra; /* over-issued */
   uint32_t group;
   uint32_t sample;
@@ -88,25 +88,25 @@
 void wy_step_free (struct wy_step *s);
 void wy_step_predict (struct wy_step *s, uint32_t group,
                       uint32_t predicted_tokens);
-struct wy_issue wy_step_issue (struct wy_step *s,
-                               const struct wy_step_now *now);
+struct wy_step_issuance wy_step_issue (struct wy_step *s,
+                                       const struct wy_step_inputs *now);
 void wy_step_progress (struct wy_step *s, uint32_t sample, uint32_t tokens,
                        uint32_t us_per_token);
-enum wy_sample_verdict wy_step_done (struct wy_step *s, uint32_t sample,
-                                     uint64_t oldest_version, uint32_t tokens);
+enum wy_step_verdict wy_step_done (struct wy_step *s, uint32_t sample,
+                                   uint64_t oldest_version, uint32_t tokens);
 void wy_step_failed (struct wy_step *s, uint32_t sample);
 struct wy_straggler wy_step_straggler (struct wy_step *s,
-                                       const struct wy_step_now *now);
+                                       const struct wy_step_inputs *now);
 void wy_step_moved (struct wy_step *s, uint32_t sample);
-bool wy_step_whole (const struct wy_step *s);
+bool wy_step_is_complete (const struct wy_step *s);
 uint32_t wy_step_batch (const struct wy_step *s, uint32_t *out,
                         uint32_t out_max);
 uint32_t wy_step_group_of (const struct wy_step *s, uint32_t sample);
-uint32_t wy_step_slots (const struct wy_step *s);
+uint32_t wy_step_samples_max (const struct wy_step *s);
 uint32_t wy_step_accepted (const struct wy_step *s);
 uint32_t wy_step_ahead_max (const struct wy_step_options *o, uint64_t ahead);
 bool wy_sample_eligible (uint64_t oldest_version, uint64_t trainer_version,
                          uint32_t staleness_max);
-uint32_t wy_step_recheck (struct wy_step *s, uint64_t trainer_version);
+uint32_t wy_step_drop_stale (struct wy_step *s, uint64_t trainer_version);
 
 #endif
--- a/src/decide/steps_issue.c
+++ b/src/decide/steps_issue.c
@@ -58,7 +58,7 @@
 }
 
 static bool
-may_go_ahead (const struct wy_step *s, const struct wy_step_now *now)
+may_go_ahead (const struct wy_step *s, const struct wy_step_inputs *now)
 {
   if (now->version >= s->o.version)
     return true;
@@ -69,7 +69,7 @@
    can't is work thrown away, and its streams are missing elsewhere.  */
 static bool
 ends_within_bound (const struct wy_step *s, const struct wy_step_group *g,
-                   const struct wy_step_now *now)
+                   const struct wy_step_inputs *now)
 {
   uint64_t at_end = now->version;
   int64_t end_ms
@@ -94,12 +94,12 @@
   return have < s->o.group_samples ? s->o.group_samples - have : 0;
 }
 
-static struct wy_issue
+static struct wy_step_issuance
 issue (struct wy_step *s, uint32_t group, bool extra,
-       const struct wy_step_now *now)
+       const struct wy_step_inputs *now)
 {
   struct wy_step_group *g = &s->group[group];
-  struct wy_issue r = { true, extra, group, 0 };
+  struct wy_step_issuance r = { true, extra, group, 0 };
   struct wy_step_sample *m;
 
   r.sample = group * s->per_group + g->issued;
@@ -119,7 +119,7 @@
 
 static bool
 may_issue (const struct wy_step *s, uint32_t group,
-           const struct wy_step_now *now)
+           const struct wy_step_inputs *now)
 {
   const struct wy_step_group *g = &s->group[group];
 
@@ -132,10 +132,10 @@
   return (s->o.group_samples + EXTRA_SHARE - 1) / EXTRA_SHARE;
 }
 
-static struct wy_issue
-issue_extra (struct wy_step *s, const struct wy_step_now *now)
+static struct wy_step_issuance
+issue_extra (struct wy_step *s, const struct wy_step_inputs *now)
 {
-  struct wy_issue none = { 0 };
+  struct wy_step_issuance none = { 0 };
 
   for (uint32_t i = 0; i < s->o.groups; i++)
     {
@@ -152,10 +152,10 @@
 
 /* The next sample to start, if any should start now.  Call it while streams
    are free.  */
-struct wy_issue
-wy_step_issue (struct wy_step *s, const struct wy_step_now *now)
+struct wy_step_issuance
+wy_step_issue (struct wy_step *s, const struct wy_step_inputs *now)
 {
-  struct wy_issue none = { 0 };
+  struct wy_step_issuance none = { 0 };
 
   s->due = now->version >= s->o.version;
   if (now->free_streams == 0)
@@ -171,11 +171,12 @@
     if (lacking (s, &s->group[s->order[i]]) > 0
         && may_issue (s, s->order[i], now))
       return issue (s, s->order[i], false, now);
-  return now->spare ? issue_extra (s, now) : none;
+  return now->may_over_issue ? issue_extra (s, now) : none;
 }
 
 static enum wy_straggler_action
-judge (const struct wy_step *s, uint32_t sample, const struct wy_step_now *now)
+judge (const struct wy_step *s, uint32_t sample,
+       const struct wy_step_inputs *now)
 {
   const struct wy_step_sample *m = &s->sample[sample];
   const struct wy_step_group *g = &s->group[wy_step_group_of (s, sample)];
@@ -197,11 +198,11 @@
    by wy_step_moved.  Call until it says none, which ends one pass over all
    samples.  */
 struct wy_straggler
-wy_step_straggler (struct wy_step *s, const struct wy_step_now *now)
+wy_step_straggler (struct wy_step *s, const struct wy_step_inputs *now)
 {
   struct wy_straggler r = { WY_STRAGGLER_NONE, 0 };
 
-  while (s->scan < wy_step_slots (s))
+  while (s->scan < wy_step_samples_max (s))
     {
       uint32_t i = s->scan++;
 
--- a/src/decide/suspect.c
+++ b/src/decide/suspect.c
@@ -90,8 +90,8 @@
 /* TARGET crashed while the request of FINGERPRINT ran on it, one of RUNNING
    requests.  */
 void
-wy_suspects_crashed (struct wy_suspects *s, uint64_t fingerprint,
-                     uint64_t target, uint32_t running, int64_t now_ms)
+wy_suspects_record_crash (struct wy_suspects *s, uint64_t fingerprint,
+                          uint64_t target, uint32_t running, int64_t now_ms)
 {
   struct wy_suspect *e = find (s, fingerprint, now_ms);
 
@@ -101,7 +101,7 @@
       e->fingerprint = fingerprint;
     }
   add_target (e, target);
-  e->learnt = false;
+  e->is_remote = false;
   if (running == 1)
     e->alone_crashes++;
   e->seen_ms = now_ms;
@@ -109,7 +109,7 @@
 
 /* The request of FINGERPRINT ended in good order; it is no suspect.  */
 void
-wy_suspects_cleared (struct wy_suspects *s, uint64_t fingerprint)
+wy_suspects_clear (struct wy_suspects *s, uint64_t fingerprint)
 {
   for (uint32_t i = 0; i < WY_SUSPECTS_MAX && s->n > 0; i++)
     if (s->slot[i].fingerprint == fingerprint)
@@ -127,10 +127,10 @@
   const struct wy_suspect *e = find (s, fingerprint, now_ms);
 
   if (!e)
-    return WY_SUSPICION_CLEAR;
+    return WY_SUSPICION_NONE;
   if (e->crashes >= WY_SUSPECT_CRASHES_MAX)
     return WY_SUSPICION_REFUSE;
-  return WY_SUSPICION_ALONE;
+  return WY_SUSPICION_ISOLATE;
 }
 
 /* Take in what another entry knows.  What this one saw itself is not kept
@@ -147,12 +147,12 @@
     {
       e = claim (s);
       e->fingerprint = other->fingerprint;
-      e->learnt = true;
+      e->is_remote = true;
     }
   for (uint32_t i = 0; i < other->crashes; i++)
     add_target (e, other->target[i]);
   if (other->alone_crashes > e->alone_crashes)
     e->alone_crashes = other->alone_crashes;
-  if (e->learnt)
+  if (e->is_remote)
     e->seen_ms = now_ms;
 }
--- a/src/decide/suspect.h
+++ b/src/decide/suspect.h
@@ -10,9 +10,9 @@
 
 enum wy_suspicion
 {
-  WY_SUSPICION_CLEAR,
-  WY_SUSPICION_ALONE,  /* run with nothing beside it */
-  WY_SUSPICION_REFUSE, /* two targets crashed under it */
+  WY_SUSPICION_NONE,
+  WY_SUSPICION_ISOLATE, /* run with nothing beside it */
+  WY_SUSPICION_REFUSE,  /* two targets crashed under it */
 };
 
 struct wy_suspect
@@ -22,7 +22,7 @@
   uint32_t crashes; /* of different targets */
   uint32_t alone_crashes;
   int64_t seen_ms;
-  bool learnt; /* from another entry alone */
+  bool is_remote; /* from another entry alone */
 };
 
 struct wy_suspects
@@ -34,9 +34,10 @@
 uint64_t wy_fingerprint (const char *key, const void *body,
                          uint64_t size_bytes);
 void wy_suspects_init (struct wy_suspects *s);
-void wy_suspects_crashed (struct wy_suspects *s, uint64_t fingerprint,
-                          uint64_t target, uint32_t running, int64_t now_ms);
-void wy_suspects_cleared (struct wy_suspects *s, uint64_t fingerprint);
+void wy_suspects_record_crash (struct wy_suspects *s, uint64_t fingerprint,
+                               uint64_t target, uint32_t running,
+                               int64_t now_ms);
+void wy_suspects_clear (struct wy_suspects *s, uint64_t fingerprint);
 enum wy_suspicion wy_suspects_check (struct wy_suspects *s,
                                      uint64_t fingerprint, int64_t now_ms);
 void wy_suspects_merge (struct wy_suspects *s, const struct wy_suspect *other,
--- a/src/decide/waves.c
+++ b/src/decide/waves.c
@@ -89,8 +89,8 @@
 
 /* Start P at BYTES_PER_S with BURST_BYTES saved.  */
 void
-wy_pace_init (struct wy_pace *p, uint64_t bytes_per_s, uint64_t burst_bytes,
-              int64_t now_ms)
+wy_token_bucket_init (struct wy_token_bucket *p, uint64_t bytes_per_s,
+                      uint64_t burst_bytes, int64_t now_ms)
 {
   p->bytes_per_s = bytes_per_s;
   p->burst_bytes = burst_bytes;
@@ -102,7 +102,8 @@
    read now, else the milliseconds to wait, with nothing taken.  A size over
    the burst goes through when the budget is full, and leaves a debt.  */
 uint32_t
-wy_pace_take (struct wy_pace *p, uint64_t size_bytes, int64_t now_ms)
+wy_token_bucket_take (struct wy_token_bucket *p, uint64_t size_bytes,
+                      int64_t now_ms)
 {
   double need
       = (double)(size_bytes < p->burst_bytes ? size_bytes : p->burst_bytes);
--- a/src/decide/waves.h
+++ b/src/decide/waves.h
@@ -24,7 +24,7 @@
   double load_share;  /* callers' load over all replicas' capacity */
 };
 
-struct wy_pace
+struct wy_token_bucket
 {
   uint64_t bytes_per_s;
   uint64_t burst_bytes;
@@ -36,9 +36,10 @@
 uint32_t wy_wave_next (const struct wy_wave_options *o,
                        const struct wy_wave_replica *r, uint32_t n,
                        uint32_t swapping, uint32_t *out, uint32_t out_max);
-void wy_pace_init (struct wy_pace *p, uint64_t bytes_per_s,
-                   uint64_t burst_bytes, int64_t now_ms);
-uint32_t wy_pace_take (struct wy_pace *p, uint64_t size_bytes, int64_t now_ms);
+void wy_token_bucket_init (struct wy_token_bucket *p, uint64_t bytes_per_s,
+                           uint64_t burst_bytes, int64_t now_ms);
+uint32_t wy_token_bucket_take (struct wy_token_bucket *p, uint64_t size_bytes,
+                               int64_t now_ms);
 int32_t wy_relay_parent (uint32_t i, uint32_t fan_out, uint32_t roots);
 uint32_t wy_relay_children (uint32_t i, uint32_t fan_out, uint32_t roots,
                             uint32_t n, uint32_t *first);
--- a/src/decide/load_turn.c
+++ b/src/decide/weight_loading.c
@@ -6,7 +6,7 @@
    so that loading every version on every replica falls behind for good, and
    a replica that loads runs nothing.  Each replica knows its turn from its
    place in the list alone, with nobody to coordinate them.  */
-#include "decide/load_turn.h"
+#include "decide/weight_loading.h"
 
 #include <glib.h>
 
@@ -32,7 +32,7 @@
    few of the versions a larger one, so that models can use each other's idle
    slots.  More than this and loads would queue at the store of weights.  */
 static uint32_t
-group_size (const struct wy_load_turn_options *o, uint32_t models,
+group_size (const struct wy_weight_loading_options *o, uint32_t models,
             uint32_t period)
 {
   uint32_t share = (o->replicas + models - 1) / models;
@@ -48,10 +48,10 @@
    lag of one, half of the replicas load the even versions and half the odd
    ones, and the half that does not load serves a step from the moment it is
    asked for.  */
-struct wy_load_turn
-wy_load_turn (const struct wy_load_turn_options *o)
+struct wy_weight_loading
+wy_weight_loading (const struct wy_weight_loading_options *o)
 {
-  struct wy_load_turn t = { 0 };
+  struct wy_weight_loading t = { 0 };
   uint32_t models = o->models ? o->models : 1;
   uint32_t period = o->lag + 1;
   uint32_t group = group_size (o, models, period);
--- a/src/decide/work.h
+++ b/src/decide/work_class.h
@@ -1,6 +1,6 @@
 /* Kinds of work that the decisions tell apart.  */
-#ifndef WY_DECIDE_WORK_H
-#define WY_DECIDE_WORK_H
+#ifndef WY_DECIDE_WORK_CLASS_H
+#define WY_DECIDE_WORK_CLASS_H
 
 /* Streams on an engine beside which a caller still gets its tokens at an
    acceptable pace: (8 + 0.25 * 9) ms a token are 1.22 times what it gets
--- a/src/duties/calls.c
+++ b/src/duties/calls.c
@@ -11,7 +11,7 @@
 #include <glib.h>
 
 #include "platform/replica_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -78,7 +78,7 @@
 void
 wy_duty_calls_free (struct wy_duty_calls *c)
 {
-  c->o.duties = NULL;
+  c->o.election = NULL;
 }
 
 static void
@@ -101,10 +101,10 @@
     c->unreached_since_ms = 0;
   else if (!c->unreached_since_ms)
     c->unreached_since_ms = now_ms;
-  else if (now_ms - c->unreached_since_ms >= UNREACHED_MS && c->o.duties)
+  else if (now_ms - c->unreached_since_ms >= UNREACHED_MS && c->o.election)
     {
       c->unreached_since_ms = 0;
-      wy_duty_holder_give_up (c->o.duties, PAUSE_MS, "platform_unreached");
+      wy_election_resign (c->o.election, PAUSE_MS, "platform_unreached");
     }
 }
 
@@ -113,12 +113,12 @@
 {
   struct wy_duty_calls *c = k->calls;
 
-  wy_note ("duties.called",
-           "target=%s outcome=%s status=%d generation=%lld ms=%lld", k->target,
-           wy_duty_outcome_name (outcome), k->status,
-           c->o.duties ? (long long)wy_duty_holder_generation (c->o.duties)
-                       : 0LL,
-           (long long)(wy_clock_mono_ms (c->o.clock) - k->started_ms));
+  wy_json_log (
+      "duties.called",
+      "target=%s outcome=%s status=%d generation=%lld ms=%lld", k->target,
+      wy_duty_outcome_name (outcome), k->status,
+      c->o.election ? (long long)wy_election_generation (c->o.election) : 0LL,
+      (long long)(wy_clock_mono_ms (c->o.clock) - k->started_ms));
   k->call = NULL;
   g_ptr_array_remove_fast (c->active, k);
   judge_path (c, outcome);
@@ -127,7 +127,7 @@
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *a)
+on_head (void *ctx, const struct wy_h1_response *a)
 {
   ((struct call *)ctx)->status = a->status;
 }
@@ -144,15 +144,15 @@
   enum wy_duty_outcome outcome = WY_DUTY_UNREACHED;
 
   if (k->status)
-    switch (wy_duty_answer_of (k->status))
+    switch (wy_duty_response_from_status (k->status))
       {
-      case WY_DUTY_ANSWER_DONE:
+      case WY_DUTY_RESPONSE_DONE:
         outcome = err ? WY_DUTY_UNREACHED : WY_DUTY_DONE;
         break;
-      case WY_DUTY_ANSWER_BUSY:
+      case WY_DUTY_RESPONSE_RETRY:
         outcome = WY_DUTY_BUSY;
         break;
-      case WY_DUTY_ANSWER_REJECTED:
+      case WY_DUTY_RESPONSE_REJECTED:
         outcome = WY_DUTY_REJECTED;
         break;
       }
@@ -190,24 +190,25 @@
                                int status),
               void *ctx)
 {
-  struct wy_duty_sender who
+  struct wy_duty_caller who
       = { .host = c->o.address,
           .holder = c->o.node,
-          .generation = wy_duty_holder_generation (c->o.duties) };
-  struct wy_h1_pair fields[WY_DUTY_FIELDS];
-  struct wy_h1_call_options o = { .address = c->address,
-                                  .method = "POST",
-                                  .target = target,
-                                  .fields = fields,
-                                  .n_fields = wy_duty_fields (&who, fields),
-                                  .body = body,
-                                  .body_size_bytes = n,
-                                  .has_body = true,
-                                  .fresh = true,
-                                  .on_head = on_head,
-                                  .on_data = on_data,
-                                  .on_end = on_end };
-  int64_t left_ms = wy_duty_holder_left_ms (c->o.duties);
+          .generation = wy_election_generation (c->o.election) };
+  struct wy_h1_header fields[WY_DUTY_FIELDS];
+  struct wy_h1_call_options o
+      = { .address = c->address,
+          .method = "POST",
+          .target = target,
+          .fields = fields,
+          .n_fields = wy_duty_header_fields (&who, fields),
+          .body = body,
+          .body_size_bytes = n,
+          .has_body = true,
+          .new_connection = true,
+          .on_head = on_head,
+          .on_data = on_data,
+          .on_end = on_end };
+  int64_t left_ms = wy_election_remaining_ms (c->o.election);
   struct call *k;
 
   if (left_ms < LEFT_MIN_MS)
--- a/src/duties/calls.h
+++ b/src/duties/calls.h
@@ -8,7 +8,7 @@
 #include <uv.h>
 
 #include "base/clock.h"
-#include "duties/holder.h"
+#include "duties/election.h"
 #include "h1/client.h"
 #include "platform/duty_wire.h"
 
@@ -29,7 +29,7 @@
   struct wy_h1_client *http;
   const char *address; /* "IP:PORT" */
   const char *node;    /* that calls are made in the name of */
-  struct wy_duty_holder *duties;
+  struct wy_election *election;
 };
 
 int wy_duty_calls_new (struct wy_duty_calls **out,
--- a/src/duties/holder.c
+++ b/src/duties/election.c
@@ -7,7 +7,7 @@
    A process that has just started is no candidate for as long as a lease
    lasts, and neither is one that has given the lease up.  So two acts of one
    instance, with another's between them, lie further apart than a lease.  */
-#include "duties/holder.h"
+#include "duties/election.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,7 +18,7 @@
 
 #include "base/rng.h"
 #include "lease/state.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 #define TABLE "wy-duties"
 
@@ -32,9 +32,9 @@
   NAME_SIZE_BYTES = 160
 };
 
-struct wy_duty_holder
+struct wy_election
 {
-  struct wy_duty_holder_options o;
+  struct wy_election_options o;
   struct wy_lease_state state;
   struct wy_rng rng;
   uv_timer_t tick;
@@ -49,19 +49,19 @@
 };
 
 static int64_t
-now_of (const struct wy_duty_holder *h)
+now_of (const struct wy_election *h)
 {
   return wy_clock_boot_ms (h->o.clock);
 }
 
 static uint32_t
-jitter_ms (struct wy_duty_holder *h)
+jitter_ms (struct wy_election *h)
 {
   return (uint32_t)wy_rng_below (&h->rng, JITTER_MS);
 }
 
 static void
-read_row (struct wy_duty_holder *h, const struct wy_row *row,
+read_row (struct wy_election *h, const struct wy_row *row,
           struct wy_lease_row *out)
 {
   json_t *doc = row ? json_loadb (row->value, row->size_bytes, 0, NULL) : NULL;
@@ -82,7 +82,7 @@
 static void
 on_read (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_duty_holder *h = ctx;
+  struct wy_election *h = ctx;
   struct wy_lease_row row;
 
   if (h->freed)
@@ -97,16 +97,16 @@
 }
 
 static void
-read_lease (struct wy_duty_holder *h)
+read_lease (struct wy_election *h)
 {
-  struct wy_rows_range range = { .table = TABLE, .part = h->o.subject };
+  struct wy_rows_range range = { .table = TABLE, .partition = h->o.subject };
 
   wy_lease_sent (&h->state);
   wy_rows_get (h->o.rows, &range, on_read, h);
 }
 
 static void
-write_lease (struct wy_duty_holder *h, int64_t generation, bool released,
+write_lease (struct wy_election *h, int64_t generation, bool released,
              wy_rows_cb *cb)
 {
   json_t *doc = json_pack ("{s:s, s:I, s:I, s:b}", "holder", h->o.holder,
@@ -119,7 +119,7 @@
                             .key = row_key,
                             .value = value,
                             .size_bytes = strlen (value) };
-  struct wy_rows_tx tx = { .part = h->o.subject,
+  struct wy_rows_tx tx = { .partition = h->o.subject,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &w,
@@ -133,7 +133,7 @@
 static void
 on_taken (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_duty_holder *h = ctx;
+  struct wy_election *h = ctx;
   struct wy_lease_row row = { .rev = r->version,
                               .fence_rev = r->version,
                               .fence = h->taking,
@@ -151,11 +151,11 @@
   wy_lease_taken (&h->state, h->sent_ms, now_of (h), &row);
   g_strlcpy (h->seen_holder, h->o.holder, sizeof h->seen_holder);
   h->seen_generation = h->taking;
-  if (!wy_duty_holder_holds (h))
+  if (!wy_election_is_leader (h))
     return;
   h->acquired_ms = now_of (h);
-  wy_note ("duties.acquired", "subject=%s generation=%lld version=%lld",
-           h->o.subject, (long long)h->taking, (long long)r->version);
+  wy_json_log ("duties.acquired", "subject=%s generation=%lld version=%lld",
+               h->o.subject, (long long)h->taking, (long long)r->version);
   h->told = true;
   h->o.on_acquired (h->o.ctx);
 }
@@ -163,7 +163,7 @@
 static void
 on_renewed (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_duty_holder *h = ctx;
+  struct wy_election *h = ctx;
 
   if (h->freed)
     return;
@@ -175,25 +175,26 @@
 }
 
 static void
-stop (struct wy_duty_holder *h, const char *reason)
+stop (struct wy_election *h, const char *reason)
 {
   if (!h->told)
     return;
   h->told = false;
-  wy_note ("duties.lost", "subject=%s generation=%lld reason=%s held_ms=%lld",
-           h->o.subject, (long long)h->state.row.fence, reason,
-           (long long)(now_of (h) - h->acquired_ms));
+  wy_json_log ("duties.lost",
+               "subject=%s generation=%lld reason=%s held_ms=%lld",
+               h->o.subject, (long long)h->state.row.fence, reason,
+               (long long)(now_of (h) - h->acquired_ms));
   h->o.on_lost (h->o.ctx);
 }
 
 static void
 on_tick (uv_timer_t *t)
 {
-  struct wy_duty_holder *h = t->data;
+  struct wy_election *h = t->data;
   int64_t now_ms = now_of (h);
 
   if (!h->state.held
-      && (now_ms < h->candidate_from_ms || !h->o.may_hold (h->o.ctx)))
+      && (now_ms < h->candidate_from_ms || !h->o.is_candidate (h->o.ctx)))
     return;
   switch (wy_lease_next (&h->state, now_ms))
     {
@@ -220,10 +221,10 @@
 }
 
 /* Follow the lease as O says, and hold it where nobody else does.  */
-struct wy_duty_holder *
-wy_duty_holder_new (const struct wy_duty_holder_options *o)
+struct wy_election *
+wy_election_new (const struct wy_election_options *o)
 {
-  struct wy_duty_holder *h = g_new0 (struct wy_duty_holder, 1);
+  struct wy_election *h = g_new0 (struct wy_election, 1);
 
   h->o = *o;
   wy_rng_seed (&h->rng, o->seed);
@@ -237,7 +238,7 @@
 
 /* Stop.  The memory of H stays, since a call of it may be under way.  */
 void
-wy_duty_holder_free (struct wy_duty_holder *h)
+wy_election_free (struct wy_election *h)
 {
   h->freed = true;
   uv_close ((uv_handle_t *)&h->tick, NULL);
@@ -245,28 +246,28 @@
 
 /* Whether this instance holds the lease now.  To be asked before each act.  */
 bool
-wy_duty_holder_holds (const struct wy_duty_holder *h)
+wy_election_is_leader (const struct wy_election *h)
 {
   return wy_lease_holds (&h->state, now_of (h));
 }
 
 /* For how long the lease is still held if it is not renewed.  */
 int64_t
-wy_duty_holder_left_ms (const struct wy_duty_holder *h)
+wy_election_remaining_ms (const struct wy_election *h)
 {
-  return wy_duty_holder_holds (h) ? h->state.until_ms - now_of (h) : 0;
+  return wy_election_is_leader (h) ? h->state.until_ms - now_of (h) : 0;
 }
 
 /* For how long the lease has been held.  */
 int64_t
-wy_duty_holder_held_ms (const struct wy_duty_holder *h)
+wy_election_held_ms (const struct wy_election *h)
 {
-  return wy_duty_holder_holds (h) ? now_of (h) - h->acquired_ms : 0;
+  return wy_election_is_leader (h) ? now_of (h) - h->acquired_ms : 0;
 }
 
 /* The generation under which the lease is held.  */
 int64_t
-wy_duty_holder_generation (const struct wy_duty_holder *h)
+wy_election_generation (const struct wy_election *h)
 {
   return h->state.row.fence;
 }
@@ -279,11 +280,11 @@
 /* Let another instance take the lease, and be no candidate for PAUSE_MS, or
    for as long as a lease lasts.  */
 void
-wy_duty_holder_give_up (struct wy_duty_holder *h, uint32_t pause_ms,
-                        const char *reason)
+wy_election_resign (struct wy_election *h, uint32_t pause_ms,
+                    const char *reason)
 {
   int64_t now_ms = now_of (h);
-  bool held = wy_duty_holder_holds (h);
+  bool held = wy_election_is_leader (h);
 
   h->candidate_from_ms = now_ms + MAX (pause_ms, h->o.ttl_ms);
   if (!held)
@@ -298,10 +299,10 @@
 
 /* Tell what is known of the lease.  */
 void
-wy_duty_holder_view (const struct wy_duty_holder *h,
-                     struct wy_duty_holder_view *out)
+wy_election_status (const struct wy_election *h,
+                    struct wy_election_status *out)
 {
   out->holder = h->seen_holder;
   out->generation = h->seen_generation;
-  out->held_here = wy_duty_holder_holds (h);
+  out->held_here = wy_election_is_leader (h);
 }
--- a/src/duties/scaling.c
+++ b/src/duties/scaler.c
@@ -2,13 +2,13 @@
 
    What was ordered cannot be read back, so a new holder starts from the
    replicas that are listed and orders anew.  */
-#include "duties/scaling.h"
+#include "duties/scaler.h"
 
 #include <string.h>
 
 #include <glib.h>
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -55,10 +55,10 @@
   s->calling = false;
   if (!j)
     return;
-  wy_note ("scale.ordered",
-           "service=%s zone=%s replicas=%u outcome=%s status=%d", j->service,
-           j->availability_zone, s->calling_for,
-           wy_duty_outcome_name (outcome), status);
+  wy_json_log ("scale.ordered",
+               "service=%s zone=%s replicas=%u outcome=%s status=%d",
+               j->service, j->availability_zone, s->calling_for,
+               wy_duty_outcome_name (outcome), status);
   /* A rejected order would be rejected again until the number changes.  */
   if (outcome == WY_DUTY_DONE || outcome == WY_DUTY_REJECTED)
     j->ordered = s->calling_for;
@@ -83,7 +83,7 @@
 }
 
 static void
-look_at (void *arg, const struct wy_scaled *v)
+look_at (void *arg, const struct wy_scaler_input *v)
 {
   struct wy_scaler *s = arg;
   char *key = g_strdup_printf ("%s/%s", v->service, v->availability_zone);
@@ -102,11 +102,12 @@
   before = j->state.desired;
   wy_scaling_next (&j->state, &v->load, wy_clock_mono_ms (s->o.clock));
   if (j->state.desired != before)
-    wy_note ("scale.decided",
-             "service=%s zone=%s before=%u replicas=%u listed=%u busy=%.2f "
-             "slots=%u complete=%d",
-             v->service, v->availability_zone, before, j->state.desired,
-             v->replicas, v->load.busy, v->load.slots, v->load.complete);
+    wy_json_log (
+        "scale.decided",
+        "service=%s zone=%s before=%u replicas=%u listed=%u busy=%.2f "
+        "slots=%u complete=%d",
+        v->service, v->availability_zone, before, j->state.desired,
+        v->replicas, v->load.busy_slots, v->load.slots, v->load.all_reported);
   if (j->state.desired != j->ordered && !s->calling)
     order (s, key, j);
   g_free (key);
@@ -117,14 +118,14 @@
 {
   struct wy_scaler *s = t->data;
 
-  if (wy_duty_holder_holds (s->o.duties))
-    s->o.each (s->o.ctx, look_at, s);
+  if (wy_election_is_leader (s->o.election))
+    s->o.for_each (s->o.ctx, look_at, s);
 }
 
 /* The lease is held from now on: what the holder before has ordered is not
    known.  */
 void
-wy_scaler_acquired (struct wy_scaler *s)
+wy_scaler_on_elected (struct wy_scaler *s)
 {
   g_hash_table_remove_all (s->subjects);
 }
@@ -154,7 +155,7 @@
 
 /* Number of orders that the platform has taken.  */
 uint64_t
-wy_scaler_orders (const struct wy_scaler *s)
+wy_scaler_accepted (const struct wy_scaler *s)
 {
   return s->orders;
 }
--- a/src/duties/scaling.h
+++ b/src/duties/scaler.h
@@ -1,6 +1,6 @@
 /* Orders for the number of replicas of services whose number may change.  */
-#ifndef WY_DUTIES_SCALING_H
-#define WY_DUTIES_SCALING_H
+#ifndef WY_DUTIES_SCALER_H
+#define WY_DUTIES_SCALER_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -10,12 +10,12 @@
 #include "base/clock.h"
 #include "decide/scaling.h"
 #include "duties/calls.h"
-#include "duties/holder.h"
+#include "duties/election.h"
 
 struct wy_scaler;
 
 /* One service in one availability zone, as it is now.  */
-struct wy_scaled
+struct wy_scaler_input
 {
   const char *service;
   const char *availability_zone;
@@ -27,17 +27,18 @@
 {
   uv_loop_t *loop;
   const struct wy_clock *clock;
-  struct wy_duty_holder *duties;
+  struct wy_election *election;
   struct wy_duty_calls *calls;
   /* Calls FN for all that is scaled.  */
-  void (*each) (void *ctx, void (*fn) (void *arg, const struct wy_scaled *s),
-                void *arg);
+  void (*for_each) (void *ctx,
+                    void (*fn) (void *arg, const struct wy_scaler_input *s),
+                    void *arg);
   void *ctx;
 };
 
 struct wy_scaler *wy_scaler_new (const struct wy_scaler_options *o);
 void wy_scaler_free (struct wy_scaler *s);
-void wy_scaler_acquired (struct wy_scaler *s);
-uint64_t wy_scaler_orders (const struct wy_scaler *s);
+void wy_scaler_on_elected (struct wy_scaler *s);
+uint64_t wy_scaler_accepted (const struct wy_scaler *s);
 
 #endif
--- a/src/duties/usage.c
+++ b/src/duties/usage.c
@@ -4,7 +4,7 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -14,9 +14,9 @@
 /* The part that the rows of WINDOW lie in.  OUT has WY_USAGE_PART_SIZE_BYTES.
  */
 void
-wy_usage_part (int64_t window, char *out)
+wy_usage_partition (int64_t window, char *out)
 {
-  snprintf (out, WY_USAGE_PART_SIZE_BYTES, "%" PRId64, window);
+  snprintf (out, WY_USAGE_PARTITION_SIZE_BYTES, "%" PRId64, window);
 }
 
 /* Time since the epoch, by the store's clock, which all entries share; the
@@ -47,8 +47,8 @@
 
   if (!true_ms)
     {
-      wy_note ("usage.uncounted", "organisation=%s reason=no_time",
-               organisation);
+      wy_json_log ("usage.uncounted", "organisation=%s reason=no_time",
+                   organisation);
       return 0;
     }
   window = wy_usage_counts_begin (u->counts, organisation, true_ms);
@@ -78,7 +78,7 @@
 
   if (!true_ms)
     return;
-  if (wy_rows_is_away (u->o.rows))
+  if (wy_rows_is_unreachable (u->o.rows))
     u->away_ms = wy_usage_now_ms (u);
   complete = wy_usage_counts_complete (u->counts, true_ms);
   if (complete != u->told_complete)
@@ -86,7 +86,7 @@
       u->told_complete = complete;
       u->o.on_complete (u->o.ctx, complete);
     }
-  if (!wy_duty_holder_holds (u->o.duties))
+  if (!wy_election_is_leader (u->o.election))
     return;
   wy_usage_report_step (u);
   wy_usage_clean (u);
@@ -96,7 +96,7 @@
    not overdue are gone through, since it is not known which of them the holder
    before has sent.  */
 void
-wy_usage_acquired (struct wy_usage *u)
+wy_usage_on_elected (struct wy_usage *u)
 {
   /* A step of an earlier hold may still be under way.  */
   u->restart = true;
--- a/src/duties/usage.h
+++ b/src/duties/usage.h
@@ -10,9 +10,9 @@
 #include <uv.h>
 
 #include "base/clock.h"
-#include "duties/holder.h"
+#include "duties/election.h"
 #include "duties/calls.h"
-#include "duties/usage_count.h"
+#include "duties/usage_counts.h"
 #include "rows/rows.h"
 
 struct wy_usage;
@@ -22,15 +22,16 @@
   uv_loop_t *loop;
   const struct wy_clock *clock;
   struct wy_rows *rows;
-  const char *holder; /* this start of the instance */
-  struct wy_duty_holder *duties;
+  const char *counts_row_key; /* this start of the instance */
+  struct wy_election *election;
   struct wy_duty_calls *calls;
   uint32_t window_ms;
-  uint32_t late_ms; /* a report is due so long after its window's end */
+  uint32_t
+      report_deadline_ms; /* a report is due so long after its window's end */
   /* The time of day at zero of the store's clock; 0: not known yet.  */
   int64_t (*epoch_ms) (void *ctx);
   /* The newest window whose counts all entries alive have stored.  */
-  int64_t (*complete_everywhere) (void *ctx);
+  int64_t (*newest_complete_window) (void *ctx);
   void (*on_complete) (void *ctx, int64_t window); /* of this entry's */
   void *ctx;
 };
@@ -50,7 +51,7 @@
 int64_t wy_usage_begin (struct wy_usage *u, const char *organisation);
 void wy_usage_end (struct wy_usage *u, int64_t window,
                    const char *organisation, bool begun);
-void wy_usage_acquired (struct wy_usage *u);
+void wy_usage_on_elected (struct wy_usage *u);
 void wy_usage_stats (const struct wy_usage *u, struct wy_usage_stats *out);
 
 #endif
--- a/src/duties/usage_clean.c
+++ b/src/duties/usage_cleanup.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -33,7 +33,7 @@
   if (u->freed)
     return;
   if (r->err)
-    wy_note ("usage.unremoved", "err=%d", r->err);
+    wy_json_log ("usage.unremoved", "err=%d", r->err);
   end (u, !r->err);
 }
 
@@ -42,8 +42,8 @@
 {
   struct wy_usage *u = ctx;
   struct wy_row_ref refs[REMOVALS_MAX + 1];
-  char part[WY_USAGE_PART_SIZE_BYTES];
-  struct wy_rows_tx tx = { .part = part, .removals = refs };
+  char part[WY_USAGE_PARTITION_SIZE_BYTES];
+  struct wy_rows_tx tx = { .partition = part, .removals = refs };
 
   if (u->freed)
     return;
@@ -52,7 +52,7 @@
       end (u, false);
       return;
     }
-  wy_usage_part (u->removing, part);
+  wy_usage_partition (u->removing, part);
   for (size_t i = 0; i < r->n && i < REMOVALS_MAX; i++)
     refs[tx.n_removals++]
         = (struct wy_row_ref){ .table = WY_USAGE_COUNTS_TABLE,
@@ -74,14 +74,14 @@
 
   if (u->freed)
     return;
-  for (size_t i = 0; !r->err && i < r->n_names; i++)
-    if (strtoll (r->names[i], NULL, 10) < last)
+  for (size_t i = 0; !r->err && i < r->n_partitions; i++)
+    if (strtoll (r->partitions[i], NULL, 10) < last)
       {
         struct wy_rows_range range;
 
-        u->removing = strtoll (r->names[i], NULL, 10);
+        u->removing = strtoll (r->partitions[i], NULL, 10);
         range = (struct wy_rows_range){ .table = WY_USAGE_COUNTS_TABLE,
-                                        .part = r->names[i],
+                                        .partition = r->partitions[i],
                                         .limit = REMOVALS_MAX };
 
         wy_rows_get (u->o.rows, &range, on_rows, u);
@@ -97,5 +97,6 @@
   if (u->cleaning || wy_usage_now_ms (u) < u->clean_due_ms)
     return;
   u->cleaning = true;
-  wy_rows_parts (u->o.rows, WY_USAGE_REPORTS_TABLE, NULL, on_parts, u);
+  wy_rows_list_partitions (u->o.rows, WY_USAGE_REPORTS_TABLE, NULL, on_parts,
+                           u);
 }
--- a/src/duties/usage_count.c
+++ b/src/duties/usage_counts.c
@@ -3,7 +3,7 @@
    A request is counted when it is sent to a target, since an entry that is
    killed must have told of it by then, and taken back when it turns out that
    no target has run it.  */
-#include "duties/usage_count.h"
+#include "duties/usage_counts.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -38,7 +38,7 @@
 
 /* An empty table of counts (gint64 *) by organisation.  */
 GHashTable *
-wy_usage_counts_table (void)
+wy_usage_counts_table_new (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
@@ -94,7 +94,7 @@
     return w;
   w = g_new0 (struct wy_usage_window, 1);
   w->number = number;
-  w->counts = wy_usage_counts_table ();
+  w->counts = wy_usage_counts_table_new ();
   g_hash_table_insert (c->windows, &w->number, w);
   return w;
 }
--- a/src/duties/usage_count.h
+++ b/src/duties/usage_counts.h
@@ -1,7 +1,7 @@
 /* How many requests of each organisation targets have begun, by windows of
    time, as one entry counts them.  */
-#ifndef WY_DUTIES_USAGE_COUNT_H
-#define WY_DUTIES_USAGE_COUNT_H
+#ifndef WY_DUTIES_USAGE_COUNTS_H
+#define WY_DUTIES_USAGE_COUNTS_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -33,6 +33,6 @@
 int64_t wy_usage_counts_complete (struct wy_usage_counts *c, int64_t true_ms);
 char *wy_usage_counts_encode (const struct wy_usage_window *w);
 void wy_usage_counts_add (GHashTable *sum, const void *p, size_t n);
-GHashTable *wy_usage_counts_table (void);
+GHashTable *wy_usage_counts_table_new (void);
 
 #endif
--- a/src/duties/usage_report.c
+++ b/src/duties/usage_report.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -59,18 +59,18 @@
   switch (outcome)
     {
     case WY_DUTY_DONE:
-      wy_note ("usage.reported",
-               "window=%lld since_end_ms=%lld forced=%d generation=%lld",
-               (long long)u->window, (long long)since_ms, u->is_forced,
-               (long long)wy_duty_holder_generation (u->o.duties));
+      wy_json_log ("usage.reported",
+                   "window=%lld since_end_ms=%lld forced=%d generation=%lld",
+                   (long long)u->window, (long long)since_ms, u->is_forced,
+                   (long long)wy_election_generation (u->o.election));
       u->stats.reported++;
-      u->stats.late += since_ms > u->o.late_ms;
+      u->stats.late += since_ms > u->o.report_deadline_ms;
       u->stats.last_window = u->window;
       next_window (u);
       break;
     case WY_DUTY_REJECTED:
-      wy_note ("usage.rejected", "window=%lld status=%d", (long long)u->window,
-               status);
+      wy_json_log ("usage.rejected", "window=%lld status=%d",
+                   (long long)u->window, status);
       u->stats.rejected++;
       next_window (u);
       break;
@@ -120,27 +120,28 @@
 static void
 fix (struct wy_usage *u)
 {
-  char part[WY_USAGE_PART_SIZE_BYTES];
+  char part[WY_USAGE_PARTITION_SIZE_BYTES];
   struct wy_row_ref condition
       = { .table = WY_USAGE_REPORTS_TABLE, .key = WY_USAGE_REPORT_KEY };
   struct wy_row_write w
       = { .table = WY_USAGE_REPORTS_TABLE, .key = WY_USAGE_REPORT_KEY };
-  struct wy_rows_tx tx = { .part = part,
+  struct wy_rows_tx tx = { .partition = part,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &w,
                            .n_writes = 1 };
 
-  wy_usage_part (u->window, part);
+  wy_usage_partition (u->window, part);
   g_free (u->text);
   u->text = wy_usage_report_body (u->window, u->sum);
   w.value = u->text;
   w.size_bytes = strlen (u->text);
   u->phase = WY_USAGE_FIXING;
   u->stats.forced += u->is_forced;
-  wy_note ("usage.fixed", "window=%lld entries=%u organisations=%u forced=%d",
-           (long long)u->window, u->n_rows, g_hash_table_size (u->sum),
-           u->is_forced);
+  wy_json_log ("usage.fixed",
+               "window=%lld entries=%u organisations=%u forced=%d",
+               (long long)u->window, u->n_rows, g_hash_table_size (u->sum),
+               u->is_forced);
   wy_rows_tx (u->o.rows, &tx, on_fixed, u);
 }
 
@@ -161,7 +162,7 @@
   for (size_t i = 0; i < r->n; i++)
     wy_usage_counts_add (u->sum, r->rows[i].value, r->rows[i].size_bytes);
   u->n_rows += (uint32_t)r->n;
-  if (r->more && r->n)
+  if (r->has_more && r->n)
     {
       /* The smallest key behind the last one.  */
       char *from = g_strconcat (r->rows[r->n - 1].key, "\001", NULL);
@@ -176,11 +177,11 @@
 static void
 add_from (struct wy_usage *u, const char *from)
 {
-  char part[WY_USAGE_PART_SIZE_BYTES];
+  char part[WY_USAGE_PARTITION_SIZE_BYTES];
   struct wy_rows_range range
-      = { .table = WY_USAGE_COUNTS_TABLE, .part = part, .from = from };
+      = { .table = WY_USAGE_COUNTS_TABLE, .partition = part, .from = from };
 
-  wy_usage_part (u->window, part);
+  wy_usage_partition (u->window, part);
   u->phase = WY_USAGE_ADDING;
   wy_rows_get (u->o.rows, &range, on_counts, u);
 }
@@ -205,7 +206,7 @@
     }
   if (u->sum)
     g_hash_table_destroy (u->sum);
-  u->sum = wy_usage_counts_table ();
+  u->sum = wy_usage_counts_table_new ();
   u->n_rows = 0;
   add_from (u, NULL);
 }
@@ -217,12 +218,12 @@
   int64_t back_ms = wy_usage_now_ms (u) - u->away_ms;
 
   u->is_forced = false;
-  if (u->o.complete_everywhere (u->o.ctx) >= u->window)
+  if (u->o.newest_complete_window (u->o.ctx) >= u->window)
     return true;
   u->is_forced = true;
-  if (since_ms >= u->o.late_ms - LAST_MS)
+  if (since_ms >= u->o.report_deadline_ms - LAST_MS)
     return true;
-  return since_ms >= (int64_t)u->o.late_ms * FORCED_PERCENT / 100
+  return since_ms >= (int64_t)u->o.report_deadline_ms * FORCED_PERCENT / 100
          && (!u->away_ms || back_ms >= STORE_BACK_MS);
 }
 
@@ -231,7 +232,8 @@
 {
   u->restart = false;
   u->wait_ms = 0;
-  u->window = (wy_usage_true_ms (u) - u->o.late_ms) / u->o.window_ms - 1;
+  u->window
+      = (wy_usage_true_ms (u) - u->o.report_deadline_ms) / u->o.window_ms - 1;
   next_window (u);
 }
 
@@ -239,9 +241,9 @@
 void
 wy_usage_report_step (struct wy_usage *u)
 {
-  char part[WY_USAGE_PART_SIZE_BYTES];
+  char part[WY_USAGE_PARTITION_SIZE_BYTES];
   struct wy_rows_range range
-      = { .table = WY_USAGE_REPORTS_TABLE, .part = part };
+      = { .table = WY_USAGE_REPORTS_TABLE, .partition = part };
 
   if (u->phase != WY_USAGE_IDLE)
     return;
@@ -249,10 +251,10 @@
     start_over (u);
   if (wy_usage_now_ms (u) < u->wait_ms)
     return;
-  if (since_end_ms (u) > (int64_t)u->o.late_ms * MISSED_TIMES)
+  if (since_end_ms (u) > (int64_t)u->o.report_deadline_ms * MISSED_TIMES)
     {
-      wy_note ("usage.missed", "window=%lld since_end_ms=%lld",
-               (long long)u->window, (long long)since_end_ms (u));
+      wy_json_log ("usage.missed", "window=%lld since_end_ms=%lld",
+                   (long long)u->window, (long long)since_end_ms (u));
       u->stats.missed++;
       next_window (u);
       return;
@@ -264,7 +266,7 @@
       send_report (u);
       return;
     }
-  wy_usage_part (u->window, part);
+  wy_usage_partition (u->window, part);
   u->phase = WY_USAGE_READING;
   wy_rows_get (u->o.rows, &range, on_report_read, u);
 }
--- a/src/duties/usage_state.h
+++ b/src/duties/usage_state.h
@@ -12,7 +12,7 @@
 
 enum
 {
-  WY_USAGE_PART_SIZE_BYTES = 24
+  WY_USAGE_PARTITION_SIZE_BYTES = 24
 };
 
 enum wy_usage_phase
@@ -52,7 +52,7 @@
   bool freed;
 };
 
-void wy_usage_part (int64_t window, char *out);
+void wy_usage_partition (int64_t window, char *out);
 int64_t wy_usage_true_ms (const struct wy_usage *u);
 int64_t wy_usage_now_ms (const struct wy_usage *u);
 void wy_usage_store_soon (struct wy_usage *u);
--- a/src/duties/usage_store.c
+++ b/src/duties/usage_store.c
@@ -9,7 +9,7 @@
 
 #include <string.h>
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -54,8 +54,8 @@
     /* An earlier write of ours, whose answer was lost.  */
     w->row_version = r->n ? r->rows[0].version : 0;
   else
-    wy_note ("usage.unstored", "window=%lld err=%d", (long long)w->number,
-             r->err);
+    wy_json_log ("usage.unstored", "window=%lld err=%d", (long long)w->number,
+                 r->err);
   w->storing = 0;
   if (wy_usage_counts_next (u->counts))
     arm (u, r->err ? RETRY_MS : GAP_MS);
@@ -65,12 +65,12 @@
 store_next (struct wy_usage *u)
 {
   struct wy_usage_window *w = wy_usage_counts_next (u->counts);
-  char part[WY_USAGE_PART_SIZE_BYTES];
+  char part[WY_USAGE_PARTITION_SIZE_BYTES];
   struct wy_row_ref condition
-      = { .table = WY_USAGE_COUNTS_TABLE, .key = u->o.holder };
+      = { .table = WY_USAGE_COUNTS_TABLE, .key = u->o.counts_row_key };
   struct wy_row_write write
-      = { .table = WY_USAGE_COUNTS_TABLE, .key = u->o.holder };
-  struct wy_rows_tx tx = { .part = part,
+      = { .table = WY_USAGE_COUNTS_TABLE, .key = u->o.counts_row_key };
+  struct wy_rows_tx tx = { .partition = part,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &write,
@@ -79,7 +79,7 @@
 
   if (!w || u->storing)
     return;
-  wy_usage_part (w->number, part);
+  wy_usage_partition (w->number, part);
   value = wy_usage_counts_encode (w);
   condition.version = w->row_version;
   write.value = value;
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -86,7 +86,7 @@
   e->identity.heartbeat_ms = (uint32_t)s->heartbeat_ms;
   e->identity.silence_limit_ms = (uint32_t)s->silence_limit_ms;
   e->identity.send_limit_bytes = SEND_LIMIT_BYTES;
-  e->identity.stamp = wy_trace_stamp;
+  e->identity.stamp = wy_trace_timestamp;
   e->identity.observe = wy_trace_observe;
   e->identity.trace = e->trace;
   return err;
--- a/src/entry/pace.c
+++ b/src/entry/pace.c
@@ -68,8 +68,8 @@
   tokens = r->pace_newlines / NEWLINES_PER_TOKEN;
   if (tokens < TOKENS_PER_MARK)
     return;
-  wy_place_pace (r->pool->place, r->slot,
-                 (uint32_t)((now_us - r->pace_from_us) / tokens),
-                 now_us / WY_US_PER_MS);
+  wy_placement_token_latency (r->pool->place, r->slot,
+                              (uint32_t)((now_us - r->pace_from_us) / tokens),
+                              now_us / WY_US_PER_MS);
   mark (r, now_us);
 }
--- a/src/entry/pool.c
+++ b/src/entry/pool.c
@@ -13,7 +13,7 @@
 {
   struct wy_pool *l = pool;
 
-  wy_place_free (l->place);
+  wy_placement_free (l->place);
   g_ptr_array_free (l->peers, TRUE);
   g_free (l->name);
   g_free (l);
@@ -27,8 +27,8 @@
   for (guint i = 0; i < e->zones->len; i++)
     if (!strcmp (e->zones->pdata[i], zone))
       return i;
-  if (e->zones->len == WY_PLACE_AZS_MAX)
-    return WY_PLACE_AZS_MAX - 1;
+  if (e->zones->len == WY_PLACEMENT_AZS_MAX)
+    return WY_PLACEMENT_AZS_MAX - 1;
   g_ptr_array_add (e->zones, g_strdup (zone));
   return e->zones->len - 1;
 }
@@ -44,17 +44,17 @@
 struct wy_pool *
 wy_pool_make (struct wy_entry *e, const char *name, bool is_model)
 {
-  struct wy_place_options o = { 0 };
+  struct wy_placement_options o = { 0 };
   struct wy_pool *l = wy_pool_get (e, name);
 
   if (l)
     return l;
   o.az = wy_zone_number (e, e->s->availability_zone);
-  o.targets_max = (uint32_t)e->s->subset_size + WY_PLACE_AZS_MAX;
+  o.targets_max = (uint32_t)e->s->subset_size + WY_PLACEMENT_AZS_MAX;
   l = g_malloc0 (sizeof *l);
   l->name = g_strdup (name);
   l->is_model = is_model;
-  l->place = wy_place_new (&o);
+  l->place = wy_placement_new (&o);
   l->peers = g_ptr_array_new ();
   g_hash_table_insert (e->pools, l->name, l);
   return l;
@@ -72,14 +72,14 @@
 
   if (p->slot >= 0 || !p->in_subset)
     return;
-  p->slot = wy_place_add (l->place, &o);
+  p->slot = wy_placement_add (l->place, &o);
   if (p->slot < 0)
     return;
   if ((guint)p->slot >= l->peers->len)
     g_ptr_array_set_size (l->peers, p->slot + 1);
   l->peers->pdata[p->slot] = p;
   if (p->leaving || p->down)
-    wy_place_leaving (l->place, (uint32_t)p->slot);
+    wy_placement_drain (l->place, (uint32_t)p->slot);
 }
 
 /* The agent of P is away: take it out of the table.  */
@@ -90,7 +90,7 @@
     return;
   for (GList *i = p->requests.head; i; i = i->next)
     ((struct wy_request *)i->data)->placed = false;
-  wy_place_remove (p->pool->place, (uint32_t)p->slot);
+  wy_placement_remove (p->pool->place, (uint32_t)p->slot);
   p->pool->peers->pdata[p->slot] = NULL;
   p->slot = -1;
 }
@@ -100,7 +100,7 @@
 wy_pool_close (struct wy_peer *p)
 {
   if (p->slot >= 0)
-    wy_place_leaving (p->pool->place, (uint32_t)p->slot);
+    wy_placement_drain (p->pool->place, (uint32_t)p->slot);
 }
 
 /* P takes new work again.  */
@@ -111,7 +111,8 @@
     return;
   for (GList *i = p->requests.head; i; i = i->next)
     ((struct wy_request *)i->data)->placed = false;
-  wy_place_restarted (p->pool->place, (uint32_t)p->slot, p->incarnation_hash);
+  wy_placement_restarted (p->pool->place, (uint32_t)p->slot,
+                          p->incarnation_hash);
 }
 
 /* Tell placement the load that P reported.  */
@@ -132,20 +133,22 @@
   r.streams_max = t->streams_max;
   r.caller_wait_ms = t->caller_wait_ms;
   r.us_per_token = t->us_per_token;
-  wy_place_load (p->pool->place, (uint32_t)p->slot, &r, t->age_ms,
-                 wy_clock_mono_ms (p->entry->clock));
-  wy_place_version (p->pool->place, (uint32_t)p->slot, (uint64_t)t->version);
+  wy_placement_load_reported (p->pool->place, (uint32_t)p->slot, &r, t->age_ms,
+                              wy_clock_mono_ms (p->entry->clock));
+  wy_placement_set_version (p->pool->place, (uint32_t)p->slot,
+                            (uint64_t)t->version);
 }
 
-static struct wy_place_req
+static struct wy_placement_request
 place_req (const struct wy_request *r)
 {
-  struct wy_place_req q = { .work_class = WY_CLASS_INTERACTIVE,
-                            .prefix_hash = r->prefix,
-                            .prefix_tokens = r->prefix ? r->prompt_tokens : 0,
-                            .prompt_tokens = r->prompt_tokens,
-                            .predicted_tokens = r->predicted_tokens,
-                            .n_tried = r->n_tried };
+  struct wy_placement_request q
+      = { .work_class = WY_CLASS_INTERACTIVE,
+          .prefix_hash = r->prefix,
+          .prefix_tokens = r->prefix ? r->prompt_tokens : 0,
+          .prompt_tokens = r->prompt_tokens,
+          .predicted_tokens = r->predicted_tokens,
+          .n_tried = r->n_tried };
 
   if (r->request_class == WY_REQUEST_ROLLOUT)
     q.work_class = WY_CLASS_ROLLOUT;
@@ -177,9 +180,9 @@
 wy_pool_pick (struct wy_request *r)
 {
   struct wy_pool *l = r->pool;
-  struct wy_place_req q = place_req (r);
+  struct wy_placement_request q = place_req (r);
   int64_t now_ms = wy_clock_mono_ms (r->entry->clock);
-  int slot = wy_place_pick (l->place, &q, now_ms, &r->entry->rng);
+  int slot = wy_placement_pick (l->place, &q, now_ms, &r->entry->rng);
 
   while (slot >= 0 && r->min_version > 0)
     {
@@ -187,16 +190,16 @@
 
       if (p->load.version >= r->min_version)
         break;
-      if (q.n_tried == WY_PLACE_TRIED_MAX)
+      if (q.n_tried == WY_PLACEMENT_TRIED_MAX)
         {
           q.version = (uint64_t)highest_version (l);
           if ((int64_t)q.version < r->min_version)
             return NULL;
-          slot = wy_place_pick (l->place, &q, now_ms, &r->entry->rng);
+          slot = wy_placement_pick (l->place, &q, now_ms, &r->entry->rng);
           break;
         }
       q.tried[q.n_tried++] = (uint32_t)slot;
-      slot = wy_place_pick (l->place, &q, now_ms, &r->entry->rng);
+      slot = wy_placement_pick (l->place, &q, now_ms, &r->entry->rng);
     }
   return slot >= 0 ? l->peers->pdata[slot] : NULL;
 }
@@ -205,34 +208,34 @@
 void
 wy_pool_started (struct wy_request *r, struct wy_peer *p)
 {
-  struct wy_place_req q = place_req (r);
+  struct wy_placement_request q = place_req (r);
 
   if (p->slot < 0)
     return;
   r->slot = (uint32_t)p->slot;
   r->placed = true;
-  wy_place_started (p->pool->place, r->slot, &q,
-                    wy_clock_mono_ms (r->entry->clock));
+  wy_placement_request_started (p->pool->place, r->slot, &q,
+                                wy_clock_mono_ms (r->entry->clock));
 }
 
 /* R ended at its target with OUTCOME.  */
 void
 wy_pool_ended (struct wy_request *r, enum wy_outcome outcome)
 {
-  struct wy_place_req q;
+  struct wy_placement_request q;
 
   if (!r->placed)
     return;
   r->placed = false;
   q = place_req (r);
-  wy_place_ended (r->pool->place, r->slot, q.work_class, outcome,
-                  wy_clock_mono_ms (r->entry->clock));
+  wy_placement_request_ended (r->pool->place, r->slot, q.work_class, outcome,
+                              wy_clock_mono_ms (r->entry->clock));
 }
 
 /* Don't place R at its present target again.  */
 void
 wy_pool_tried (struct wy_request *r)
 {
-  if (r->peer && r->peer->slot >= 0 && r->n_tried < WY_PLACE_TRIED_MAX)
+  if (r->peer && r->peer->slot >= 0 && r->n_tried < WY_PLACEMENT_TRIED_MAX)
     r->tried[r->n_tried++] = (uint32_t)r->peer->slot;
 }
--- a/src/entry/reports.c
+++ b/src/entry/reports.c
@@ -98,6 +98,6 @@
   if (p->slot < 0)
     return;
   for (uint32_t i = 0; i < ping->n_prefixes; i++)
-    wy_place_cached (p->pool->place, (uint32_t)p->slot, ping->prefixes[i],
-                     true, now_ms);
+    wy_placement_cache_event (p->pool->place, (uint32_t)p->slot,
+                              ping->prefixes[i], true, now_ms);
 }
--- a/src/entry/runner.c
+++ b/src/entry/runner.c
@@ -181,7 +181,7 @@
 {
   const struct wy_target_load *t = &p->load;
   int64_t n = (t->kv_total_tokens - t->kv_used_tokens) / SAMPLE_TOKENS;
-  uint32_t own = wy_place_in_flight (p->pool->place, (uint32_t)p->slot);
+  uint32_t own = wy_placement_in_flight (p->pool->place, (uint32_t)p->slot);
   uint32_t ahead = own - MIN (own, t->running);
 
   if (t->queued_rollout > 0 || !t->target_up)
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -12,7 +12,7 @@
 #include "base/id.h"
 #include "base/rng.h"
 #include "config/feed.h"
-#include "decide/place.h"
+#include "decide/placement.h"
 #include "decide/retry.h"
 #include "decide/suspect.h"
 #include "entry/entry.h"
@@ -62,7 +62,7 @@
 {
   char *name;
   bool is_model;
-  struct wy_place *place;
+  struct wy_placement *place;
   GPtrArray *peers; /* by slot of place; NULL: free */
 };
 
@@ -157,7 +157,7 @@
   uint64_t sent_to; /* incarnation of the peer that SUBMIT went to */
   uint32_t slot;    /* of the placement; counts while placed */
   uint32_t n_tried;
-  uint32_t tried[WY_PLACE_TRIED_MAX];
+  uint32_t tried[WY_PLACEMENT_TRIED_MAX];
 
   /* The answer, as far as it is there.  */
   char *run;
--- a/src/entry/suspect_rows.c
+++ b/src/entry/suspect_rows.c
@@ -118,7 +118,7 @@
   g_hash_table_iter_init (&i, s->keys);
   while (g_hash_table_iter_next (&i, &key, NULL))
     if (!has_rows (now, key))
-      wy_suspects_cleared (&s->entry->suspects, fingerprint_of (key));
+      wy_suspects_clear (&s->entry->suspects, fingerprint_of (key));
 }
 
 static void
--- a/src/entry/suspects.c
+++ b/src/entry/suspects.c
@@ -32,7 +32,7 @@
 check (struct wy_entry *e, uint64_t fingerprint)
 {
   if (fingerprint == 0)
-    return WY_SUSPICION_CLEAR;
+    return WY_SUSPICION_NONE;
   return wy_suspects_check (&e->suspects, fingerprint,
                             wy_clock_mono_ms (e->clock));
 }
@@ -44,10 +44,10 @@
 {
   switch (check (r->entry, r->fingerprint))
     {
-    case WY_SUSPICION_CLEAR:
+    case WY_SUSPICION_NONE:
       r->suspect = false;
       return false;
-    case WY_SUSPICION_ALONE:
+    case WY_SUSPICION_ISOLATE:
       r->suspect = true;
       return false;
     case WY_SUSPICION_REFUSE:
@@ -74,12 +74,12 @@
 
   if (r->fingerprint == 0)
     return;
-  wy_suspects_crashed (
+  wy_suspects_record_crash (
       &e->suspects, r->fingerprint, wy_hash64 (p->id, strlen (p->id), 0),
       p->has_load ? p->load.running : 0, wy_clock_mono_ms (e->clock));
   after = check (e, r->fingerprint);
   hex (r->fingerprint, text);
-  if (before == WY_SUSPICION_CLEAR)
+  if (before == WY_SUSPICION_NONE)
     wy_trace_event (e->trace, "suspect.marked", "{s:s}", "fingerprint", text);
   if (before != WY_SUSPICION_REFUSE && after == WY_SUSPICION_REFUSE)
     wy_trace_event (e->trace, "suspect.blocked", "{s:s}", "fingerprint", text);
@@ -94,7 +94,7 @@
 {
   if (!r->suspect)
     return;
-  wy_suspects_cleared (&r->entry->suspects, r->fingerprint);
+  wy_suspects_clear (&r->entry->suspects, r->fingerprint);
   tell_changed (r->entry, r->fingerprint);
 }
 
@@ -112,7 +112,7 @@
       const struct wy_suspect *s = &e->suspects.slot[i];
       enum wy_suspicion what = check (e, s->fingerprint);
 
-      if (what == WY_SUSPICION_CLEAR)
+      if (what == WY_SUSPICION_NONE)
         continue;
       hex (s->fingerprint, text);
       json_array_append_new (list,
@@ -153,13 +153,13 @@
   uint64_t f = strtoull (fingerprint, NULL, 16);
   struct wy_problem missing = { .reason = WY_REASON_NOT_FOUND };
 
-  if (check (e, f) == WY_SUSPICION_CLEAR)
+  if (check (e, f) == WY_SUSPICION_NONE)
     {
       wy_problem_send (ex, &missing);
       return;
     }
   hex (f, text);
-  wy_suspects_cleared (&e->suspects, f);
+  wy_suspects_clear (&e->suspects, f);
   wy_trace_event (e->trace, "suspect.lifted", "{s:s}", "fingerprint", text);
   unblock_at_agents (e, f);
   tell_changed (e, f);
--- a/src/gate/admit.c
+++ b/src/gate/admission.c
@@ -1,12 +1,12 @@
 /* Admission of callers' requests: configuration, key and route.  */
 #include <string.h>
 
-#include "gate/answer.h"
+#include "gate/response.h"
 #include "gate/gate_state.h"
 #include "gate/proxy.h"
 #include "orgs/access.h"
 #include "platform/request_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -44,18 +44,18 @@
                        : access == WY_ACCESS_NO_ROUTE   ? "no_route"
                                                         : "config_may_be_old";
 
-  wy_note ("request.ended",
-           "id=%s outcome=refused status=%d reason=%s credential=%s "
-           "config=%lld config_age_ms=%lld",
-           info->id ? info->id : "", status, reason,
-           credential_name (info->credential),
-           (long long)g->env.routing->version,
-           (long long)wy_watch_age_ms (g->operator_rows));
+  wy_json_log ("request.ended",
+               "id=%s outcome=refused status=%d reason=%s credential=%s "
+               "config=%lld config_age_ms=%lld",
+               info->id ? info->id : "", status, reason,
+               credential_name (info->credential),
+               (long long)g->env.routing->version,
+               (long long)wy_watch_age_ms (g->operator_rows));
   if (access == WY_ACCESS_UNAUTHORIZED)
-    wy_refuse_unauthorized (r, reason);
+    wy_respond_unauthorized (r, reason);
   else
-    wy_refuse (r, status, reason,
-               access == WY_ACCESS_NOT_SURE ? RETRY_AFTER_MS : 0);
+    wy_respond_status (r, status, reason,
+                       access == WY_ACCESS_CONFIG_STALE ? RETRY_AFTER_MS : 0);
 }
 
 static enum wy_access
@@ -66,9 +66,9 @@
                                .credential = info->credential,
                                .key = info->key,
                                .route = route,
-                               .config_is_fresh = config_is_fresh (g) };
+                               .config_is_current = config_is_fresh (g) };
 
-  return wy_access_decide (&q, org);
+  return wy_access_check (&q, org);
 }
 
 /* Calls on a job name no route.  One that was submitted without a key is found
@@ -81,12 +81,13 @@
       = info->host && wy_routing_has_public_jobs (g->env.routing, info->host);
   const struct wy_org *org;
   enum wy_access access = decide_access (
-      g, info, open ? WY_ROUTE_ACCESS_PUBLIC : WY_ROUTE_ACCESS_KEYED, &org);
+      g, info, open ? WY_ROUTE_ACCESS_PUBLIC : WY_ROUTE_ACCESS_KEY_REQUIRED,
+      &org);
 
-  if (access != WY_ACCESS_ADMIT)
+  if (access != WY_ACCESS_ALLOW)
     refuse_access (g, r, info, access);
   else
-    wy_jobs_call (g->jobs, r, org ? org->name : "", call);
+    wy_jobs_handle_call (g->jobs, r, org ? org->name : "", call);
 }
 
 /* A caller sends R: it is admitted and passed on, or refused.  */
@@ -100,17 +101,18 @@
   const struct wy_org *org;
   enum wy_access access;
 
-  wy_request_read (wy_h1_head (r), &info);
+  wy_request_parse_head (wy_h1_head (r), &info);
   if (!g->env.routing)
     {
-      wy_note ("request.ended",
-               "id=%s outcome=refused status=503 "
-               "reason=no_config",
-               info.id ? info.id : "");
-      wy_refuse (r, 503, "no_config", RETRY_AFTER_MS);
+      wy_json_log ("request.ended",
+                   "id=%s outcome=refused status=503 "
+                   "reason=no_config",
+                   info.id ? info.id : "");
+      wy_respond_status (r, 503, "no_config", RETRY_AFTER_MS);
       return;
     }
-  wy_job_call_read (wy_h1_method (r), wy_h1_target (r), wy_h1_head (r), &call);
+  wy_job_call_parse (wy_h1_method (r), wy_h1_target (r), wy_h1_head (r),
+                     &call);
   if (call.kind != WY_JOB_CALL_NONE)
     {
       call_job (g, r, &info, &call);
@@ -122,9 +124,9 @@
   access = decide_access (g, &info,
                           !route             ? WY_ROUTE_ACCESS_UNKNOWN
                           : route->is_public ? WY_ROUTE_ACCESS_PUBLIC
-                                             : WY_ROUTE_ACCESS_KEYED,
+                                             : WY_ROUTE_ACCESS_KEY_REQUIRED,
                           &org);
-  if (!route || access != WY_ACCESS_ADMIT)
+  if (!route || access != WY_ACCESS_ALLOW)
     refuse_access (g, r, &info, access);
   else if (route->kind == WY_ROUTE_JOB && !strcmp (wy_h1_method (r), "POST"))
     wy_jobs_accept (g->jobs, r, org ? org->name : "", config_is_fresh (g));
--- a/src/gate/busy.c
+++ b/src/gate/busy_slots.c
@@ -1,5 +1,5 @@
 /* Slots of scaled services that an entry keeps busy.  */
-#include "gate/busy.h"
+#include "gate/busy_slots.h"
 
 #include <string.h>
 
@@ -35,7 +35,7 @@
   char name[NAME_SIZE_BYTES];
   double *n;
 
-  if (!v || !v->is_scaled || !g->in_flight)
+  if (!v || !v->is_autoscaled || !g->in_flight)
     return;
   name_of (g->info.service, g->info.availability_zone, name);
   n = g_hash_table_lookup (s->now, name);
--- a/src/gate/busy.h
+++ b/src/gate/busy_slots.h
@@ -1,7 +1,7 @@
 /* How many slots of scaled services this entry keeps busy, by availability
    zone of the replicas, smoothed; and the sum over all entries.  */
-#ifndef WY_GATE_BUSY_H
-#define WY_GATE_BUSY_H
+#ifndef WY_GATE_BUSY_SLOTS_H
+#define WY_GATE_BUSY_SLOTS_H
 
 #include <glib.h>
 #include <jansson.h>
--- a/src/gate/duties.c
+++ b/src/gate/duties.c
@@ -2,7 +2,7 @@
    entries are told.  */
 #include "gate/gate_state.h"
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 /* One lease for all: an instance that can do one duty can do the others, and
    a second lease would cost as many calls to the store again.  */
@@ -35,9 +35,9 @@
 
   wy_members_follow_load (g->members, true);
   if (g->env.usage)
-    wy_usage_acquired (g->env.usage);
+    wy_usage_on_elected (g->env.usage);
   if (g->scaler)
-    wy_scaler_acquired (g->scaler);
+    wy_scaler_on_elected (g->scaler);
 }
 
 static void
@@ -70,7 +70,7 @@
 {
   const struct wy_gate *g = ctx;
 
-  wy_members_tell_usage (g->members, window);
+  wy_members_publish_usage (g->members, window);
 }
 
 static void
@@ -81,13 +81,13 @@
       = { .loop = g->o.loop,
           .clock = g->o.clock,
           .rows = g->env.rows,
-          .holder = g->holder,
-          .duties = g->duties,
+          .counts_row_key = g->holder,
+          .election = g->duties,
           .calls = g->duty_calls,
           .window_ms = (uint32_t)(s->usage_window_s * WY_MS_PER_S),
-          .late_ms = (uint32_t)(s->usage_late_s * WY_MS_PER_S),
+          .report_deadline_ms = (uint32_t)(s->usage_late_s * WY_MS_PER_S),
           .epoch_ms = epoch_ms,
-          .complete_everywhere = complete_everywhere,
+          .newest_complete_window = complete_everywhere,
           .on_complete = on_complete,
           .ctx = g };
 
@@ -97,7 +97,7 @@
 struct zones
 {
   const struct wy_gate *gate;
-  GHashTable *replicas; /* struct wy_scaled by "service/zone" */
+  GHashTable *replicas; /* struct wy_scaler_input by "service/zone" */
 };
 
 /* Count the target T among the replicas of its service and zone.  A replica
@@ -108,16 +108,16 @@
   struct zones *z = ctx;
   const struct wy_service *v
       = wy_routing_service (z->gate->env.routing, t->info.service);
-  struct wy_scaled *s;
+  struct wy_scaler_input *s;
   char *key;
 
-  if (!v || !v->is_scaled || !t->listed)
+  if (!v || !v->is_autoscaled || !t->listed)
     return;
   key = g_strdup_printf ("%s/%s", t->info.service, t->info.availability_zone);
   s = g_hash_table_lookup (z->replicas, key);
   if (!s)
     {
-      s = g_new0 (struct wy_scaled, 1);
+      s = g_new0 (struct wy_scaler_input, 1);
       s->service = t->info.service;
       s->availability_zone = t->info.availability_zone;
       s->load.minimum = v->replicas_min;
@@ -133,7 +133,8 @@
 
 /* Tell FN of the services whose replicas are ordered, by zone.  */
 static void
-each_scaled (void *ctx, void (*fn) (void *arg, const struct wy_scaled *s),
+each_scaled (void *ctx,
+             void (*fn) (void *arg, const struct wy_scaler_input *s),
              void *arg)
 {
   const struct wy_gate *g = ctx;
@@ -150,12 +151,12 @@
   g_hash_table_iter_init (&it, z.replicas);
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
-      struct wy_scaled *s = p;
+      struct wy_scaler_input *s = p;
 
-      s->load.busy
+      s->load.busy_slots
           = wy_members_busy (g->members, s->service, s->availability_zone);
-      s->load.complete = age_ms >= 0 && age_ms <= MEMBERS_FRESH_MS
-                         && wy_members_load_is_known (g->members);
+      s->load.all_reported = age_ms >= 0 && age_ms <= MEMBERS_FRESH_MS
+                             && wy_members_load_is_known (g->members);
       fn (arg, s);
     }
   g_hash_table_destroy (z.replicas);
@@ -166,9 +167,9 @@
 {
   struct wy_scaler_options o = { .loop = g->o.loop,
                                  .clock = g->o.clock,
-                                 .duties = g->duties,
+                                 .election = g->duties,
                                  .calls = g->duty_calls,
-                                 .each = each_scaled,
+                                 .for_each = each_scaled,
                                  .ctx = g };
 
   g->scaler = wy_scaler_new (&o);
@@ -180,7 +181,7 @@
 wy_gate_start_duties (struct wy_gate *g)
 {
   const struct wy_gate_settings *s = g->o.settings;
-  struct wy_duty_holder_options h
+  struct wy_election_options h
       = { .loop = g->o.loop,
           .clock = g->o.clock,
           .rows = g->env.rows,
@@ -188,7 +189,7 @@
           .holder = g->holder,
           .seed = wy_hash64 (g->incarnation, WY_ID_LEN, 7),
           .ttl_ms = (uint32_t)s->lease_ms,
-          .may_hold = may_hold,
+          .is_candidate = may_hold,
           .on_acquired = on_acquired,
           .on_lost = on_lost,
           .ctx = g };
@@ -201,8 +202,8 @@
 
   if (!*s->platform)
     return 0;
-  g->duties = wy_duty_holder_new (&h);
-  c.duties = g->duties;
+  g->duties = wy_election_new (&h);
+  c.election = g->duties;
   err = wy_duty_calls_new (&g->duty_calls, &c);
   if (err)
     return err;
@@ -221,7 +222,7 @@
 wy_gate_stop_duties (struct wy_gate *g)
 {
   if (g->duties)
-    wy_duty_holder_give_up (g->duties, 0, "stopping");
+    wy_election_resign (g->duties, 0, "stopping");
 }
 
 /* Close what wy_gate_start_duties has started.  */
@@ -235,5 +236,5 @@
   if (g->duty_calls)
     wy_duty_calls_free (g->duty_calls);
   if (g->duties)
-    wy_duty_holder_free (g->duties);
+    wy_election_free (g->duties);
 }
--- a/src/gate/env.h
+++ b/src/gate/env.h
@@ -8,7 +8,7 @@
 
 #include "base/clock.h"
 #include "base/rng.h"
-#include "decide/crash_watch.h"
+#include "decide/crash_tracker.h"
 #include "duties/usage.h"
 #include "gate/routing.h"
 #include "gate/targets.h"
@@ -26,19 +26,20 @@
   uint64_t *held_back;
   uint64_t *retries;
   uint64_t *hedges;
-  uint64_t *items_started;
+  uint64_t *item_runs;
   uint64_t *items_done;
-  uint64_t *items_broken;
-  uint64_t *scores_asked;
-  uint64_t *scores_broken;
+  uint64_t *item_runs_failed;
+  uint64_t *score_calls;
+  uint64_t *score_calls_failed;
   uint64_t *score_hedges;
   uint64_t *jobs_accepted;
   uint64_t *jobs_taken_over;
   struct wy_hist *latency_us;
   struct wy_hist *item_us;
   struct wy_hist *score_us;
-  struct wy_family *ended;      /* by route, outcome and reason */
-  struct wy_family *latency_by; /* by route, target's service and outcome */
+  struct wy_metrics_family *requests_ended; /* by route, outcome and reason */
+  struct wy_metrics_family
+      *latency_by_route; /* by route, target's service and outcome */
 };
 
 struct wy_gate_env
@@ -55,7 +56,7 @@
   uint32_t entries;           /* alive, this one included */
   bool stopping;
   struct wy_rng rng;
-  struct wy_crash_watch crashes;
+  struct wy_crash_tracker crashes;
   struct wy_usage *usage; /* NULL: nobody asks for it */
   struct wy_gate_counters count;
 };
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -4,10 +4,10 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "gate/answer.h"
+#include "gate/response.h"
 #include "gate/status.h"
 #include "platform/replica_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 /* Beside the metrics, where wyctl asks.  */
 #define STATUS_TARGET "/v1/status"
@@ -68,7 +68,7 @@
 {
   bool ready = is_ready (ctx);
 
-  wy_refuse (r, ready ? 200 : 503, ready ? "ready" : "not_ready", 0);
+  wy_respond_status (r, ready ? 200 : 503, ready ? "ready" : "not_ready", 0);
 }
 
 struct forward
@@ -79,7 +79,8 @@
 static void
 on_forwarded (void *ctx, int status, const char *body, size_t n)
 {
-  static const struct wy_h1_pair type = { "Content-Type", "application/json" };
+  static const struct wy_h1_header type
+      = { "Content-Type", "application/json" };
   struct forward *f = ctx;
 
   if (f->request)
@@ -103,7 +104,7 @@
   const char *body;
   size_t n;
 
-  if (wy_jobs_take_handed (g->jobs, r))
+  if (wy_jobs_accept_handoff (g->jobs, r))
     return;
   f = g_new0 (struct forward, 1);
   f->request = r;
@@ -116,9 +117,10 @@
 static void
 on_metrics (void *ctx, struct wy_h1_request *r)
 {
-  static const struct wy_h1_pair type
+  static const struct wy_h1_header type
       = { "Content-Type", "text/plain; version=0.0.4" };
-  static const struct wy_h1_pair json = { "Content-Type", "application/json" };
+  static const struct wy_h1_header json
+      = { "Content-Type", "application/json" };
   struct wy_gate *g = ctx;
   GString *out;
 
@@ -150,8 +152,8 @@
                       .body_bytes = (uint32_t)g->o.settings->object_bytes * 2,
                       .header_timeout_ms = WY_GATE_START_HEADER_MS,
                       .idle_timeout_ms = WY_GATE_START_IDLE_MS,
-                      .held_bytes = (uint64_t)g->o.settings->memory_mb
-                                    * WY_GATE_MB / WY_GATE_BODY_SHARE },
+                      .buffered_bytes = (uint64_t)g->o.settings->memory_mb
+                                        * WY_GATE_MB / WY_GATE_BODY_SHARE },
           .on_request = on_request,
           .ctx = g };
 
@@ -183,8 +185,8 @@
   if (g->stopped)
     return;
   g->stopped = true;
-  wy_note ("process.stop", "reason=%s requests=%u jobs=%u", why,
-           wy_h1_server_active (g->callers), wy_jobs_running (g->jobs));
+  wy_json_log ("process.stop", "reason=%s requests=%u jobs=%u", why,
+               wy_h1_server_active (g->callers), wy_jobs_running (g->jobs));
   g->o.on_stopped (g->o.ctx);
 }
 
@@ -203,8 +205,8 @@
       g->handed_over = true;
       g->env.stopping = true;
       wy_members_leave (g->members);
-      wy_note ("process.handing_over", "jobs=%u since_ms=%lld",
-               wy_jobs_running (g->jobs), (long long)since_ms);
+      wy_json_log ("process.handing_over", "jobs=%u since_ms=%lld",
+                   wy_jobs_running (g->jobs), (long long)since_ms);
       return;
     }
   if (since_ms >= grace_ms (g) - END_MARGIN_MS)
@@ -222,10 +224,10 @@
   if (ready != g->was_ready)
     {
       g->was_ready = ready;
-      wy_note (ready ? "process.ready" : "process.not_ready",
-               "config=%lld targets_age_ms=%lld",
-               g->env.routing ? (long long)g->env.routing->version : 0LL,
-               (long long)wy_watch_age_ms (g->replicas));
+      wy_json_log (ready ? "process.ready" : "process.not_ready",
+                   "config=%lld targets_age_ms=%lld",
+                   g->env.routing ? (long long)g->env.routing->version : 0LL,
+                   (long long)wy_watch_age_ms (g->replicas));
     }
   if (g->stop_asked_ms)
     check_stop (g);
@@ -234,7 +236,7 @@
 static uint32_t
 idle_to (const void *client, const struct sockaddr_in *a)
 {
-  return wy_h1_client_idle_to (client, a);
+  return wy_h1_client_idle_count (client, a);
 }
 
 static int
@@ -268,10 +270,10 @@
   g->o = *o;
   wy_id_new (o->clock, g->incarnation);
   g->holder = g_strconcat (o->settings->name, "/", g->incarnation, NULL);
-  wy_note_open (o->loop, o->settings->name, g->incarnation);
-  wy_note ("process.start", "zone=%s store=%s memory_mb=%lld",
-           o->settings->availability_zone, o->settings->store,
-           (long long)o->settings->memory_mb);
+  wy_json_log_open (o->loop, o->settings->name, g->incarnation);
+  wy_json_log ("process.start", "zone=%s store=%s memory_mb=%lld",
+               o->settings->availability_zone, o->settings->store,
+               (long long)o->settings->memory_mb);
   g->metrics = wy_metrics_new ();
   wy_gate_make_metrics (g);
   g->env.loop = o->loop;
@@ -310,8 +312,8 @@
       return;
     }
   g->stop_asked_ms = wy_clock_mono_ms (g->env.clock);
-  wy_note ("process.stopping", "requests=%u jobs=%u",
-           wy_h1_server_active (g->callers), wy_jobs_running (g->jobs));
+  wy_json_log ("process.stopping", "requests=%u jobs=%u",
+               wy_h1_server_active (g->callers), wy_jobs_running (g->jobs));
   wy_h1_server_announce_close (g->callers);
   wy_members_drain (g->members);
   wy_gate_stop_duties (g);
@@ -323,7 +325,7 @@
 {
   wy_gate_read_seeds (g, s);
   wy_gate_set_relays (g);
-  wy_note ("process.reloaded", "seeds=%u", g->seeds->len);
+  wy_json_log ("process.reloaded", "seeds=%u", g->seeds->len);
 }
 
 /* Close all of G; the loop must turn some times afterwards.  */
--- a/src/gate/gauges.c
+++ b/src/gate/gate_metrics.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 
 #include "platform/store_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -34,16 +34,16 @@
                                    "Tries that failed at one replica");
   c->hedges = wy_metrics_counter (m, "wy_gate_hedges_total",
                                   "Second replicas asked for being late");
-  c->items_started = wy_metrics_counter (m, "wy_gate_item_runs_total",
-                                         "Runs of job items started");
+  c->item_runs = wy_metrics_counter (m, "wy_gate_item_runs_total",
+                                     "Runs of job items started");
   c->items_done = wy_metrics_counter (m, "wy_gate_items_total",
                                       "Job items with a result");
-  c->items_broken = wy_metrics_counter (m, "wy_gate_item_runs_broken_total",
-                                        "Runs of job items that broke off");
-  c->scores_asked = wy_metrics_counter (m, "wy_gate_score_calls_total",
-                                        "Calls for scores of items' texts");
-  c->scores_broken = wy_metrics_counter (m, "wy_gate_score_calls_failed_total",
-                                         "Of these, without a score");
+  c->item_runs_failed = wy_metrics_counter (
+      m, "wy_gate_item_runs_broken_total", "Runs of job items that broke off");
+  c->score_calls = wy_metrics_counter (m, "wy_gate_score_calls_total",
+                                       "Calls for scores of items' texts");
+  c->score_calls_failed = wy_metrics_counter (
+      m, "wy_gate_score_calls_failed_total", "Of these, without a score");
   c->score_hedges
       = wy_metrics_counter (m, "wy_gate_score_hedges_total",
                             "Second replicas asked for a score that was late");
@@ -51,12 +51,12 @@
                                          "Jobs accepted here");
   c->jobs_taken_over = wy_metrics_counter (m, "wy_gate_jobs_taken_over_total",
                                            "Jobs taken over from others");
-  c->ended
-      = wy_metrics_counters (m, "wy_gate_requests_ended_total",
-                             "Requests by how they ended", WY_GATE_LABEL_SETS);
-  c->latency_by = wy_metrics_histograms (m, "wy_gate_request_us",
-                                         "Time to the end of a request",
-                                         WY_GATE_HISTOGRAM_SETS);
+  c->requests_ended = wy_metrics_counter_family (
+      m, "wy_gate_requests_ended_total", "Requests by how they ended",
+      WY_GATE_LABEL_SETS);
+  c->latency_by_route = wy_metrics_histogram_family (
+      m, "wy_gate_request_us", "Time to the end of a request",
+      WY_GATE_HISTOGRAM_SETS);
   c->latency_us = wy_metrics_histogram (m, "wy_gate_answer_us",
                                         "Time to a replica's whole answer");
   c->score_us = wy_metrics_histogram (m, "wy_gate_score_us",
@@ -106,19 +106,19 @@
       m, "wy_gate_items_scoring", "Job items whose text waits for a score");
   v->items_unlisted = wy_metrics_gauge (
       m, "wy_gate_items_unlisted", "Job items whose results are not listed");
-  v->store_ended = wy_metrics_counters (m, "wy_gate_store_calls_ended_total",
-                                        "Calls to the store by how they ended",
-                                        WY_GATE_LABEL_SETS);
-  v->table_calls = wy_metrics_counters (m, "wy_gate_store_table_calls_total",
-                                        "Calls to the store by table",
-                                        WY_GATE_LABEL_SETS);
+  v->store_ended = wy_metrics_counter_family (
+      m, "wy_gate_store_calls_ended_total",
+      "Calls to the store by how they ended", WY_GATE_LABEL_SETS);
+  v->table_calls = wy_metrics_counter_family (
+      m, "wy_gate_store_table_calls_total", "Calls to the store by table",
+      WY_GATE_LABEL_SETS);
   v->table_rows_read
-      = wy_metrics_counters (m, "wy_gate_store_rows_read_total",
-                             "Rows read by table", WY_GATE_LABEL_SETS);
-  v->table_read_bytes = wy_metrics_counters (
+      = wy_metrics_counter_family (m, "wy_gate_store_rows_read_total",
+                                   "Rows read by table", WY_GATE_LABEL_SETS);
+  v->table_read_bytes = wy_metrics_counter_family (
       m, "wy_gate_store_read_bytes_total",
       "Bytes of the store's answers by table", WY_GATE_LABEL_SETS);
-  v->table_written_bytes = wy_metrics_counters (
+  v->table_written_bytes = wy_metrics_counter_family (
       m, "wy_gate_store_written_bytes_total",
       "Bytes sent to the store by table", WY_GATE_LABEL_SETS);
   v->organisations
@@ -148,19 +148,20 @@
 static void
 read_store_calls (struct wy_gate_gauges *v, const struct wy_rows_stats *s)
 {
-  static const char *const names[WY_ROWS_ENDS]
+  static const char *const names[WY_ROWS_OUTCOMES]
       = { "done", "not_done", "unknown" };
 
   for (int verb = 0; verb < WY_ROWS_VERBS; verb++)
-    for (int end = 0; end < WY_ROWS_ENDS; end++)
+    for (int end = 0; end < WY_ROWS_OUTCOMES; end++)
       {
         char labels[LABELS_SIZE_BYTES];
 
-        if (s->ended[verb][end] == 0)
+        if (s->calls_by_outcome[verb][end] == 0)
           continue;
         snprintf (labels, sizeof labels, "verb=\"%s\",outcome=\"%s\"",
                   wy_store_verb_name ((enum wy_store_verb)verb), names[end]);
-        *wy_family_counter (v->store_ended, labels) = s->ended[verb][end];
+        *wy_metrics_family_counter (v->store_ended, labels)
+            = s->calls_by_outcome[verb][end];
       }
 }
 
@@ -170,12 +171,13 @@
   for (uint32_t i = 0; i < t->n_tables; i++)
     {
       const struct wy_table_traffic *c = &t->tables[i];
-      char *table = wy_label ("table", c->table);
+      char *table = wy_metrics_label ("table", c->table);
 
-      *wy_family_counter (v->table_calls, table) = c->calls;
-      *wy_family_counter (v->table_rows_read, table) = c->rows_read;
-      *wy_family_counter (v->table_read_bytes, table) = c->read_bytes;
-      *wy_family_counter (v->table_written_bytes, table) = c->written_bytes;
+      *wy_metrics_family_counter (v->table_calls, table) = c->calls;
+      *wy_metrics_family_counter (v->table_rows_read, table) = c->rows_read;
+      *wy_metrics_family_counter (v->table_read_bytes, table) = c->read_bytes;
+      *wy_metrics_family_counter (v->table_written_bytes, table)
+          = c->written_bytes;
       g_free (table);
     }
 }
@@ -189,14 +191,14 @@
 
   *v->organisations = orgs ? (int64_t)wy_orgs_count (orgs) : 0;
   *v->keys = orgs ? (int64_t)wy_orgs_key_count (orgs) : 0;
-  *v->duties_held = g->duties && wy_duty_holder_holds (g->duties);
+  *v->duties_held = g->duties && wy_election_is_leader (g->duties);
   if (g->env.usage)
     wy_usage_stats (g->env.usage, &usage);
   *v->usage_reported = (int64_t)usage.reported;
   *v->usage_late = (int64_t)usage.late;
   *v->usage_missed = (int64_t)(usage.missed + usage.rejected);
   *v->usage_forced = (int64_t)usage.forced;
-  *v->scale_orders = g->scaler ? (int64_t)wy_scaler_orders (g->scaler) : 0;
+  *v->scale_orders = g->scaler ? (int64_t)wy_scaler_accepted (g->scaler) : 0;
 }
 
 /* Read the gauges anew.  */
@@ -206,7 +208,7 @@
   struct wy_gate_gauges *v = &g->gauges;
   struct wy_h1_client_stats http;
   struct wy_rows_stats rows;
-  struct wy_jobs_work work;
+  struct wy_jobs_backlog work;
 
   wy_h1_client_stats (g->env.http, &http);
   wy_rows_stats (g->env.rows, &rows);
@@ -217,7 +219,7 @@
   *v->store_relayed = (int64_t)rows.relayed;
   *v->store_direct = rows.direct_ok;
   *v->jobs = wy_jobs_running (g->jobs);
-  wy_jobs_work (g->jobs, &work);
+  wy_jobs_backlog (g->jobs, &work);
   *v->jobs_oldest_ms = work.oldest_ms;
   *v->items_waiting = work.waiting;
   *v->items_scoring = work.scoring;
@@ -230,5 +232,5 @@
   *v->replicas_age_ms = wy_watch_age_ms (g->replicas);
   *v->config_version = g->env.routing ? g->env.routing->version : 0;
   read_duties (g);
-  *v->log_dropped = (int64_t)wy_note_dropped ();
+  *v->log_dropped = (int64_t)wy_json_log_dropped ();
 }
--- a/src/gate/gate_state.h
+++ b/src/gate/gate_state.h
@@ -4,7 +4,7 @@
 
 #include "base/id.h"
 #include "duties/calls.h"
-#include "duties/scaling.h"
+#include "duties/scaler.h"
 #include "gate/env.h"
 #include "gate/gate.h"
 #include "gate/members.h"
@@ -57,11 +57,11 @@
   int64_t *usage_missed;
   int64_t *usage_forced;
   int64_t *scale_orders;
-  struct wy_family *store_ended; /* by verb and outcome */
-  struct wy_family *table_calls; /* by table */
-  struct wy_family *table_rows_read;
-  struct wy_family *table_read_bytes;
-  struct wy_family *table_written_bytes;
+  struct wy_metrics_family *store_ended; /* by verb and outcome */
+  struct wy_metrics_family *table_calls; /* by table */
+  struct wy_metrics_family *table_rows_read;
+  struct wy_metrics_family *table_read_bytes;
+  struct wy_metrics_family *table_written_bytes;
 };
 
 struct wy_gate
@@ -74,7 +74,7 @@
   struct wy_gate_gauges gauges;
   struct wy_members *members;
   struct wy_jobs *jobs;
-  struct wy_duty_holder *duties; /* NULL: the platform expects none */
+  struct wy_election *duties; /* NULL: the platform expects none */
   struct wy_duty_calls *duty_calls;
   struct wy_scaler *scaler; /* NULL: nobody asks for it */
   struct wy_watch *operator_rows;
--- a/src/gate/members.c
+++ b/src/gate/members.c
@@ -14,9 +14,9 @@
 #include <jansson.h>
 
 #include "base/id.h"
-#include "gate/crash_rows.h"
+#include "gate/suspect_list.h"
 #include "platform/replica_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -36,10 +36,11 @@
 
 /* The part of the directory and of the addresses that holds POSITION.  */
 void
-wy_members_part (uint64_t position, char out[WY_MEMBERS_PART_SIZE_BYTES])
+wy_members_partition (uint64_t position,
+                      char out[WY_MEMBERS_PARTITION_SIZE_BYTES])
 {
-  snprintf (out, WY_MEMBERS_PART_SIZE_BYTES, "%u",
-            (unsigned)(position % WY_MEMBERS_PARTS));
+  snprintf (out, WY_MEMBERS_PARTITION_SIZE_BYTES, "%u",
+            (unsigned)(position % WY_MEMBERS_PARTITIONS));
 }
 
 /* The key of addresses and heartbeats for POSITION.  Keys sort like positions.
@@ -59,7 +60,7 @@
 
   m->ring_is_stale = true;
   wy_members_learn_epoch (m);
-  m->o.env->entries = wy_members_alive (m);
+  m->o.env->entries = wy_members_count_alive (m);
   if (m->o.on_change)
     m->o.on_change (m->o.ctx);
 }
@@ -82,7 +83,7 @@
   n = wy_crash_rows_learn (&m->o.env->crashes, list,
                            wy_clock_mono_ms (m->o.env->clock));
   if (n)
-    wy_note ("request.held_back", "node=%s requests=%u", e->node, n);
+    wy_json_log ("request.held_back", "node=%s requests=%u", e->node, n);
 }
 
 static struct member *
@@ -122,12 +123,12 @@
   if (!wy_watch_is_synced (m->watch))
     return;
   if (e->failed && !was->failed)
-    wy_note ("entry.gone", "node=%s holder=%s version=%lld", e->node,
-             e->holder, (long long)e->row_version);
+    wy_json_log ("entry.gone", "node=%s holder=%s version=%lld", e->node,
+                 e->holder, (long long)e->row_version);
   else if (strcmp (was->holder, e->holder) != 0 || was->leaving != e->leaving
            || was->failed != e->failed)
-    wy_note ("entry.seen", "node=%s holder=%s leaving=%d version=%lld",
-             e->node, e->holder, e->leaving, (long long)e->row_version);
+    wy_json_log ("entry.seen", "node=%s holder=%s leaving=%d version=%lld",
+                 e->node, e->holder, e->leaving, (long long)e->row_version);
 }
 
 /* Replace the row of this entry, which another process has written or removed;
@@ -148,7 +149,7 @@
 {
   const struct member *e = g_hash_table_lookup (m->by_node, row->key);
 
-  if (!e || strcmp (e->part, row->part) != 0)
+  if (!e || strcmp (e->part, row->partition) != 0)
     return;
   g_hash_table_remove (m->by_node, row->key);
   schedule_change (m);
@@ -177,7 +178,7 @@
   was = *e;
   doc = json_loadb (row->value, row->size_bytes, 0, NULL);
   e->row_version = row->version;
-  g_strlcpy (e->part, row->part, sizeof e->part);
+  g_strlcpy (e->part, row->partition, sizeof e->part);
   decode (e, doc);
   if (e->failed && !was.failed)
     e->failed_since_ms = wy_clock_mono_ms (m->o.env->clock);
@@ -220,7 +221,7 @@
 
   if (epoch_ms)
     json_object_set_new (doc, "epoch_ms", json_integer (epoch_ms));
-  if (wy_crash_watch_any (&env->crashes))
+  if (wy_crash_tracker_has_suspects (&env->crashes))
     json_object_set_new (
         doc, "crashed",
         wy_crash_rows_encode (&env->crashes, wy_clock_mono_ms (env->clock)));
@@ -268,7 +269,7 @@
 void
 wy_members_write_row (struct wy_members *m)
 {
-  char part[WY_MEMBERS_PART_SIZE_BYTES];
+  char part[WY_MEMBERS_PARTITION_SIZE_BYTES];
   char key[WY_MEMBERS_KEY_SIZE_BYTES];
   char *text;
   struct wy_row_ref condition = { .table = WY_MEMBERS_TABLE,
@@ -280,7 +281,7 @@
             .key = key,
             .value = m->o.address,
             .size_bytes = strlen (m->o.address) } };
-  struct wy_rows_tx tx = { .part = part,
+  struct wy_rows_tx tx = { .partition = part,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = writes,
@@ -294,7 +295,7 @@
       free (text);
       return;
     }
-  wy_members_part (m->position, part);
+  wy_members_partition (m->position, part);
   wy_members_key (m->position, key);
   m->pending_row = g_strdup (text);
   free (text);
@@ -312,8 +313,8 @@
                                 .clock = o->env->clock,
                                 .rows = o->env->rows,
                                 .table = WY_MEMBERS_TABLE,
-                                .all_parts = true,
-                                .gap_ms = WATCH_GAP_MS,
+                                .all_partitions = true,
+                                .min_interval_ms = WATCH_GAP_MS,
                                 .seed = o->seed,
                                 .on_row = on_row,
                                 .ctx = m };
@@ -327,7 +328,7 @@
   uv_timer_init (o->env->loop, &m->change);
   m->change.data = m;
   m->watch = wy_watch_new (&w);
-  wy_members_start_beats (m);
+  wy_members_start_heartbeats (m);
   return m;
 }
 
@@ -338,7 +339,7 @@
   wy_members_follow_load (m, false);
   wy_watch_free (m->watch);
   uv_close ((uv_handle_t *)&m->change, NULL);
-  wy_members_stop_beats (m);
+  wy_members_stop_heartbeats (m);
 }
 
 /* Tell the others that this entry takes no new jobs.  */
--- a/src/gate/members.h
+++ b/src/gate/members.h
@@ -15,7 +15,7 @@
 #include "gate/env.h"
 
 #define WY_MEMBERS_TABLE "wy-members"
-#define WY_BEATS_TABLE "wy-beats"
+#define WY_HEARTBEATS_TABLE "wy-beats"
 #define WY_ADDRESSES_TABLE "wy-addresses"
 
 enum
@@ -23,8 +23,8 @@
   /* Parts of the directory and of the addresses.  A part serializes its
      transactions, some hundred a second; a starting entry reads every part of
      the directory.  */
-  WY_MEMBERS_PARTS = 8,
-  WY_MEMBERS_PART_SIZE_BYTES = 8,
+  WY_MEMBERS_PARTITIONS = 8,
+  WY_MEMBERS_PARTITION_SIZE_BYTES = 8,
   /* Keys of addresses and heartbeats.  */
   WY_MEMBERS_KEY_SIZE_BYTES = 17
 };
@@ -53,24 +53,27 @@
 struct wy_members *wy_members_new (const struct wy_members_options *o);
 void wy_members_free (struct wy_members *m);
 void wy_members_leave (struct wy_members *m);
-void wy_members_tell_usage (struct wy_members *m, int64_t window);
+void wy_members_publish_usage (struct wy_members *m, int64_t window);
 void wy_members_follow_load (struct wy_members *m, bool follow);
 double wy_members_busy (const struct wy_members *m, const char *service,
                         const char *availability_zone);
 bool wy_members_load_is_known (const struct wy_members *m);
 int64_t wy_members_epoch_ms (const struct wy_members *m);
 int64_t wy_members_usage_complete (const struct wy_members *m);
-uint32_t wy_members_alive (const struct wy_members *m);
-bool wy_members_is_gone (struct wy_members *m, const char *holder);
+uint32_t wy_members_count_alive (const struct wy_members *m);
+bool wy_members_holder_is_gone (struct wy_members *m, const char *holder);
 void wy_members_drain (struct wy_members *m);
-bool wy_members_choose (const struct wy_members *m, const char *key,
-                        const char **holder, struct sockaddr_in *address);
+bool wy_members_choose_holder (const struct wy_members *m, const char *key,
+                               const char **holder,
+                               struct sockaddr_in *address);
 uint32_t wy_members_rank (const struct wy_members *m, const char *key);
 size_t wy_members_addresses (const struct wy_members *m,
                              struct sockaddr_in *out, size_t max);
-void wy_members_part (uint64_t position, char out[WY_MEMBERS_PART_SIZE_BYTES]);
+void wy_members_partition (uint64_t position,
+                           char out[WY_MEMBERS_PARTITION_SIZE_BYTES]);
 void wy_members_key (uint64_t position, char out[WY_MEMBERS_KEY_SIZE_BYTES]);
-bool wy_member_address (const struct wy_row *row, struct sockaddr_in *out);
+bool wy_member_parse_address (const struct wy_row *row,
+                              struct sockaddr_in *out);
 void wy_members_each (const struct wy_members *m,
                       void (*fn) (void *ctx, const struct wy_member_view *v),
                       void *ctx);
--- a/src/gate/members_beats.c
+++ b/src/gate/members_heartbeat.c
@@ -12,7 +12,7 @@
 #include <jansson.h>
 
 #include "decide/ring.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -45,8 +45,8 @@
 {
   char part[PART_SIZE_BYTES];
   char key[WY_MEMBERS_KEY_SIZE_BYTES];
-  struct wy_row_write w = { .table = WY_BEATS_TABLE, .key = key };
-  struct wy_rows_tx tx = { .part = part, .writes = &w, .n_writes = 1 };
+  struct wy_row_write w = { .table = WY_HEARTBEATS_TABLE, .key = key };
+  struct wy_rows_tx tx = { .partition = part, .writes = &w, .n_writes = 1 };
   json_t *doc = json_pack ("{s:s, s:I}", "holder", m->o.env->holder, "beat",
                            (json_int_t)++m->beats);
   json_t *busy = wy_busy_encode (m->busy);
@@ -122,16 +122,16 @@
 
   if (!e || e->failed || w->marking)
     return;
-  wy_note ("entry.silent", "node=%s holder=%s silent_ms=%lld version=%lld",
-           e->node, e->holder, (long long)silent_ms,
-           (long long)e->row_version);
+  wy_json_log ("entry.silent", "node=%s holder=%s silent_ms=%lld version=%lld",
+               e->node, e->holder, (long long)silent_ms,
+               (long long)e->row_version);
   doc = json_pack ("{s:s, s:b}", "holder", e->holder, "failed", 1);
   value = json_dumps (doc, JSON_COMPACT);
   json_decref (doc);
   k = g_new0 (struct mark_request, 1);
   k->members = m;
   g_strlcpy (k->node, e->node, sizeof k->node);
-  tx.part = e->part;
+  tx.partition = e->part;
   condition.version = e->row_version;
   write.value = value;
   write.size_bytes = strlen (value);
@@ -192,8 +192,9 @@
   char part[PART_SIZE_BYTES];
   char from[WY_MEMBERS_KEY_SIZE_BYTES];
   char to[WY_MEMBERS_KEY_SIZE_BYTES + 1];
-  struct wy_rows_range range
-      = { .table = WY_BEATS_TABLE, .part = part, .from = from, .to = to };
+  struct wy_rows_range range = {
+    .table = WY_HEARTBEATS_TABLE, .partition = part, .from = from, .to = to
+  };
 
   b->members = m;
   b->first = first;
@@ -313,14 +314,14 @@
                                   .version = e->row_version };
   struct wy_row_ref removals[2]
       = { condition, { .table = WY_ADDRESSES_TABLE, .key = key } };
-  struct wy_rows_tx tx = { .part = e->part,
+  struct wy_rows_tx tx = { .partition = e->part,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .removals = removals,
                            .n_removals = 2 };
 
   wy_members_key (e->position, key);
-  wy_note ("entry.removed", "node=%s holder=%s", e->node, e->holder);
+  wy_json_log ("entry.removed", "node=%s holder=%s", e->node, e->holder);
   wy_rows_tx (m->o.env->rows, &tx, on_removed, m);
 }
 
@@ -361,7 +362,7 @@
 
 /* Start writing and reading heartbeats.  */
 void
-wy_members_start_beats (struct wy_members *m)
+wy_members_start_heartbeats (struct wy_members *m)
 {
   uv_loop_t *loop = m->o.env->loop;
 
@@ -376,7 +377,7 @@
 
 /* Stop writing and reading heartbeats.  */
 void
-wy_members_stop_beats (struct wy_members *m)
+wy_members_stop_heartbeats (struct wy_members *m)
 {
   uv_close ((uv_handle_t *)&m->beat, NULL);
   uv_close ((uv_handle_t *)&m->poll, NULL);
--- a/src/gate/members_load.c
+++ b/src/gate/members_load.c
@@ -57,9 +57,9 @@
   struct wy_watch_options w = { .loop = m->o.env->loop,
                                 .clock = m->o.env->clock,
                                 .rows = m->o.env->rows,
-                                .table = WY_BEATS_TABLE,
-                                .all_parts = true,
-                                .gap_ms = WATCH_GAP_MS,
+                                .table = WY_HEARTBEATS_TABLE,
+                                .all_partitions = true,
+                                .min_interval_ms = WATCH_GAP_MS,
                                 .seed = m->o.seed + 1,
                                 .on_row = on_row,
                                 .ctx = m };
@@ -147,7 +147,7 @@
 /* Tell the others, with the next heartbeat, that the usage counted here is in
    the store for all windows up to WINDOW.  */
 void
-wy_members_tell_usage (struct wy_members *m, int64_t window)
+wy_members_publish_usage (struct wy_members *m, int64_t window)
 {
   m->usage_complete = window;
 }
--- a/src/gate/members_choice.c
+++ b/src/gate/members_query.c
@@ -29,7 +29,7 @@
 
 /* Number of entries alive; at least 1, this one.  */
 uint32_t
-wy_members_alive (const struct wy_members *m)
+wy_members_count_alive (const struct wy_members *m)
 {
   GHashTableIter it;
   gpointer p;
@@ -100,7 +100,7 @@
 /* Whether HOLDER, "NODE/INCARNATION", will do no more work: its instance is
    silent or leaving, or has started anew since.  */
 bool
-wy_members_is_gone (struct wy_members *m, const char *holder)
+wy_members_holder_is_gone (struct wy_members *m, const char *holder)
 {
   const char *slash = strchr (holder, '/');
   char node[WY_MEMBERS_NAME_SIZE_BYTES];
@@ -180,8 +180,8 @@
    and its heartbeats may be missed.  False: this entry, or none that is known;
    HOLDER and ADDRESS are set else.  */
 bool
-wy_members_choose (const struct wy_members *m, const char *key,
-                   const char **holder, struct sockaddr_in *address)
+wy_members_choose_holder (const struct wy_members *m, const char *key,
+                          const char **holder, struct sockaddr_in *address)
 {
   const char *node = m->o.env->node;
   double least = least_share (m);
@@ -270,7 +270,7 @@
 /* Where the entry of ROW, of the table of addresses, takes calls to the store;
    false: it can't be read.  */
 bool
-wy_member_address (const struct wy_row *row, struct sockaddr_in *out)
+wy_member_parse_address (const struct wy_row *row, struct sockaddr_in *out)
 {
   char text[WY_MEMBERS_NAME_SIZE_BYTES];
 
--- a/src/gate/members_state.h
+++ b/src/gate/members_state.h
@@ -3,7 +3,7 @@
 #define WY_GATE_MEMBERS_STATE_H
 
 #include "decide/liveness.h"
-#include "gate/busy.h"
+#include "gate/busy_slots.h"
 #include "gate/members.h"
 #include "rows/watch.h"
 
@@ -20,7 +20,7 @@
 {
   char node[WY_MEMBERS_NAME_SIZE_BYTES];
   char holder[WY_MEMBERS_NAME_SIZE_BYTES];
-  char part[WY_MEMBERS_PART_SIZE_BYTES]; /* of its row */
+  char part[WY_MEMBERS_PARTITION_SIZE_BYTES]; /* of its row */
   int64_t row_version;
   uint64_t position; /* on the ring */
   struct sockaddr_in address;
@@ -82,7 +82,7 @@
 void wy_members_write_row (struct wy_members *m);
 struct member **wy_members_ring (const struct wy_members *m, size_t *n);
 
-void wy_members_start_beats (struct wy_members *m);
-void wy_members_stop_beats (struct wy_members *m);
+void wy_members_start_heartbeats (struct wy_members *m);
+void wy_members_stop_heartbeats (struct wy_members *m);
 
 #endif
--- a/src/gate/proxy.c
+++ b/src/gate/proxy.c
@@ -12,7 +12,7 @@
 
 #include "decide/attempt.h"
 #include "platform/request_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -95,40 +95,40 @@
   wy_proxy_end_try (t, outcome);
   if (!ran && !p->may_have_run && !any_running (p))
     wy_proxy_usage_settle (p, false);
-  wy_events_reset (&p->events);
+  wy_sse_reset (&p->events);
   (*p->env->count.retries)++;
   go_on (p, reason);
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *a)
+on_head (void *ctx, const struct wy_h1_response *a)
 {
   struct wy_try *t = ctx;
   struct wy_proxied *p = t->p;
 
   t->heard_ms = wy_proxy_now_ms (p);
-  wy_target_heard (t->target);
-  wy_answer_read (a->status, a->head, &t->info);
+  wy_target_response_started (t->target);
+  wy_response_parse_head (a->status, a->head, &t->info);
   if (t->info.has_load)
-    wy_target_loaded (t->target, t->info.running + t->info.waiting,
-                      t->heard_ms);
+    wy_target_record_load (t->target, t->info.running + t->info.waiting,
+                           t->heard_ms);
   /* An answer to another request, left over on the connection.  */
   if (t->info.id && strcmp (t->info.id, p->id) != 0)
     t->bad = true;
   if (a->status < 300 && (t->info.encoded || !t->info.stamp))
     t->bad = true;
   t->not_run = t->info.not_run;
-  t->answer = wy_answer_new (a->status, a->head);
+  t->answer = wy_response_new (a->status, a->head);
   if (p->kind == WY_ROUTE_STREAM && a->status == 200 && !t->bad
       && !p->streaming)
     {
       p->streaming = true;
-      wy_answer_begin (t->answer, p->request);
+      wy_response_begin (t->answer, p->request);
     }
 }
 
 static void
-on_event (void *ctx, const struct wy_event *ev)
+on_event (void *ctx, const struct wy_sse_event *ev)
 {
   struct wy_proxied *p = ctx;
 
@@ -136,7 +136,7 @@
     return;
   if (ev->id >= 0)
     p->after_event = ev->id;
-  wy_h1_write (p->request, ev->raw, ev->raw_n);
+  wy_h1_write_response (p->request, ev->raw, ev->raw_n);
 }
 
 static void
@@ -156,7 +156,7 @@
         g_string_append_len (t->answer->body, bytes, (gssize)n);
       return;
     }
-  wy_events_feed (&p->events, bytes, n, on_event, p);
+  wy_sse_feed (&p->events, bytes, n, on_event, p);
   if (wy_h1_unsent_bytes (p->request) > UNSENT_LIMIT_BYTES)
     wy_proxy_give_up (p, false, "slow_caller");
 }
@@ -169,35 +169,36 @@
   int status = t->answer ? t->answer->status : 0;
   struct wy_attempt a = { .sent = wy_h1_call_sent (t->call),
                           .complete = !err,
-                          .spoilt = t->bad,
+                          .mismatched = t->bad,
                           .not_run = t->not_run,
                           .status = status };
   bool ran = wy_attempt_may_have_run (&a);
 
   t->call = NULL;
   if (!a.sent)
-    try_failed (t, WY_TARGET_BROKEN, ran, "no_connection");
+    try_failed (t, WY_TARGET_FAILED, ran, "no_connection");
   else if (err)
     {
       if (!t->answer)
-        wy_crash_watch_broken (&p->env->crashes, wy_proxy_fingerprint (p),
-                               t->target->info.id, wy_proxy_now_ms (p));
-      try_failed (t, WY_TARGET_BROKEN, ran,
+        wy_crash_tracker_run_interrupted (
+            &p->env->crashes, wy_proxy_fingerprint (p), t->target->info.id,
+            wy_proxy_now_ms (p));
+      try_failed (t, WY_TARGET_FAILED, ran,
                   err == WY_H1_EPARTIAL ? "cut_short" : "broken_off");
     }
   else if (t->bad)
-    try_failed (t, WY_TARGET_BROKEN, ran, "spoilt_answer");
+    try_failed (t, WY_TARGET_FAILED, ran, "spoilt_answer");
   else if (t->not_run)
-    try_failed (t, status == 421 ? WY_TARGET_ELSEWHERE : WY_TARGET_FULL, ran,
-                status == 421 ? "not_there" : "full");
+    try_failed (t, status == 421 ? WY_TARGET_MISDIRECTED : WY_TARGET_REJECTED,
+                ran, status == 421 ? "not_there" : "full");
   else if (wy_attempt_is_unclear_refusal (&a) && !p->streaming)
     try_failed (t, WY_TARGET_ANSWERED, ran, "unclear_refusal");
-  else if (p->streaming && wy_events_in_midst (&p->events))
-    try_failed (t, WY_TARGET_BROKEN, true, "cut_short");
+  else if (p->streaming && wy_sse_has_partial (&p->events))
+    try_failed (t, WY_TARGET_FAILED, true, "cut_short");
   else if (status >= 500 && !p->streaming && is_repeatable (p)
            && p->attempts_left)
     {
-      wy_answer_free (p->spare);
+      wy_response_free (p->spare);
       p->spare = t->answer;
       t->answer = NULL;
       try_failed (t, WY_TARGET_ANSWERED, true, "replica_failed");
@@ -209,7 +210,7 @@
 static void
 send_to (struct wy_proxied *p, struct wy_target *g, struct wy_try *t)
 {
-  GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
+  GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
   int64_t now_ms = wy_proxy_now_ms (p);
   struct wy_forward_info f
       = { .replica = g->info.id,
@@ -230,14 +231,14 @@
   t->target = g;
   t->started_ms = now_ms;
   t->heard_ms = now_ms;
-  wy_forward_fields (wy_h1_head (p->request), &f, fields);
-  o.fields = (const struct wy_h1_pair *)fields->data;
+  wy_request_forward_fields (wy_h1_head (p->request), &f, fields);
+  o.fields = (const struct wy_h1_header *)fields->data;
   o.n_fields = fields->len;
   o.body = wy_h1_body (p->request, &o.body_size_bytes);
   o.has_body = strcmp (o.method, "GET") != 0 && strcmp (o.method, "HEAD") != 0;
-  wy_target_hold (g);
+  wy_target_ref (g);
   g_ptr_array_add (p->tried, g);
-  wy_target_started (g);
+  wy_target_request_started (g);
   p->sends++;
   p->attempts_left--;
   wy_proxy_usage_sent (p);
@@ -248,7 +249,7 @@
 static struct wy_target *
 pick (struct wy_proxied *p, bool again)
 {
-  struct wy_pick q
+  struct wy_target_criteria q
       = { .service = p->service,
           .availability_zone = p->env->availability_zone,
           .in_flight_limit = wy_gate_in_flight_limit (p->env, p->service),
@@ -309,7 +310,7 @@
     }
   if (any_running (p))
     return;
-  if (wy_targets_ready (p->env->targets, p->service) == 0)
+  if (wy_targets_count_ready (p->env->targets, p->service) == 0)
     {
       wy_proxy_give_up (p, false, "no_target");
       return;
@@ -332,7 +333,7 @@
 
       if (t->target && wy_proxy_now_ms (p) - t->heard_ms >= STREAM_SILENCE_MS)
         {
-          try_failed (t, WY_TARGET_SILENT, true, "silent");
+          try_failed (t, WY_TARGET_TIMED_OUT, true, "silent");
           return;
         }
     }
@@ -390,11 +391,11 @@
 static bool
 is_held_back (struct wy_proxied *p)
 {
-  struct wy_crash_watch *w = &p->env->crashes;
+  struct wy_crash_tracker *w = &p->env->crashes;
 
-  if (!wy_crash_watch_any (w)
-      || !wy_crash_watch_holds_back (w, wy_proxy_fingerprint (p),
-                                     wy_proxy_now_ms (p)))
+  if (!wy_crash_tracker_has_suspects (w)
+      || !wy_crash_tracker_is_blocked (w, wy_proxy_fingerprint (p),
+                                       wy_proxy_now_ms (p)))
     return false;
   (*p->env->count.held_back)++;
   return true;
@@ -408,7 +409,7 @@
   struct wy_proxied *p = g_new0 (struct wy_proxied, 1);
   struct wy_request_info info;
 
-  wy_request_read (wy_h1_head (r), &info);
+  wy_request_parse_head (wy_h1_head (r), &info);
   (*env->count.requests)++;
   p->env = env;
   p->request = r;
@@ -417,14 +418,14 @@
   p->id = g_strdup (info.id ? info.id : "");
   p->route = g_strdup (route->name);
   p->service = g_strdup (
-      wy_route_service (route, wy_rng_below (&env->rng, UINT32_MAX)));
+      wy_route_pick_service (route, wy_rng_below (&env->rng, UINT32_MAX)));
   p->config_version = env->routing->version;
   p->has_orgs = env->routing->orgs != NULL;
   p->organisation = org ? g_strdup (org->name) : NULL;
   p->attempts_left = route->attempts;
   p->after_event = info.after_event;
   p->tried = g_ptr_array_new ();
-  wy_events_init (&p->events);
+  wy_sse_init (&p->events);
   set_times (p, route, &info, wy_h1_received_ms (r));
   uv_timer_init (env->loop, &p->timer);
   p->timer.data = p;
