--- a/src/gate/proxy_end.c
+++ b/src/gate/proxy_end.c
@@ -6,7 +6,7 @@
 
 #include "base/id.h"
 #include "decide/attempt.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -61,9 +61,10 @@
     wy_h1_call_cancel (t->call);
   t->call = NULL;
   t->target = NULL;
-  wy_answer_free (t->answer);
+  wy_response_free (t->answer);
   t->answer = NULL;
-  wy_target_ended (t->p->env->targets, g, outcome, wy_proxy_now_ms (t->p));
+  wy_target_request_ended (t->p->env->targets, g, outcome,
+                           wy_proxy_now_ms (t->p));
 }
 
 static void
@@ -82,7 +83,7 @@
 
   if (!t->target || t->answer
       || wy_proxy_now_ms (p) - t->started_ms < (int64_t)p->hedge_ms)
-    return WY_TARGET_ABANDONED;
+    return WY_TARGET_CANCELLED;
   return WY_TARGET_STALLED;
 }
 
@@ -95,11 +96,11 @@
     if (p->tries[i].target)
       wy_proxy_end_try (&p->tries[i], outcome_of (&p->tries[i]));
   for (guint i = 0; i < p->tried->len; i++)
-    wy_target_release (p->env->targets, g_ptr_array_index (p->tried, i));
+    wy_target_unref (p->env->targets, g_ptr_array_index (p->tried, i));
   wy_proxy_usage_settle (p, true);
   g_ptr_array_free (p->tried, TRUE);
-  wy_events_clear (&p->events);
-  wy_answer_free (p->spare);
+  wy_sse_clear (&p->events);
+  wy_response_free (p->spare);
   g_free (p->id);
   g_free (p->route);
   g_free (p->service);
@@ -111,17 +112,18 @@
 static void
 count_end (const struct wy_proxied *p, const char *outcome, const char *reason)
 {
-  char *route = wy_label ("route", p->route);
-  char *service = wy_label ("service", p->service);
-  char *end = wy_label ("outcome", outcome);
-  char *why = wy_label ("reason", reason);
+  char *route = wy_metrics_label ("route", p->route);
+  char *service = wy_metrics_label ("service", p->service);
+  char *end = wy_metrics_label ("outcome", outcome);
+  char *why = wy_metrics_label ("reason", reason);
   char *ended = g_strjoin (",", route, end, why, NULL);
   char *latency = g_strjoin (",", route, service, end, NULL);
   int64_t ms = wy_proxy_now_ms (p) - p->started_ms;
 
-  ++*wy_family_counter (p->env->count.ended, ended);
-  wy_hist_add (wy_family_histogram (p->env->count.latency_by, latency),
-               (uint64_t)ms * WY_US_PER_MS);
+  ++*wy_metrics_family_counter (p->env->count.requests_ended, ended);
+  wy_hist_add (
+      wy_metrics_family_histogram (p->env->count.latency_by_route, latency),
+      (uint64_t)ms * WY_US_PER_MS);
   g_free (latency);
   g_free (ended);
   g_free (why);
@@ -135,12 +137,13 @@
          const char *reason)
 {
   count_end (p, outcome, reason);
-  wy_note ("request.ended",
-           "id=%s route=%s service=%s organisation=%s config=%lld outcome=%s "
-           "status=%d reason=%s sends=%u ms=%lld",
-           p->id, p->route, p->service, wy_proxy_organisation (p),
-           (long long)p->config_version, outcome, status, reason, p->sends,
-           (long long)(wy_proxy_now_ms (p) - p->started_ms));
+  wy_json_log (
+      "request.ended",
+      "id=%s route=%s service=%s organisation=%s config=%lld outcome=%s "
+      "status=%d reason=%s sends=%u ms=%lld",
+      p->id, p->route, p->service, wy_proxy_organisation (p),
+      (long long)p->config_version, outcome, status, reason, p->sends,
+      (long long)(wy_proxy_now_ms (p) - p->started_ms));
 }
 
 /* The caller has hung up.  */
@@ -163,12 +166,13 @@
   const struct wy_target *g = t->target;
   int64_t now_ms = wy_proxy_now_ms (t->p);
 
-  wy_note ("request.try_failed",
-           "id=%s target=%s outcome=%s ms=%lld in_flight=%u failures=%u "
-           "load=%u load_age_ms=%lld",
-           t->p->id, g->info.id, outcome, (long long)(now_ms - t->started_ms),
-           g->in_flight, g->failures, g->reported_load,
-           g->reported_ms ? (long long)(now_ms - g->reported_ms) : -1LL);
+  wy_json_log ("request.try_failed",
+               "id=%s target=%s outcome=%s ms=%lld in_flight=%u failures=%u "
+               "load=%u load_age_ms=%lld",
+               t->p->id, g->info.id, outcome,
+               (long long)(now_ms - t->started_ms), g->in_flight, g->failures,
+               g->reported_load,
+               g->reported_ms ? (long long)(now_ms - g->reported_ms) : -1LL);
 }
 
 static uint32_t
@@ -187,7 +191,7 @@
 wy_proxy_give_up (struct wy_proxied *p, bool late, const char *reason)
 {
   struct wy_h1_request *r = p->request;
-  int status = wy_status_of_failure (p->may_have_run, late);
+  int status = wy_attempt_failure_status (p->may_have_run, late);
   uint32_t after_ms = retry_after_ms (reason);
 
   p->request = NULL;
@@ -198,19 +202,19 @@
     {
       (*p->env->count.failed)++;
       log_end (p, "broken_off", 0, reason);
-      wy_h1_break (r);
+      wy_h1_abort (r);
     }
   else if (p->spare)
     {
       (*p->env->count.answered)++;
       log_end (p, "answered", p->spare->status, "replica_failed");
-      wy_answer_send (p->spare, r);
+      wy_response_send (p->spare, r);
     }
   else
     {
       (*(status == 503 ? p->env->count.refused : p->env->count.failed))++;
       log_end (p, status == 503 ? "refused" : "failed", status, reason);
-      wy_refuse (r, status, reason, status == 503 ? after_ms : 0);
+      wy_respond_status (r, status, reason, status == 503 ? after_ms : 0);
     }
   wy_proxy_finish (p);
 }
@@ -220,33 +224,33 @@
 wy_proxy_succeed (struct wy_proxied *p, struct wy_try *t)
 {
   struct wy_h1_request *r = p->request;
-  struct wy_answer *a = t->answer;
+  struct wy_response *a = t->answer;
   int64_t now_ms = wy_proxy_now_ms (p);
 
-  if (wy_crash_watch_any (&p->env->crashes))
-    wy_crash_watch_cleared (&p->env->crashes, wy_proxy_fingerprint (p));
+  if (wy_crash_tracker_has_suspects (&p->env->crashes))
+    wy_crash_tracker_clear (&p->env->crashes, wy_proxy_fingerprint (p));
   p->request = NULL;
   t->answer = NULL;
   (*p->env->count.answered)++;
   wy_hist_add (p->env->count.latency_us,
                (uint64_t)(now_ms - p->started_ms) * WY_US_PER_MS);
-  wy_note ("request.ended",
-           "id=%s route=%s service=%s organisation=%s config=%lld "
-           "outcome=answered status=%d target=%s sends=%u ms=%lld "
-           "target_ms=%lld",
-           p->id, p->route, p->service, wy_proxy_organisation (p),
-           (long long)p->config_version, a->status, t->target->info.id,
-           p->sends, (long long)(now_ms - p->started_ms),
-           (long long)(now_ms - t->started_ms));
+  wy_json_log ("request.ended",
+               "id=%s route=%s service=%s organisation=%s config=%lld "
+               "outcome=answered status=%d target=%s sends=%u ms=%lld "
+               "target_ms=%lld",
+               p->id, p->route, p->service, wy_proxy_organisation (p),
+               (long long)p->config_version, a->status, t->target->info.id,
+               p->sends, (long long)(now_ms - p->started_ms),
+               (long long)(now_ms - t->started_ms));
   count_end (p, "answered", "replica");
   if (p->streaming)
-    wy_h1_finish (r);
+    wy_h1_end_response (r);
   else
-    wy_answer_send (a, r);
-  wy_answer_free (a);
+    wy_response_send (a, r);
+  wy_response_free (a);
   if (p->kind != WY_ROUTE_STREAM)
-    wy_target_paced (t->target, WY_WORK_REQUEST,
-                     (double)(now_ms - t->started_ms), now_ms);
+    wy_target_record_pace (t->target, WY_WORK_REQUEST,
+                           (double)(now_ms - t->started_ms), now_ms);
   wy_proxy_end_try (t, WY_TARGET_ANSWERED);
   wy_proxy_finish (p);
 }
--- a/src/gate/proxy_state.h
+++ b/src/gate/proxy_state.h
@@ -2,8 +2,8 @@
 #ifndef WY_GATE_PROXY_STATE_H
 #define WY_GATE_PROXY_STATE_H
 
-#include "gate/answer.h"
-#include "gate/events.h"
+#include "gate/response.h"
+#include "gate/sse.h"
 #include "gate/proxy.h"
 #include "platform/request_wire.h"
 
@@ -20,8 +20,8 @@
   struct wy_proxied *p;
   struct wy_target *target; /* NULL: free */
   struct wy_h1_call *call;
-  struct wy_answer *answer;
-  struct wy_answer_info info;
+  struct wy_response *answer;
+  struct wy_response_info info;
   int64_t started_ms;
   int64_t heard_ms;
   bool bad;
@@ -55,12 +55,12 @@
   uint64_t fingerprint; /* 0: not computed */
   int64_t after_event;
   bool may_have_run;
-  int64_t hedge_due_ms;    /* 0: none */
-  int64_t round_due_ms;    /* 0: none */
-  struct wy_answer *spare; /* a replica's failure, if nothing better comes */
+  int64_t hedge_due_ms;      /* 0: none */
+  int64_t round_due_ms;      /* 0: none */
+  struct wy_response *spare; /* a replica's failure, if nothing better comes */
   struct wy_try tries[WY_PROXY_TRIES_MAX];
   GPtrArray *tried; /* struct wy_target, held */
-  struct wy_events events;
+  struct wy_sse_parser events;
 };
 
 uint64_t wy_proxy_fingerprint (struct wy_proxied *p);
--- a/src/gate/replica.h
+++ b/src/gate/replica.h
@@ -46,8 +46,8 @@
 
 enum wy_load_mode
 {
-  WY_LOAD_AFTER_RUNS, /* runs finish first */
-  WY_LOAD_UNDER_RUNS  /* runs go on under the new version */
+  WY_LOAD_WAIT_FOR_RUNS, /* runs finish first */
+  WY_LOAD_DURING_RUNS    /* runs go on under the new version */
 };
 
 /* An order to load a version of a model's weights.  */
@@ -64,11 +64,11 @@
 enum wy_order_outcome
 {
   WY_ORDER_ACCEPTED,
-  WY_ORDER_HOLDS, /* it is so already */
-  WY_ORDER_BUSY,  /* another is in progress, or the count differs */
+  WY_ORDER_ALREADY_LOADED, /* it is so already */
+  WY_ORDER_BUSY,           /* another is in progress, or the count differs */
   WY_ORDER_FENCED,
   WY_ORDER_INVALID,
-  WY_ORDER_NOT_HERE, /* another replica has the address */
+  WY_ORDER_MISDIRECTED, /* another replica has the address */
   WY_ORDER_UNKNOWN
 };
 
--- a/src/gate/answer.c
+++ b/src/gate/response.c
@@ -1,5 +1,5 @@
 /* Answers of the entry's own, and a replica's answer kept whole.  */
-#include "gate/answer.h"
+#include "gate/response.h"
 
 #include <string.h>
 
@@ -14,10 +14,10 @@
    logs; RETRY_AFTER_MS tells when a new attempt is worth its while, 0: not
    told.  429, 503 and 408 promise that the request has not run.  */
 void
-wy_refuse (struct wy_h1_request *r, int status, const char *reason,
-           uint32_t retry_after_ms)
+wy_respond_status (struct wy_h1_request *r, int status, const char *reason,
+                   uint32_t retry_after_ms)
 {
-  struct wy_h1_pair fields[2] = { { "Content-Type", "application/json" } };
+  struct wy_h1_header fields[2] = { { "Content-Type", "application/json" } };
   char after[32];
   char body[128];
   size_t n = 1;
@@ -36,9 +36,9 @@
 
 /* Answer R with 401: its caller has shown no valid key.  */
 void
-wy_refuse_unauthorized (struct wy_h1_request *r, const char *reason)
+wy_respond_unauthorized (struct wy_h1_request *r, const char *reason)
 {
-  static const struct wy_h1_pair fields[]
+  static const struct wy_h1_header fields[]
       = { { "Content-Type", "application/json" },
           { "WWW-Authenticate", "Bearer" } };
   char body[128];
@@ -48,7 +48,7 @@
 }
 
 static void
-keep_text (struct wy_answer *a, const char *text)
+keep_text (struct wy_response *a, const char *text)
 {
   uint32_t at = (uint32_t)a->texts->len;
 
@@ -57,21 +57,21 @@
 }
 
 /* Keep status and fields of a replica's answer, as they go to a caller.  */
-struct wy_answer *
-wy_answer_new (int status, const struct wy_h1_head *head)
+struct wy_response *
+wy_response_new (int status, const struct wy_h1_head *head)
 {
-  struct wy_answer *a = g_new0 (struct wy_answer, 1);
-  GArray *pairs = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
+  struct wy_response *a = g_new0 (struct wy_response, 1);
+  GArray *pairs = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
 
   a->status = status;
   a->texts = g_string_new (NULL);
   a->fields = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   a->body = g_string_new (NULL);
-  wy_answer_fields (head, pairs);
+  wy_response_forward_fields (head, pairs);
   for (guint i = 0; i < pairs->len; i++)
     {
-      keep_text (a, g_array_index (pairs, struct wy_h1_pair, i).name);
-      keep_text (a, g_array_index (pairs, struct wy_h1_pair, i).value);
+      keep_text (a, g_array_index (pairs, struct wy_h1_header, i).name);
+      keep_text (a, g_array_index (pairs, struct wy_h1_header, i).value);
     }
   g_array_free (pairs, TRUE);
   return a;
@@ -79,7 +79,7 @@
 
 /* Free A, which may be NULL.  */
 void
-wy_answer_free (struct wy_answer *a)
+wy_response_free (struct wy_response *a)
 {
   if (!a)
     return;
@@ -90,13 +90,13 @@
 }
 
 static GArray *
-pairs_of (const struct wy_answer *a)
+pairs_of (const struct wy_response *a)
 {
-  GArray *out = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
+  GArray *out = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
 
   for (guint i = 0; i + 1 < a->fields->len; i += 2)
     {
-      struct wy_h1_pair p
+      struct wy_h1_header p
           = { a->texts->str + g_array_index (a->fields, uint32_t, i),
               a->texts->str + g_array_index (a->fields, uint32_t, i + 1) };
 
@@ -107,21 +107,22 @@
 
 /* Send A whole as the answer to R.  */
 void
-wy_answer_send (const struct wy_answer *a, struct wy_h1_request *r)
+wy_response_send (const struct wy_response *a, struct wy_h1_request *r)
 {
   GArray *p = pairs_of (a);
 
-  wy_h1_respond (r, a->status, (const struct wy_h1_pair *)p->data, p->len,
+  wy_h1_respond (r, a->status, (const struct wy_h1_header *)p->data, p->len,
                  a->body->str, a->body->len);
   g_array_free (p, TRUE);
 }
 
 /* Begin a stream with A's status and fields as the answer to R.  */
 void
-wy_answer_begin (const struct wy_answer *a, struct wy_h1_request *r)
+wy_response_begin (const struct wy_response *a, struct wy_h1_request *r)
 {
   GArray *p = pairs_of (a);
 
-  wy_h1_begin (r, a->status, (const struct wy_h1_pair *)p->data, p->len);
+  wy_h1_begin_response (r, a->status, (const struct wy_h1_header *)p->data,
+                        p->len);
   g_array_free (p, TRUE);
 }
--- /dev/null
+++ b/src/gate/response.h
@@ -0,0 +1,28 @@
+/* Answers of the entry's own, and a replica's answer kept whole.  */
+#ifndef WY_GATE_RESPONSE_H
+#define WY_GATE_RESPONSE_H
+
+#include <stdint.h>
+
+#include <glib.h>
+
+#include "h1/server.h"
+
+struct wy_response
+{
+  int status;
+  GString *texts; /* names and values, each with its NUL */
+  GArray *fields; /* offsets into texts: name, value, name, ... */
+  GString *body;
+};
+
+void wy_respond_status (struct wy_h1_request *r, int status,
+                        const char *reason, uint32_t retry_after_ms);
+void wy_respond_unauthorized (struct wy_h1_request *r, const char *reason);
+struct wy_response *wy_response_new (int status,
+                                     const struct wy_h1_head *head);
+void wy_response_free (struct wy_response *a);
+void wy_response_send (const struct wy_response *a, struct wy_h1_request *r);
+void wy_response_begin (const struct wy_response *a, struct wy_h1_request *r);
+
+#endif
--- a/src/gate/routing.c
+++ b/src/gate/routing.c
@@ -13,7 +13,7 @@
   g_free (r->host);
   g_free (r->prefix);
   for (guint i = 0; i < r->splits->len; i++)
-    g_free (g_array_index (r->splits, struct wy_split, i).service);
+    g_free (g_array_index (r->splits, struct wy_traffic_split, i).service);
   g_array_free (r->splits, TRUE);
   g_free (r);
 }
@@ -57,7 +57,7 @@
 {
   struct wy_route *t = g_new0 (struct wy_route, 1);
 
-  t->splits = g_array_new (FALSE, FALSE, sizeof (struct wy_split));
+  t->splits = g_array_new (FALSE, FALSE, sizeof (struct wy_traffic_split));
   g_ptr_array_add (r->routes, t);
   return t;
 }
@@ -86,7 +86,7 @@
 
 /* Put the routes of R in the order in which they are matched.  */
 void
-wy_routing_seal (struct wy_routing *r)
+wy_routing_sort (struct wy_routing *r)
 {
   g_ptr_array_sort (r->routes, by_prefix_length);
 }
@@ -151,31 +151,31 @@
 {
   for (guint i = 0; i < r->services->len; i++)
     if (((const struct wy_service *)g_ptr_array_index (r->services, i))
-            ->is_scaled)
+            ->is_autoscaled)
       return true;
   return false;
 }
 
 /* The service of R that the number DRAW chooses by the weights.  */
 const char *
-wy_route_service (const struct wy_route *r, uint32_t draw)
+wy_route_pick_service (const struct wy_route *r, uint32_t draw)
 {
   uint64_t total = 0;
   uint64_t at;
 
   for (guint i = 0; i < r->splits->len; i++)
-    total += g_array_index (r->splits, struct wy_split, i).weight;
+    total += g_array_index (r->splits, struct wy_traffic_split, i).weight;
   if (total == 0)
-    return g_array_index (r->splits, struct wy_split, 0).service;
+    return g_array_index (r->splits, struct wy_traffic_split, 0).service;
   at = draw % total;
   for (guint i = 0; i < r->splits->len; i++)
     {
-      const struct wy_split *s
-          = &g_array_index (r->splits, struct wy_split, i);
+      const struct wy_traffic_split *s
+          = &g_array_index (r->splits, struct wy_traffic_split, i);
 
       if (at < s->weight)
         return s->service;
       at -= s->weight;
     }
-  return g_array_index (r->splits, struct wy_split, 0).service;
+  return g_array_index (r->splits, struct wy_traffic_split, 0).service;
 }
--- a/src/gate/routing.h
+++ b/src/gate/routing.h
@@ -19,7 +19,7 @@
   WY_ROUTE_JOB             /* many requests submitted at once */
 };
 
-struct wy_split
+struct wy_traffic_split
 {
   char *service;
   uint32_t weight;
@@ -40,7 +40,7 @@
   bool is_public;              /* needs no key */
   uint32_t retention_ms;       /* jobs: then the rest is given up */
   uint32_t result_deadline_ms; /* jobs: results are due */
-  GArray *splits;              /* struct wy_split, at least one */
+  GArray *splits;              /* struct wy_traffic_split, at least one */
 };
 
 struct wy_service
@@ -48,7 +48,7 @@
   char *name;
   uint32_t connection_limit; /* of one replica, over all callers; 0: none */
   uint32_t slots;            /* of one replica; 0: not told */
-  bool is_scaled;            /* its number of replicas is ordered */
+  bool is_autoscaled;        /* its number of replicas is ordered */
   uint32_t replicas_min;     /* in each availability zone */
   uint32_t replicas_max;
   uint32_t boot_ms;  /* from the order to the first request served */
@@ -71,13 +71,13 @@
 void wy_routing_free (struct wy_routing *r);
 struct wy_route *wy_routing_add_route (struct wy_routing *r);
 struct wy_service *wy_routing_add_service (struct wy_routing *r);
-void wy_routing_seal (struct wy_routing *r);
+void wy_routing_sort (struct wy_routing *r);
 const struct wy_route *wy_routing_match (const struct wy_routing *r,
                                          const char *host, const char *path);
 const struct wy_service *wy_routing_service (const struct wy_routing *r,
                                              const char *name);
 bool wy_routing_has_public_jobs (const struct wy_routing *r, const char *host);
 bool wy_routing_has_scaled (const struct wy_routing *r);
-const char *wy_route_service (const struct wy_route *r, uint32_t draw);
+const char *wy_route_pick_service (const struct wy_route *r, uint32_t draw);
 
 #endif
--- a/src/gate/events.c
+++ b/src/gate/sse.c
@@ -2,7 +2,7 @@
 
    A replica may stop in the middle of an event, and what it sent of it must
    reach nobody: the run that goes on elsewhere sends that event again.  */
-#include "gate/events.h"
+#include "gate/sse.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -11,33 +11,33 @@
 
 /* Prepare E for a stream.  */
 void
-wy_events_init (struct wy_events *e)
+wy_sse_init (struct wy_sse_parser *e)
 {
-  e->held = g_string_new (NULL);
+  e->partial_event = g_string_new (NULL);
   e->data = g_string_new (NULL);
   e->last_id = -1;
 }
 
 /* Free what E holds.  */
 void
-wy_events_clear (struct wy_events *e)
+wy_sse_clear (struct wy_sse_parser *e)
 {
-  g_string_free (e->held, TRUE);
+  g_string_free (e->partial_event, TRUE);
   g_string_free (e->data, TRUE);
 }
 
 /* Drop an event cut short; the next bytes come from another run.  */
 void
-wy_events_reset (struct wy_events *e)
+wy_sse_reset (struct wy_sse_parser *e)
 {
-  g_string_truncate (e->held, 0);
+  g_string_truncate (e->partial_event, 0);
 }
 
 /* Whether the stream has stopped inside an event.  */
 bool
-wy_events_in_midst (const struct wy_events *e)
+wy_sse_has_partial (const struct wy_sse_parser *e)
 {
-  return e->held->len > 0;
+  return e->partial_event->len > 0;
 }
 
 static bool
@@ -75,8 +75,8 @@
 }
 
 static void
-parse_event (struct wy_events *e, const char *p, size_t n,
-             struct wy_event *out)
+parse_event (struct wy_sse_parser *e, const char *p, size_t n,
+             struct wy_sse_event *out)
 {
   const char *end = p + n;
   bool first_data = true;
@@ -106,7 +106,7 @@
           g_string_append_len (e->data, v, (gssize)v_n);
         }
       else
-        wy_event_version (p, line_n, &out->version);
+        wy_event_weights_version (p, line_n, &out->version);
       p = nl ? nl + 1 : end;
     }
   out->data = e->data->str;
@@ -131,23 +131,24 @@
 
 /* Take N more bytes of the stream and tell each event that is whole.  */
 void
-wy_events_feed (struct wy_events *e, const char *p, size_t n,
-                void (*on_event) (void *ctx, const struct wy_event *ev),
-                void *ctx)
+wy_sse_feed (struct wy_sse_parser *e, const char *p, size_t n,
+             void (*on_event) (void *ctx, const struct wy_sse_event *ev),
+             void *ctx)
 {
   size_t at = 0;
   size_t size;
 
-  g_string_append_len (e->held, p, (gssize)n);
-  while ((size = event_size (e->held->str + at, e->held->len - at)))
+  g_string_append_len (e->partial_event, p, (gssize)n);
+  while ((size = event_size (e->partial_event->str + at,
+                             e->partial_event->len - at)))
     {
-      struct wy_event ev;
+      struct wy_sse_event ev;
 
-      parse_event (e, e->held->str + at, size, &ev);
+      parse_event (e, e->partial_event->str + at, size, &ev);
       if (ev.id >= 0)
         e->last_id = ev.id;
       at += size;
       on_event (ctx, &ev);
     }
-  g_string_erase (e->held, 0, (gssize)at);
+  g_string_erase (e->partial_event, 0, (gssize)at);
 }
--- a/src/gate/status.c
+++ b/src/gate/status.c
@@ -35,11 +35,11 @@
 static json_t *
 duties_of (const struct wy_gate *g)
 {
-  struct wy_duty_holder_view v = { .holder = "" };
+  struct wy_election_status v = { .holder = "" };
   struct wy_usage_stats usage = { 0 };
 
   if (g->duties)
-    wy_duty_holder_view (g->duties, &v);
+    wy_election_status (g->duties, &v);
   if (g->env.usage)
     wy_usage_stats (g->env.usage, &usage);
   return json_pack ("{s:s, s:o, s:b, s:o, s:o, s:o}", "holder", v.holder,
@@ -151,8 +151,8 @@
     json_array_append_new (
         list, json_pack ("{s:s, s:s, s:s, s:b, s:i, s:i, s:o}", "id", j->id,
                          "state", j->state, "holder", j->holder, "here",
-                         j->here, "listed", (int)j->listed, "of", (int)j->of,
-                         "age_ms", integer (j->age_ms)));
+                         j->runs_here, "listed", (int)j->listed, "of",
+                         (int)j->total_items, "age_ms", integer (j->age_ms)));
 }
 
 static json_t *
--- a/src/gate/follow.c
+++ b/src/gate/store_watch.c
@@ -6,7 +6,7 @@
 
 #include "platform/config_wire.h"
 #include "platform/replica_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -26,7 +26,7 @@
     .body_bytes = r ? r->body_limit_bytes : WY_GATE_START_BODY_BYTES,
     .header_timeout_ms = r ? r->header_timeout_ms : WY_GATE_START_HEADER_MS,
     .idle_timeout_ms = r ? r->idle_timeout_ms : WY_GATE_START_IDLE_MS,
-    .held_bytes
+    .buffered_bytes
     = (uint64_t)g->o.settings->memory_mb * WY_GATE_MB / WY_GATE_BODY_SHARE
   };
 
@@ -43,8 +43,8 @@
 
   if (!r)
     {
-      wy_note ("config.rejected", "row_version=%lld reason=%s",
-               (long long)row->version, why);
+      wy_json_log ("config.rejected", "row_version=%lld reason=%s",
+                   (long long)row->version, why);
       return;
     }
   if (g->env.routing && g->env.routing->version >= r->version)
@@ -52,10 +52,10 @@
       wy_routing_free (r);
       return;
     }
-  wy_note ("config.in_force", "version=%lld before=%lld routes=%u",
-           (long long)r->version,
-           g->env.routing ? (long long)g->env.routing->version : 0LL,
-           r->routes->len);
+  wy_json_log ("config.in_force", "version=%lld before=%lld routes=%u",
+               (long long)r->version,
+               g->env.routing ? (long long)g->env.routing->version : 0LL,
+               r->routes->len);
   wy_routing_free (g->env.routing);
   g->env.routing = r;
   wy_gate_set_limits (g);
@@ -64,13 +64,13 @@
 static void
 learn_version (struct wy_gate *g, const struct wy_row *row)
 {
-  struct wy_named_version v;
+  struct wy_requested_version v;
 
-  if (wy_named_version_decode (row->value, row->size_bytes, &v))
-    wy_jobs_version_named (g->jobs, v.model, v.version);
+  if (wy_requested_version_decode (row->value, row->size_bytes, &v))
+    wy_jobs_version_announced (g->jobs, v.model, v.version);
   else
-    wy_note ("version.rejected", "key=%s row_version=%lld", row->key,
-             (long long)row->version);
+    wy_json_log ("version.rejected", "key=%s row_version=%lld", row->key,
+                 (long long)row->version);
 }
 
 static void
@@ -96,11 +96,11 @@
 static void
 target_crashed (struct wy_gate *g, const char *id)
 {
-  uint32_t n = wy_crash_watch_crashed (&g->env.crashes, id,
-                                       wy_clock_mono_ms (g->env.clock));
+  uint32_t n = wy_crash_tracker_target_crashed (
+      &g->env.crashes, id, wy_clock_mono_ms (g->env.clock));
 
   if (n)
-    wy_note ("request.held_back", "target=%s requests=%u", id, n);
+    wy_json_log ("request.held_back", "target=%s requests=%u", id, n);
 }
 
 /* The target T has restarted under the same id, as its entry INFO shows.
@@ -110,9 +110,9 @@
 target_restarted (struct wy_gate *g, const struct wy_target *t,
                   const struct wy_replica *info)
 {
-  wy_note ("target.restarted", "id=%s started_ms=%lld started_before_ms=%lld",
-           info->id, (long long)info->started_ms,
-           (long long)t->info.started_ms);
+  wy_json_log ("target.restarted",
+               "id=%s started_ms=%lld started_before_ms=%lld", info->id,
+               (long long)info->started_ms, (long long)t->info.started_ms);
   if (!t->info.draining)
     target_crashed (g, info->id);
   wy_h1_client_close_idle (g->env.http, &t->info.address);
@@ -128,8 +128,8 @@
 
   if (row->deleted)
     {
-      wy_note ("target.gone", "id=%s service=%s version=%lld", row->key,
-               t ? t->info.service : "", (long long)row->version);
+      wy_json_log ("target.gone", "id=%s service=%s version=%lld", row->key,
+                   t ? t->info.service : "", (long long)row->version);
       if (t && !t->info.draining)
         target_crashed (g, row->key);
       wy_targets_remove (g->env.targets, row->key);
@@ -138,17 +138,17 @@
   wrong = wy_replica_decode (row->key, row->value, row->size_bytes, &info);
   if (wrong)
     {
-      wy_note ("target.rejected", "id=%s version=%lld field=%s", row->key,
-               (long long)row->version, wrong);
+      wy_json_log ("target.rejected", "id=%s version=%lld field=%s", row->key,
+                   (long long)row->version, wrong);
       wy_targets_remove (g->env.targets, row->key);
       return;
     }
   if (wy_watch_is_synced (g->replicas)
       && (!t || t->info.draining != info.draining || !t->listed))
-    wy_note ("target.seen",
-             "id=%s service=%s zone=%s draining=%d version=%lld", info.id,
-             info.service, info.availability_zone, info.draining,
-             (long long)row->version);
+    wy_json_log ("target.seen",
+                 "id=%s service=%s zone=%s draining=%d version=%lld", info.id,
+                 info.service, info.availability_zone, info.draining,
+                 (long long)row->version);
   if (t && t->info.started_ms != info.started_ms)
     target_restarted (g, t, &info);
   wy_targets_set (g->env.targets, &info);
@@ -201,7 +201,7 @@
                                 .clock = g->o.clock,
                                 .rows = g->env.rows,
                                 .table = WY_OPERATOR_TABLE,
-                                .gap_ms = WATCH_GAP_MS,
+                                .min_interval_ms = WATCH_GAP_MS,
                                 .seed = seed,
                                 .on_row = on_operator_row,
                                 .ctx = g };
@@ -214,11 +214,12 @@
   struct wy_jobs_options j
       = { .env = &g->env,
           .seed = seed + 3,
-          .piece_bytes = (uint32_t)g->o.settings->object_bytes,
-          .row_bytes = (uint32_t)g->o.settings->row_bytes,
-          .keep_ms = (int64_t)(g->o.settings->keep_s * WY_MS_PER_S),
-          .memory_bytes = (uint64_t)g->o.settings->memory_mb * WY_GATE_MB
-                          / WY_GATE_JOBS_SHARE };
+          .max_object_bytes = (uint32_t)g->o.settings->object_bytes,
+          .max_row_bytes = (uint32_t)g->o.settings->row_bytes,
+          .result_retention_ms
+          = (int64_t)(g->o.settings->keep_s * WY_MS_PER_S),
+          .memory_limit_bytes = (uint64_t)g->o.settings->memory_mb * WY_GATE_MB
+                                / WY_GATE_JOBS_SHARE };
 
   g->operator_rows = wy_watch_new (&w);
   w.table = WY_REPLICA_TABLE;
--- a/src/gate/crash_rows.c
+++ b/src/gate/suspect_list.c
@@ -3,7 +3,7 @@
    Whoever sends such a request sends it to any entry.  The list is part of the
    entry's row in the directory, which all of them follow, and is written when
    it changes.  */
-#include "gate/crash_rows.h"
+#include "gate/suspect_list.h"
 
 #include <inttypes.h>
 #include <stdio.h>
@@ -45,9 +45,9 @@
       const struct wy_suspect *e = &s->slot[i];
       json_t *one;
 
-      if (e->fingerprint == 0 || e->learnt || e->crashes != crashes
+      if (e->fingerprint == 0 || e->is_remote || e->crashes != crashes
           || wy_suspects_check (s, e->fingerprint, now_ms)
-                 == WY_SUSPICION_CLEAR)
+                 == WY_SUSPICION_NONE)
         continue;
       one = json_array ();
       json_array_append_new (one, hex (e->fingerprint));
@@ -59,7 +59,7 @@
 
 /* What this entry has seen itself: a list of [fingerprint, target, ...].  */
 json_t *
-wy_crash_rows_encode (struct wy_crash_watch *w, int64_t now_ms)
+wy_crash_rows_encode (struct wy_crash_tracker *w, int64_t now_ms)
 {
   json_t *list = json_array ();
 
@@ -87,7 +87,7 @@
 /* Take in the LIST of another entry; NULL, or what can't be read, is nothing.
    Returns the number of requests that are held back from now on.  */
 uint32_t
-wy_crash_rows_learn (struct wy_crash_watch *w, const json_t *list,
+wy_crash_rows_learn (struct wy_crash_tracker *w, const json_t *list,
                      int64_t now_ms)
 {
   uint32_t held = 0;
@@ -97,10 +97,10 @@
       struct wy_suspect s = decode (json_array_get (list, i));
 
       if (s.fingerprint == 0
-          || wy_crash_watch_holds_back (w, s.fingerprint, now_ms))
+          || wy_crash_tracker_is_blocked (w, s.fingerprint, now_ms))
         continue;
       wy_suspects_merge (&w->suspects, &s, now_ms);
-      held += wy_crash_watch_holds_back (w, s.fingerprint, now_ms);
+      held += wy_crash_tracker_is_blocked (w, s.fingerprint, now_ms);
     }
   return held;
 }
--- a/src/gate/targets.c
+++ b/src/gate/targets.c
@@ -146,7 +146,7 @@
   g->listed = true;
   /* Entries lag behind what answers have told: versions only rise.  */
   for (uint32_t i = 0; i < n_known; i++)
-    wy_target_saw_version (g, known[i].model, known[i].version);
+    wy_target_record_version (g, known[i].model, known[i].version);
   return g;
 }
 
@@ -190,7 +190,7 @@
 
 /* Number of targets of SERVICE that take work.  */
 uint32_t
-wy_targets_ready (const struct wy_targets *t, const char *service)
+wy_targets_count_ready (const struct wy_targets *t, const char *service)
 {
   GHashTableIter it;
   gpointer g;
@@ -214,7 +214,8 @@
 
 /* G has answered under VERSION of MODEL.  */
 void
-wy_target_saw_version (struct wy_target *g, const char *model, int64_t version)
+wy_target_record_version (struct wy_target *g, const char *model,
+                          int64_t version)
 {
   for (uint32_t i = 0; i < g->info.n_models; i++)
     if (!strcmp (g->info.models[i].model, model))
@@ -226,7 +227,7 @@
 }
 
 static bool
-was_tried (const struct wy_pick *p, const struct wy_target *g)
+was_tried (const struct wy_target_criteria *p, const struct wy_target *g)
 {
   for (uint32_t i = 0; i < p->n_tried; i++)
     if (p->tried[i] == g)
@@ -248,13 +249,14 @@
 
 /* Slots of G that the request of P may take; at least one.  */
 static uint32_t
-slots_of (const struct wy_target *g, const struct wy_pick *p)
+slots_of (const struct wy_target *g, const struct wy_target_criteria *p)
 {
   uint32_t n = p->slots_share > 0 ? (uint32_t)(g->info.slots * p->slots_share)
                                   : g->info.slots;
 
-  if (n + p->slots_left > g->info.slots)
-    n = g->info.slots > p->slots_left ? g->info.slots - p->slots_left : 0;
+  if (n + p->reserved_slots > g->info.slots)
+    n = g->info.slots > p->reserved_slots ? g->info.slots - p->reserved_slots
+                                          : 0;
   return n ? n : 1;
 }
 
@@ -271,7 +273,8 @@
 }
 
 static bool
-fits (const struct wy_target *g, const struct wy_pick *p, int64_t now_ms)
+fits (const struct wy_target *g, const struct wy_target_criteria *p,
+      int64_t now_ms)
 {
   if (!is_ready (g, p->service) || was_tried (p, g))
     return false;
@@ -279,7 +282,7 @@
     return false;
   if (p->model && p->min_version > wy_target_version (g, p->model))
     return false;
-  if (p->within_slots && load_of (g, now_ms) >= slots_of (g, p))
+  if (p->require_free_slot && load_of (g, now_ms) >= slots_of (g, p))
     return false;
   if (p->pace_limit_ms > 0
       && pace_of (g, p->work, 0, now_ms) > p->pace_limit_ms)
@@ -295,7 +298,7 @@
    steeply beyond, where the request would wait for another to end.  */
 static double
 cost_of (const struct wy_targets *t, const struct wy_target *g,
-         const struct wy_pick *p, double typical_ms, int64_t now_ms)
+         const struct wy_target_criteria *p, double typical_ms, int64_t now_ms)
 {
   double pace = pace_of (g, p->work, typical_ms, now_ms);
   double load = (double)load_of (g, now_ms) / g->info.slots;
@@ -327,8 +330,8 @@
    which a few slow ones do not move; 1 when none is known, so that costs can
    be compared.  */
 double
-wy_targets_typical_pace_ms (const struct wy_targets *t, const char *service,
-                            enum wy_work work)
+wy_targets_median_pace_ms (const struct wy_targets *t, const char *service,
+                           enum wy_work work)
 {
   double pace[TYPICAL_MAX];
   GHashTableIter it;
@@ -354,9 +357,10 @@
    least expected cost gets the work, ties fall by chance so that the entries
    do not all choose the same.  NULL: none fits now.  */
 struct wy_target *
-wy_targets_pick (struct wy_targets *t, const struct wy_pick *p, int64_t now_ms)
+wy_targets_pick (struct wy_targets *t, const struct wy_target_criteria *p,
+                 int64_t now_ms)
 {
-  double typical_ms = wy_targets_typical_pace_ms (t, p->service, p->work);
+  double typical_ms = wy_targets_median_pace_ms (t, p->service, p->work);
   struct wy_target *best = NULL;
   double best_cost = 0;
   uint32_t ties = 0;
@@ -386,14 +390,14 @@
 
 /* Keep G while something points to it.  */
 void
-wy_target_hold (struct wy_target *g)
+wy_target_ref (struct wy_target *g)
 {
   g->held++;
 }
 
-/* Undo wy_target_hold.  */
+/* Undo wy_target_ref.  */
 void
-wy_target_release (struct wy_targets *t, struct wy_target *g)
+wy_target_unref (struct wy_targets *t, struct wy_target *g)
 {
   g->held--;
   collect (t, g);
@@ -401,7 +405,7 @@
 
 /* A request goes to G.  */
 void
-wy_target_started (struct wy_target *g)
+wy_target_request_started (struct wy_target *g)
 {
   g->in_flight++;
   g->unanswered++;
@@ -409,7 +413,7 @@
 
 /* G has begun to answer a request.  */
 void
-wy_target_heard (struct wy_target *g)
+wy_target_response_started (struct wy_target *g)
 {
   if (g->unanswered)
     g->unanswered--;
@@ -424,8 +428,8 @@
 
 /* A request at G has ended.  G may be freed by this.  */
 void
-wy_target_ended (struct wy_targets *t, struct wy_target *g,
-                 enum wy_target_outcome outcome, int64_t now_ms)
+wy_target_request_ended (struct wy_targets *t, struct wy_target *g,
+                         enum wy_target_outcome outcome, int64_t now_ms)
 {
   g->in_flight--;
   if (g->unanswered > g->in_flight)
@@ -436,9 +440,9 @@
       g->failures = 0;
       g->refusals = 0;
       break;
-    case WY_TARGET_ABANDONED:
+    case WY_TARGET_CANCELLED:
       break;
-    case WY_TARGET_FULL:
+    case WY_TARGET_REJECTED:
       /* Requests turned away together are one refusal.  */
       if (now_ms >= g->avoid_until_ms)
         g->refusals++;
@@ -447,8 +451,8 @@
                   AVOID_FULL_MAX_MS),
              now_ms);
       break;
-    case WY_TARGET_BROKEN:
-    case WY_TARGET_SILENT:
+    case WY_TARGET_FAILED:
+    case WY_TARGET_TIMED_OUT:
       {
         uint32_t n = MIN (g->failures, 3);
 
@@ -462,7 +466,7 @@
       g->refusals++;
       avoid (g, AVOID_STALLED_MS, now_ms);
       break;
-    case WY_TARGET_ELSEWHERE:
+    case WY_TARGET_MISDIRECTED:
       avoid (g, AVOID_ELSEWHERE_MS, now_ms);
       break;
     }
@@ -471,7 +475,7 @@
 
 /* G has told its load, that of this entry included.  */
 void
-wy_target_loaded (struct wy_target *g, uint32_t load, int64_t now_ms)
+wy_target_record_load (struct wy_target *g, uint32_t load, int64_t now_ms)
 {
   g->reported_load = load;
   g->in_flight_then = g->in_flight;
@@ -480,8 +484,8 @@
 
 /* G has done a unit of WORK in MS.  */
 void
-wy_target_paced (struct wy_target *g, enum wy_work work, double ms,
-                 int64_t now_ms)
+wy_target_record_pace (struct wy_target *g, enum wy_work work, double ms,
+                       int64_t now_ms)
 {
   struct wy_pace *p = &g->pace[work];
 
--- a/src/gate/targets.h
+++ b/src/gate/targets.h
@@ -47,16 +47,16 @@
 enum wy_target_outcome
 {
   WY_TARGET_ANSWERED,
-  WY_TARGET_ABANDONED, /* by us, for no fault of its own */
-  WY_TARGET_FULL,      /* turned it away without running it */
-  WY_TARGET_BROKEN,    /* connection refused, reset, or a spoilt answer */
-  WY_TARGET_SILENT,    /* nothing in time */
-  WY_TARGET_STALLED,   /* no headway now, as while it loads weights */
-  WY_TARGET_ELSEWHERE  /* another replica has the address */
+  WY_TARGET_CANCELLED,  /* by us, for no fault of its own */
+  WY_TARGET_REJECTED,   /* turned it away without running it */
+  WY_TARGET_FAILED,     /* connection refused, reset, or a spoilt answer */
+  WY_TARGET_TIMED_OUT,  /* nothing in time */
+  WY_TARGET_STALLED,    /* no headway now, as while it loads weights */
+  WY_TARGET_MISDIRECTED /* another replica has the address */
 };
 
 /* What a target must be to be chosen.  */
-struct wy_pick
+struct wy_target_criteria
 {
   const char *service;
   enum wy_work work;
@@ -65,9 +65,9 @@
   int64_t min_version;
   int64_t newest_version;   /* preferred; 0: none */
   uint32_t in_flight_limit; /* of this entry on one target; 0: none */
-  bool within_slots;        /* only where a request starts at once */
+  bool require_free_slot;   /* only where a request starts at once */
   double slots_share;       /* the part of them that may be taken; 0: all */
-  uint32_t slots_left;      /* and so many of them are left free */
+  uint32_t reserved_slots;  /* and so many of them are left free */
   double pace_limit_ms;     /* not where work is slower; 0: anywhere */
   const struct wy_target *const *tried;
   uint32_t n_tried;
@@ -86,23 +86,26 @@
 void wy_targets_each (const struct wy_targets *t,
                       void (*fn) (void *ctx, const struct wy_target *g),
                       void *ctx);
-uint32_t wy_targets_ready (const struct wy_targets *t, const char *service);
+uint32_t wy_targets_count_ready (const struct wy_targets *t,
+                                 const char *service);
 struct wy_target *wy_targets_pick (struct wy_targets *t,
-                                   const struct wy_pick *p, int64_t now_ms);
-double wy_targets_typical_pace_ms (const struct wy_targets *t,
-                                   const char *service, enum wy_work work);
+                                   const struct wy_target_criteria *p,
+                                   int64_t now_ms);
+double wy_targets_median_pace_ms (const struct wy_targets *t,
+                                  const char *service, enum wy_work work);
 
-void wy_target_hold (struct wy_target *g);
-void wy_target_release (struct wy_targets *t, struct wy_target *g);
-void wy_target_started (struct wy_target *g);
-void wy_target_ended (struct wy_targets *t, struct wy_target *g,
-                      enum wy_target_outcome outcome, int64_t now_ms);
-void wy_target_heard (struct wy_target *g);
-void wy_target_loaded (struct wy_target *g, uint32_t load, int64_t now_ms);
-void wy_target_paced (struct wy_target *g, enum wy_work work, double ms,
-                      int64_t now_ms);
-void wy_target_saw_version (struct wy_target *g, const char *model,
-                            int64_t version);
+void wy_target_ref (struct wy_target *g);
+void wy_target_unref (struct wy_targets *t, struct wy_target *g);
+void wy_target_request_started (struct wy_target *g);
+void wy_target_request_ended (struct wy_targets *t, struct wy_target *g,
+                              enum wy_target_outcome outcome, int64_t now_ms);
+void wy_target_response_started (struct wy_target *g);
+void wy_target_record_load (struct wy_target *g, uint32_t load,
+                            int64_t now_ms);
+void wy_target_record_pace (struct wy_target *g, enum wy_work work, double ms,
+                            int64_t now_ms);
+void wy_target_record_version (struct wy_target *g, const char *model,
+                               int64_t version);
 int64_t wy_target_version (const struct wy_target *g, const char *model);
 
 #endif
--- a/src/h1/client.c
+++ b/src/h1/client.c
@@ -92,7 +92,7 @@
 wy_h1_call_start (struct wy_h1_client *c, const struct wy_h1_call_options *o)
 {
   struct wy_h1_peer *p = peer_for (c, &o->address);
-  struct wy_h1_call *k = o->fresh ? NULL : take_idle (c, p);
+  struct wy_h1_call *k = o->new_connection ? NULL : take_idle (c, p);
 
   if (!k)
     k = open_conn (c, p);
@@ -254,8 +254,8 @@
 
 /* Connections to A that are open and carry no call.  */
 uint32_t
-wy_h1_client_idle_to (const struct wy_h1_client *c,
-                      const struct sockaddr_in *a)
+wy_h1_client_idle_count (const struct wy_h1_client *c,
+                         const struct sockaddr_in *a)
 {
   const struct wy_h1_peer *p = peer_of (c, a);
 
--- a/src/h1/client.h
+++ b/src/h1/client.h
@@ -19,11 +19,11 @@
 struct wy_h1_client;
 struct wy_h1_call;
 
-struct wy_h1_answer
+struct wy_h1_response
 {
   int status;
   const struct wy_h1_head *head;
-  bool framed; /* its end shows: by a length or by chunks */
+  bool self_delimited; /* its end shows: by a length or by chunks */
 };
 
 struct wy_h1_call_options
@@ -31,14 +31,14 @@
   struct sockaddr_in address;
   const char *method;
   const char *target; /* path and query */
-  const struct wy_h1_pair *fields;
+  const struct wy_h1_header *fields;
   size_t n_fields;
   const void *body;
   size_t body_size_bytes;
-  bool has_body; /* send a length even if it is 0 */
-  bool fresh;    /* on a new connection only */
+  bool has_body;       /* send a length even if it is 0 */
+  bool new_connection; /* on a new connection only */
   /* The head of the answer; the call may be cancelled within.  */
-  void (*on_head) (void *ctx, const struct wy_h1_answer *a);
+  void (*on_head) (void *ctx, const struct wy_h1_response *a);
   void (*on_data) (void *ctx, const char *p, size_t n);
   /* Comes once, last, unless the call is cancelled.  ERR 0: the answer is
      whole; a wy_h1_error otherwise.  */
@@ -66,8 +66,8 @@
 void wy_h1_client_free (struct wy_h1_client *c);
 void wy_h1_client_stats (const struct wy_h1_client *c,
                          struct wy_h1_client_stats *out);
-uint32_t wy_h1_client_idle_to (const struct wy_h1_client *c,
-                               const struct sockaddr_in *a);
+uint32_t wy_h1_client_idle_count (const struct wy_h1_client *c,
+                                  const struct sockaddr_in *a);
 void wy_h1_client_close_idle (struct wy_h1_client *c,
                               const struct sockaddr_in *a);
 
--- a/src/h1/client_call.c
+++ b/src/h1/client_call.c
@@ -116,14 +116,14 @@
 static int
 on_field (http_parser *p, const char *at, size_t n)
 {
-  wy_h1_head_name (&((struct wy_h1_call *)p->data)->head, at, n);
+  wy_h1_head_append_name (&((struct wy_h1_call *)p->data)->head, at, n);
   return 0;
 }
 
 static int
 on_value (http_parser *p, const char *at, size_t n)
 {
-  wy_h1_head_value (&((struct wy_h1_call *)p->data)->head, at, n);
+  wy_h1_head_append_value (&((struct wy_h1_call *)p->data)->head, at, n);
   return 0;
 }
 
@@ -158,7 +158,7 @@
 on_headers_complete (http_parser *p)
 {
   struct wy_h1_call *k = p->data;
-  struct wy_h1_answer a;
+  struct wy_h1_response a;
   bool bodiless;
 
   if (p->status_code < 200)
@@ -172,7 +172,7 @@
   k->keep_ms = keep_ms_of (k);
   a.status = (int)p->status_code;
   a.head = &k->head;
-  a.framed = k->framed;
+  a.self_delimited = k->framed;
   if (!http_should_keep_alive (p))
     k->dirty = true;
   if (k->o.on_head)
--- a/src/h1/head.c
+++ b/src/h1/head.c
@@ -34,7 +34,7 @@
 
 /* Append a piece of the request target.  */
 void
-wy_h1_head_url (struct wy_h1_head *h, const char *p, size_t n)
+wy_h1_head_append_url (struct wy_h1_head *h, const char *p, size_t n)
 {
   g_string_append_len (h->text, p, (gssize)n);
   h->has_url = true;
@@ -49,7 +49,7 @@
 /* Append a piece of a field's name; the first piece after a value starts the
    next field.  */
 void
-wy_h1_head_name (struct wy_h1_head *h, const char *p, size_t n)
+wy_h1_head_append_name (struct wy_h1_head *h, const char *p, size_t n)
 {
   if (h->in_value || h->fields->len == 0)
     {
@@ -67,7 +67,7 @@
 
 /* Append a piece of a field's value.  */
 void
-wy_h1_head_value (struct wy_h1_head *h, const char *p, size_t n)
+wy_h1_head_append_value (struct wy_h1_head *h, const char *p, size_t n)
 {
   if (!h->in_value)
     {
@@ -93,12 +93,12 @@
 }
 
 /* The field I; valid until the head is reset.  */
-struct wy_h1_pair
+struct wy_h1_header
 wy_h1_head_at (const struct wy_h1_head *h, size_t i)
 {
   const struct wy_h1_field *f
       = &g_array_index (h->fields, struct wy_h1_field, i);
-  struct wy_h1_pair p
+  struct wy_h1_header p
       = { h->text->str + f->name, f->value ? h->text->str + f->value : "" };
 
   return p;
@@ -110,7 +110,7 @@
 {
   for (size_t i = 0; i < h->fields->len; i++)
     {
-      struct wy_h1_pair p = wy_h1_head_at (h, i);
+      struct wy_h1_header p = wy_h1_head_at (h, i);
 
       if (!strcasecmp (p.name, name))
         return p.value;
@@ -128,7 +128,7 @@
 /* Whether the field NAME concerns one connection only (RFC 9110, 7.6.1) or
    frames the body, and so is never passed on.  */
 bool
-wy_h1_is_connection_field (const char *name)
+wy_h1_is_hop_by_hop (const char *name)
 {
   static const char *const names[] = { "connection",
                                        "keep-alive",
@@ -150,7 +150,7 @@
 
 /* Append the N fields at P to OUT.  */
 void
-wy_h1_write_fields (GString *out, const struct wy_h1_pair *p, size_t n)
+wy_h1_write_fields (GString *out, const struct wy_h1_header *p, size_t n)
 {
   for (size_t i = 0; i < n; i++)
     {
--- a/src/h1/head.h
+++ b/src/h1/head.h
@@ -8,7 +8,7 @@
 
 #include <glib.h>
 
-struct wy_h1_pair
+struct wy_h1_header
 {
   const char *name;
   const char *value;
@@ -33,16 +33,16 @@
 void wy_h1_head_init (struct wy_h1_head *h);
 void wy_h1_head_reset (struct wy_h1_head *h);
 void wy_h1_head_clear (struct wy_h1_head *h);
-void wy_h1_head_url (struct wy_h1_head *h, const char *p, size_t n);
-void wy_h1_head_name (struct wy_h1_head *h, const char *p, size_t n);
-void wy_h1_head_value (struct wy_h1_head *h, const char *p, size_t n);
+void wy_h1_head_append_url (struct wy_h1_head *h, const char *p, size_t n);
+void wy_h1_head_append_name (struct wy_h1_head *h, const char *p, size_t n);
+void wy_h1_head_append_value (struct wy_h1_head *h, const char *p, size_t n);
 const char *wy_h1_head_target (const struct wy_h1_head *h);
 const char *wy_h1_head_get (const struct wy_h1_head *h, const char *name);
 size_t wy_h1_head_count (const struct wy_h1_head *h);
-struct wy_h1_pair wy_h1_head_at (const struct wy_h1_head *h, size_t i);
+struct wy_h1_header wy_h1_head_at (const struct wy_h1_head *h, size_t i);
 size_t wy_h1_head_size_bytes (const struct wy_h1_head *h);
 
-bool wy_h1_is_connection_field (const char *name);
-void wy_h1_write_fields (GString *out, const struct wy_h1_pair *p, size_t n);
+bool wy_h1_is_hop_by_hop (const char *name);
+void wy_h1_write_fields (GString *out, const struct wy_h1_header *p, size_t n);
 
 #endif
--- a/src/h1/server.h
+++ b/src/h1/server.h
@@ -33,7 +33,7 @@
   uint32_t body_bytes;
   uint32_t header_timeout_ms; /* from the first byte to the end of the head */
   uint32_t idle_timeout_ms;
-  uint64_t held_bytes; /* of bodies, over all connections */
+  uint64_t buffered_bytes; /* of bodies, over all connections */
 };
 
 struct wy_h1_server_options
@@ -66,13 +66,13 @@
 void wy_h1_on_hangup (struct wy_h1_request *r, void (*cb) (void *ctx),
                       void *ctx);
 void wy_h1_respond (struct wy_h1_request *r, int status,
-                    const struct wy_h1_pair *fields, size_t n_fields,
+                    const struct wy_h1_header *fields, size_t n_fields,
                     const void *body, size_t n);
-void wy_h1_begin (struct wy_h1_request *r, int status,
-                  const struct wy_h1_pair *fields, size_t n_fields);
-void wy_h1_write (struct wy_h1_request *r, const void *p, size_t n);
+void wy_h1_begin_response (struct wy_h1_request *r, int status,
+                           const struct wy_h1_header *fields, size_t n_fields);
+void wy_h1_write_response (struct wy_h1_request *r, const void *p, size_t n);
 size_t wy_h1_unsent_bytes (const struct wy_h1_request *r);
-void wy_h1_finish (struct wy_h1_request *r);
-void wy_h1_break (struct wy_h1_request *r);
+void wy_h1_end_response (struct wy_h1_request *r);
+void wy_h1_abort (struct wy_h1_request *r);
 
 #endif
--- a/src/h1/server_conn.c
+++ b/src/h1/server_conn.c
@@ -118,7 +118,7 @@
 {
   struct wy_h1_request *c = p->data;
 
-  wy_h1_head_url (&c->head, at, n);
+  wy_h1_head_append_url (&c->head, at, n);
   return check_head (c);
 }
 
@@ -129,7 +129,7 @@
 
   if (c->state != CONN_HEAD)
     return 0; /* trailers are dropped */
-  wy_h1_head_name (&c->head, at, n);
+  wy_h1_head_append_name (&c->head, at, n);
   return check_head (c);
 }
 
@@ -140,7 +140,7 @@
 
   if (c->state != CONN_HEAD)
     return 0;
-  wy_h1_head_value (&c->head, at, n);
+  wy_h1_head_append_value (&c->head, at, n);
   return check_head (c);
 }
 
@@ -157,7 +157,7 @@
   /* One large upload after another must not end the process: what does not
      fit the memory set aside is refused before it is read.  */
   else if (has_length
-           && p->content_length + c->server->held_bytes > l->held_bytes)
+           && p->content_length + c->server->held_bytes > l->buffered_bytes)
     c->refuse_status = 503;
   if (c->refuse_status)
     return -1;
@@ -175,7 +175,7 @@
 
   if (c->body->len + n > l->body_bytes)
     c->refuse_status = 413;
-  else if (c->server->held_bytes + n > l->held_bytes)
+  else if (c->server->held_bytes + n > l->buffered_bytes)
     c->refuse_status = 503;
   if (c->refuse_status)
     return -1;
--- a/src/h1/server_answer.c
+++ b/src/h1/server_response.c
@@ -58,7 +58,7 @@
 
 static GString *
 answer_head (struct wy_h1_request *c, int status,
-             const struct wy_h1_pair *fields, size_t n_fields)
+             const struct wy_h1_header *fields, size_t n_fields)
 {
   GString *out = g_string_sized_new (512);
 
@@ -75,7 +75,7 @@
 /* Answer R whole.  R is not valid afterwards.  */
 void
 wy_h1_respond (struct wy_h1_request *r, int status,
-               const struct wy_h1_pair *fields, size_t n_fields,
+               const struct wy_h1_header *fields, size_t n_fields,
                const void *body, size_t n)
 {
   GString *out = answer_head (r, status, fields, n_fields);
@@ -92,8 +92,8 @@
 
 /* Begin an answer of unknown length.  */
 void
-wy_h1_begin (struct wy_h1_request *r, int status,
-             const struct wy_h1_pair *fields, size_t n_fields)
+wy_h1_begin_response (struct wy_h1_request *r, int status,
+                      const struct wy_h1_header *fields, size_t n_fields)
 {
   GString *out;
 
@@ -109,7 +109,7 @@
 
 /* Send N more bytes of the answer begun.  */
 void
-wy_h1_write (struct wy_h1_request *r, const void *p, size_t n)
+wy_h1_write_response (struct wy_h1_request *r, const void *p, size_t n)
 {
   GString *out;
 
@@ -134,7 +134,7 @@
 
 /* End the answer begun as complete.  R is not valid afterwards.  */
 void
-wy_h1_finish (struct wy_h1_request *r)
+wy_h1_end_response (struct wy_h1_request *r)
 {
   const char *end = r->chunked ? "0\r\n\r\n" : "";
 
@@ -145,7 +145,7 @@
 /* Break off the answer begun, so that it cannot be taken for whole.  R is not
    valid afterwards.  */
 void
-wy_h1_break (struct wy_h1_request *r)
+wy_h1_abort (struct wy_h1_request *r)
 {
   r->on_hangup = NULL;
   wy_h1_conn_close (r);
@@ -156,7 +156,7 @@
 void
 wy_h1_conn_refuse (struct wy_h1_request *c, int status)
 {
-  static const struct wy_h1_pair later = { "Retry-After", "1" };
+  static const struct wy_h1_header later = { "Retry-After", "1" };
 
   c->keep_alive = false;
   if (c->state != CONN_BUSY)
--- a/src/jobs/accept.c
+++ b/src/jobs/accept.c
@@ -12,11 +12,11 @@
 #include <string.h>
 
 #include "base/id.h"
-#include "gate/answer.h"
-#include "jobs/carry.h"
+#include "gate/response.h"
+#include "jobs/checkpoint.h"
 #include "jobs/score.h"
 #include "platform/job_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -77,7 +77,7 @@
       reason = "kept_elsewhere";
     }
 
-  wy_note (
+  wy_json_log (
       "job.submitted",
       "id=%s status=%d reason=%s items=%llu bytes=%zu ms=%lld", a->record->id,
       status, reason, (unsigned long long)a->record->total, a->body->len,
@@ -88,7 +88,8 @@
       if (status == STATUS_ACCEPTED)
         wy_h1_respond (r, status, NULL, 0, "", 0);
       else
-        wy_refuse (r, status, reason, status == 503 ? RETRY_AFTER_MS : 0);
+        wy_respond_status (r, status, reason,
+                           status == 503 ? RETRY_AFTER_MS : 0);
     }
   a->jobs->accepting_bytes -= a->body->len;
   g_ptr_array_remove_fast (a->jobs->accepting, a);
@@ -108,7 +109,7 @@
 void
 wy_jobs_accept_tick (struct wy_jobs *j)
 {
-  if (j->accepting->len == 0 || !wy_rows_is_away (j->env->rows))
+  if (j->accepting->len == 0 || !wy_rows_is_unreachable (j->env->rows))
     return;
   for (guint i = j->accepting->len; i > 0; i--)
     {
@@ -148,7 +149,7 @@
   a->record->row_version = row_version;
   (*j->env->count.jobs_accepted)++;
   if (a->spec)
-    wy_lags_accepted (j->lags, a->spec->model, a->spec->min_version);
+    wy_staleness_job_accepted (j->lags, a->spec->model, a->spec->min_version);
   wy_jobs_learn (j, wy_job_record_copy (a->record));
   if (strcmp (a->record->holder, j->env->holder) != 0)
     wy_jobs_hand_on (j, a->record, &a->holder_address, a->body->str,
@@ -160,8 +161,8 @@
 
       a->spec = NULL;
       if (a->carry)
-        wy_note ("job.text_taken", "id=%s items=%u", a->record->id,
-                 wy_carry_apply (a->carry, o));
+        wy_json_log ("job.text_taken", "id=%s items=%u", a->record->id,
+                     wy_carry_apply (a->carry, o));
       wy_owned_pump (o);
     }
   end (a, STATUS_ACCEPTED, "kept");
@@ -299,8 +300,8 @@
   const char *holder;
 
   if (!*a->spec->model
-      || !wy_members_choose (a->jobs->members, a->spec->model, &holder,
-                             &a->holder_address))
+      || !wy_members_choose_holder (a->jobs->members, a->spec->model, &holder,
+                                    &a->holder_address))
     return;
   g_free (a->record->holder);
   a->record->holder = g_strdup (holder);
@@ -324,9 +325,9 @@
 refuse_job (struct wy_h1_request *r, const char *id, int status,
             const char *why, size_t body_bytes)
 {
-  wy_note ("job.submitted", "id=%s status=%d reason=%s bytes=%zu", id, status,
-           why, body_bytes);
-  wy_refuse (r, status, why, status == 503 ? RETRY_AFTER_MS : 0);
+  wy_json_log ("job.submitted", "id=%s status=%d reason=%s bytes=%zu", id,
+               status, why, body_bytes);
+  wy_respond_status (r, status, why, status == 503 ? RETRY_AFTER_MS : 0);
 }
 
 static bool
@@ -350,17 +351,17 @@
   const char *body;
   size_t n;
 
-  wy_request_read (wy_h1_head (r), &info);
+  wy_request_parse_head (wy_h1_head (r), &info);
   body = wy_h1_body (r, &n);
   if (!is_job_name (info.id))
     {
-      wy_refuse (r, 400, "no_id", 0);
+      wy_respond_status (r, 400, "no_id", 0);
       return;
     }
   wy_job_key (organisation, info.id, key, sizeof key);
   if (wy_jobs_find (j, key))
     {
-      wy_note ("job.submitted", "id=%s status=202 reason=known", key);
+      wy_json_log ("job.submitted", "id=%s status=202 reason=known", key);
       wy_h1_respond (r, STATUS_ACCEPTED, NULL, 0, "", 0);
       return;
     }
@@ -381,7 +382,7 @@
       wy_job_spec_free (spec);
       return;
     }
-  if (wy_rows_is_away (j->env->rows))
+  if (wy_rows_is_unreachable (j->env->rows))
     {
       refuse_job (r, key, 503, "store_away", n);
       wy_job_spec_free (spec);
--- a/src/jobs/owned.c
+++ b/src/jobs/active_job.c
@@ -1,12 +1,12 @@
 /* A job that this entry runs.  */
-#include "jobs/owned.h"
+#include "jobs/active_job.h"
 
 #include <string.h>
 
 #include "decide/item_slots.h"
-#include "jobs/carry.h"
+#include "jobs/checkpoint.h"
 #include "jobs/score.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -149,7 +149,7 @@
       struct wy_item *i = &o->items[k];
 
       if (i->avoid)
-        wy_target_release (o->env->targets, i->avoid);
+        wy_target_unref (o->env->targets, i->avoid);
       g_string_free (i->text, TRUE);
       g_array_free (i->versions, TRUE);
       wy_result_free (i->result);
@@ -308,8 +308,8 @@
 static void
 give_up_all (struct wy_owned *o, const char *why)
 {
-  wy_note ("job.given_up", "id=%s reason=%s items=%u listed=%u", o->record->id,
-           why, o->n_items, o->n_listed);
+  wy_json_log ("job.given_up", "id=%s reason=%s items=%u listed=%u",
+               o->record->id, why, o->n_items, o->n_listed);
   for (uint32_t k = 0; k < o->n_items; k++)
     {
       struct wy_item *i = &o->items[k];
@@ -334,21 +334,22 @@
 {
   const struct wy_owned *o = i->job;
   const struct wy_route *route = wy_owned_route (o);
-  struct wy_pick q = { .work = WY_WORK_EVENT,
-                       .availability_zone = o->env->availability_zone,
-                       .model = *o->spec->model ? o->spec->model : NULL,
-                       .min_version = o->spec->min_version,
-                       .newest_version = o->newest_version,
-                       .within_slots = true,
-                       .slots_share = slots_share,
-                       .pace_limit_ms = pace_limit_ms,
-                       .tried = &except,
-                       .n_tried = except ? 1 : 0 };
+  struct wy_target_criteria q
+      = { .work = WY_WORK_EVENT,
+          .availability_zone = o->env->availability_zone,
+          .model = *o->spec->model ? o->spec->model : NULL,
+          .min_version = o->spec->min_version,
+          .newest_version = o->newest_version,
+          .require_free_slot = true,
+          .slots_share = slots_share,
+          .pace_limit_ms = pace_limit_ms,
+          .tried = &except,
+          .n_tried = except ? 1 : 0 };
 
   if (!route)
     return NULL;
-  q.service
-      = wy_route_service (route, wy_rng_below (&i->job->env->rng, UINT32_MAX));
+  q.service = wy_route_pick_service (
+      route, wy_rng_below (&i->job->env->rng, UINT32_MAX));
   q.in_flight_limit = wy_gate_in_flight_limit (o->env, q.service);
   return wy_targets_pick (o->env->targets, &q, now_of (o));
 }
@@ -374,12 +375,12 @@
     {
       struct wy_item *i = g_ptr_array_index (o->order, k);
       struct wy_item_slots_options slots
-          = { .place = k,
+          = { .length_rank = k,
               .items = o->n_items,
-              .has_begun = i->last_event >= 0,
+              .has_partial_text = i->last_event >= 0,
               .waited_ms = now_ms - o->started_ms,
               .due_ms = route->result_deadline_ms };
-      double share = wy_item_slots_share (&slots);
+      double share = wy_item_slots_occupancy_max (&slots);
       struct wy_target *g;
 
       if (i->state != WY_ITEM_WAITING || i->not_before_ms > now_ms
--- a/src/jobs/owned.h
+++ b/src/jobs/active_job.h
@@ -1,10 +1,10 @@
 /* A job that this entry runs: its items, their runs, its result log.  */
-#ifndef WY_JOBS_OWNED_H
-#define WY_JOBS_OWNED_H
+#ifndef WY_JOBS_ACTIVE_JOB_H
+#define WY_JOBS_ACTIVE_JOB_H
 
 #include "decide/retry.h"
 #include "gate/env.h"
-#include "gate/events.h"
+#include "gate/sse.h"
 #include "jobs/record.h"
 #include "jobs/result.h"
 #include "jobs/spec.h"
--- a/src/jobs/read.c
+++ b/src/jobs/calls.c
@@ -5,10 +5,10 @@
 
 #include <string.h>
 
-#include "gate/answer.h"
+#include "gate/response.h"
 #include "jobs/result_rows.h"
 #include "platform/job_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -78,16 +78,19 @@
 static void
 refuse (struct read *d, int status, const char *reason, int err)
 {
-  wy_note ("job.call_refused", "id=%s call=%s status=%d reason=%s err=%d",
-           d->call.job, wy_job_call_name (d->call.kind), status, reason, err);
-  wy_refuse (d->request, status, reason, status == 503 ? RETRY_AFTER_MS : 0);
+  wy_json_log ("job.call_refused", "id=%s call=%s status=%d reason=%s err=%d",
+               d->call.job, wy_job_call_name (d->call.kind), status, reason,
+               err);
+  wy_respond_status (d->request, status, reason,
+                     status == 503 ? RETRY_AFTER_MS : 0);
   free_read (d);
 }
 
 static void
 respond_json (struct read *d, char *text)
 {
-  static const struct wy_h1_pair type = { "Content-Type", "application/json" };
+  static const struct wy_h1_header type
+      = { "Content-Type", "application/json" };
 
   wy_h1_respond (d->request, 200, &type, 1, text, strlen (text));
   g_free (text);
@@ -111,9 +114,10 @@
         break;
       n++;
     }
-  wy_note ("job.read", "id=%s after=%llu results=%u waited_ms=%lld",
-           d->call.job, (unsigned long long)d->call.after, n,
-           (long long)(wy_clock_mono_ms (d->jobs->env->clock) - d->asked_ms));
+  wy_json_log (
+      "job.read", "id=%s after=%llu results=%u waited_ms=%lld", d->call.job,
+      (unsigned long long)d->call.after, n,
+      (long long)(wy_clock_mono_ms (d->jobs->env->clock) - d->asked_ms));
   respond_json (
       d, wy_results_encode (d->record->total, d->call.after + n,
                             (struct wy_result *const *)results->pdata, n));
@@ -169,7 +173,7 @@
 {
   char from[WY_RESULT_KEY_SIZE_BYTES];
   struct wy_rows_range range = { .table = WY_RESULTS_TABLE,
-                                 .part = d->call.job,
+                                 .partition = d->call.job,
                                  .from = from,
                                  .limit = PAGE_ROWS };
 
@@ -181,7 +185,7 @@
 static void
 on_body (void *ctx, int err, struct wy_job_spec *spec)
 {
-  static const struct wy_h1_pair type
+  static const struct wy_h1_header type
       = { "Content-Type", "application/octet-stream" };
   struct read *d = ctx;
 
@@ -258,8 +262,8 @@
     return;
   if (!r->err)
     {
-      wy_note ("job.ended", "id=%s version=%lld", d->call.job,
-               (long long)r->version);
+      wy_json_log ("job.ended", "id=%s version=%lld", d->call.job,
+                   (long long)r->version);
       wy_h1_respond (d->request, 200, NULL, 0, "", 0);
       free_read (d);
     }
@@ -298,7 +302,7 @@
     case WY_JOB_CALL_ITEM_BODY:
       read_body (d);
       break;
-    case WY_JOB_CALL_END:
+    case WY_JOB_CALL_DELETE:
       write_end (d);
       break;
     case WY_JOB_CALL_NONE:
@@ -336,7 +340,8 @@
 static void
 read_record (struct read *d)
 {
-  struct wy_rows_range range = { .table = WY_JOBS_TABLE, .part = d->call.job };
+  struct wy_rows_range range
+      = { .table = WY_JOBS_TABLE, .partition = d->call.job };
 
   d->reading = true;
   wy_rows_get (d->jobs->env->rows, &range, on_record, d);
@@ -364,8 +369,8 @@
 /* Answer the call CALL that R makes on a job for ORGANISATION, "" for none.
  */
 void
-wy_jobs_call (struct wy_jobs *j, struct wy_h1_request *r,
-              const char *organisation, const struct wy_job_call *call)
+wy_jobs_handle_call (struct wy_jobs *j, struct wy_h1_request *r,
+                     const char *organisation, const struct wy_job_call *call)
 {
   const struct wy_job_record *known;
   struct read *d = g_new0 (struct read, 1);
--- a/src/jobs/carry.c
+++ b/src/jobs/checkpoint.c
@@ -4,12 +4,12 @@
    of its job for who takes that over: written by the entry that runs the job,
    read by the one that takes it over or accepts the next.  The rows are a help
    only: lost ones cost the time to make the text again.  */
-#include "jobs/carry.h"
+#include "jobs/checkpoint.h"
 
 #include <string.h>
 
 #include "jobs/text_rows.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -140,7 +140,7 @@
 send_rows (struct wy_owned *o, const char *part, GArray *writes,
            struct wy_carry_write *w)
 {
-  struct wy_rows_tx tx = { .part = part };
+  struct wy_rows_tx tx = { .partition = part };
 
   for (guint at = 0; at < writes->len; at += tx.n_writes)
     {
@@ -182,8 +182,8 @@
 log_kept (const struct wy_owned *o, uint32_t items, const char *purpose)
 {
   if (items)
-    wy_note ("job.text_kept", "id=%s items=%u for=%s", o->record->id, items,
-             purpose);
+    wy_json_log ("job.text_kept", "id=%s items=%u for=%s", o->record->id,
+                 items, purpose);
 }
 
 /* Store what the texts of O have gained for who takes it over.  One write is
@@ -266,12 +266,12 @@
 
       while (i < r->n && same_item (&r->rows[first], &r->rows[i]))
         i++;
-      if (i == r->n && r->more && first > 0)
+      if (i == r->n && r->has_more && first > 0)
         return r->rows[first].key;
       t = wy_text_rows_join (&r->rows[first], i - first);
       for (size_t k = first; k < i; k++)
-        g_ptr_array_add (t && r->now_ms - t->at_ms <= KEEP_MS ? t->keys
-                                                              : c->keys,
+        g_ptr_array_add (t && r->store_now_ms - t->at_ms <= KEEP_MS ? t->keys
+                                                                    : c->keys,
                          g_strdup (r->rows[k].key));
       if (t)
         g_hash_table_replace (c->texts, t->item, t);
@@ -300,7 +300,7 @@
 read_page (struct wy_carry *c)
 {
   struct wy_rows_range range
-      = { .table = WY_CARRY_TABLE, .part = c->part, .from = c->from };
+      = { .table = WY_CARRY_TABLE, .partition = c->part, .from = c->from };
 
   wy_rows_get (c->env->rows, &range, on_page, c);
 }
@@ -371,7 +371,7 @@
 remove_rows (struct wy_carry *c)
 {
   struct wy_row_ref refs[BATCH_ROWS];
-  struct wy_rows_tx tx = { .part = c->part, .removals = refs };
+  struct wy_rows_tx tx = { .partition = c->part, .removals = refs };
 
   for (guint k = 0; k < c->keys->len && k < BATCH_ROWS; k++)
     {
--- a/src/jobs/carry.h
+++ b/src/jobs/checkpoint.h
@@ -5,10 +5,10 @@
    so without their text each of them would take the longest time again.  And
    an entry that dies in the middle of a step would take with it what its
    longest items have been made of so far.  */
-#ifndef WY_JOBS_CARRY_H
-#define WY_JOBS_CARRY_H
+#ifndef WY_JOBS_CHECKPOINT_H
+#define WY_JOBS_CHECKPOINT_H
 
-#include "jobs/owned.h"
+#include "jobs/active_job.h"
 
 #define WY_CARRY_TABLE "wy-carried"
 
--- a/src/jobs/clean.c
+++ b/src/jobs/expire.c
@@ -9,8 +9,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "jobs/carry.h"
-#include "trace/note.h"
+#include "jobs/checkpoint.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -34,8 +34,8 @@
 static void
 end (struct cleaning *c, const char *outcome)
 {
-  wy_note ("job.removed", "id=%s outcome=%s rows=%u pieces=%u", c->record->id,
-           outcome, c->rows, c->piece);
+  wy_json_log ("job.removed", "id=%s outcome=%s rows=%u pieces=%u",
+               c->record->id, outcome, c->rows, c->piece);
   c->jobs->cleaning = false;
   wy_job_record_free (c->record);
   g_free (c);
@@ -53,8 +53,8 @@
 remove_row (struct cleaning *c)
 {
   struct wy_row_ref ref
-      = { WY_JOBS_TABLE, WY_JOB_KEY, c->record->row_version };
-  struct wy_rows_tx tx = { .part = c->record->id,
+      = { WY_JOBS_TABLE, WY_JOB_ROW_KEY, c->record->row_version };
+  struct wy_rows_tx tx = { .partition = c->record->id,
                            .conditions = &ref,
                            .n_conditions = 1,
                            .removals = &ref,
@@ -90,7 +90,7 @@
       return;
     }
   snprintf (name, sizeof name, "%s.%u", c->record->object, c->piece);
-  wy_rows_drop_object (c->jobs->env->rows, name, on_piece_dropped, c);
+  wy_rows_delete_object (c->jobs->env->rows, name, on_piece_dropped, c);
 }
 
 static void
@@ -107,7 +107,7 @@
 {
   struct cleaning *c = ctx;
   struct wy_row_ref refs[PAGE_ROWS];
-  struct wy_rows_tx tx = { .part = c->record->id, .removals = refs };
+  struct wy_rows_tx tx = { .partition = c->record->id, .removals = refs };
 
   if (r->err)
     {
@@ -132,7 +132,7 @@
 read_rows (struct cleaning *c)
 {
   struct wy_rows_range range
-      = { .table = c->table, .part = c->record->id, .limit = PAGE_ROWS };
+      = { .table = c->table, .partition = c->record->id, .limit = PAGE_ROWS };
 
   wy_rows_get (c->jobs->env->rows, &range, on_rows, c);
 }
--- a/src/jobs/finish.c
+++ b/src/jobs/finish.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 /* A job that was run here to its end.  */
 struct finished
@@ -34,7 +34,7 @@
   f->writing = false;
   if (r->err)
     {
-      wy_note ("job.not_marked_done", "id=%s err=%d", f->id, r->err);
+      wy_json_log ("job.not_marked_done", "id=%s err=%d", f->id, r->err);
       return;
     }
   if (!is_open_here (f->jobs, known))
--- a/src/jobs/hand_on.c
+++ b/src/jobs/handoff.c
@@ -8,10 +8,10 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "gate/answer.h"
-#include "jobs/carry.h"
+#include "gate/response.h"
+#include "jobs/checkpoint.h"
 #include "platform/job_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 #define HAND_ON_TARGET "/jobs/run"
 
@@ -43,8 +43,8 @@
   bool taken = h->status == STATUS_TAKEN;
   const struct wy_job_record *known = wy_jobs_find (h->jobs, h->record->id);
 
-  wy_note ("job.handed_on", "id=%s to=%s outcome=%s status=%d", h->record->id,
-           h->record->holder, outcome, h->status);
+  wy_json_log ("job.handed_on", "id=%s to=%s outcome=%s status=%d",
+               h->record->id, h->record->holder, outcome, h->status);
   if (!taken && known && known->state == WY_JOB_OPEN
       && known->row_version == h->record->row_version)
     wy_jobs_take_over (h->jobs, known);
@@ -53,7 +53,7 @@
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *a)
+on_head (void *ctx, const struct wy_h1_response *a)
 {
   ((struct hand_on *)ctx)->status = a->status;
 }
@@ -83,10 +83,10 @@
   struct hand_on *h = g_new0 (struct hand_on, 1);
   char *record = wy_job_record_encode (r);
   char version[32];
-  struct wy_h1_pair fields[] = { { "Host", "entry" },
-                                 { "Job", r->id },
-                                 { "Job-Row-Version", version },
-                                 { "Job-Record", record } };
+  struct wy_h1_header fields[] = { { "Host", "entry" },
+                                   { "Job", r->id },
+                                   { "Job-Row-Version", version },
+                                   { "Job-Record", record } };
   struct wy_h1_call_options o = { .address = *address,
                                   .method = "POST",
                                   .target = HAND_ON_TARGET,
@@ -129,8 +129,8 @@
       struct wy_owned *o = wy_jobs_own (j, s->record, s->spec);
 
       s->spec = NULL;
-      wy_note ("job.running", "id=%s items=%u text_taken=%u", s->record->id,
-               o->n_items, wy_carry_apply (c, o));
+      wy_json_log ("job.running", "id=%s items=%u text_taken=%u",
+                   s->record->id, o->n_items, wy_carry_apply (c, o));
       wy_owned_pump (o);
     }
   wy_job_spec_free (s->spec);
@@ -160,11 +160,11 @@
   const char *id = wy_h1_head_get (head, "Job");
   const char *version = wy_h1_head_get (head, "Job-Row-Version");
   const char *record = wy_h1_head_get (head, "Job-Record");
-  struct wy_row row = { .table = WY_JOBS_TABLE, .key = WY_JOB_KEY };
+  struct wy_row row = { .table = WY_JOBS_TABLE, .key = WY_JOB_ROW_KEY };
 
   if (!id || !version || !record)
     return NULL;
-  row.part = id;
+  row.partition = id;
   row.value = record;
   row.size_bytes = strlen (record);
   row.version = g_ascii_strtoll (version, NULL, 10);
@@ -173,7 +173,7 @@
 
 /* Take a job that another entry hands on.  False: R is no such call.  */
 bool
-wy_jobs_take_handed (struct wy_jobs *j, struct wy_h1_request *r)
+wy_jobs_accept_handoff (struct wy_jobs *j, struct wy_h1_request *r)
 {
   struct wy_job_record *record;
   struct wy_job_spec *spec = NULL;
@@ -191,7 +191,7 @@
   if (!spec)
     {
       wy_job_record_free (record);
-      wy_refuse (r, 409, "not_holder", 0);
+      wy_respond_status (r, 409, "not_holder", 0);
       return true;
     }
   wy_h1_respond (r, STATUS_TAKEN, NULL, 0, "", 0);
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -8,8 +8,8 @@
 
 #include <string.h>
 
-#include "decide/job_turn.h"
-#include "trace/note.h"
+#include "decide/job_priority.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -75,17 +75,17 @@
   if (wy_watch_is_synced (j->watch)
       && (!old || old->state != r->state
           || strcmp (old->holder, r->holder) != 0))
-    wy_note ("job.seen", "id=%s state=%s holder=%s version=%lld", r->id,
-             wy_job_state_name (r->state), r->holder,
-             (long long)r->row_version);
+    wy_json_log ("job.seen", "id=%s state=%s holder=%s version=%lld", r->id,
+                 wy_job_state_name (r->state), r->holder,
+                 (long long)r->row_version);
   g_hash_table_replace (j->records, r->id, r);
   if (o
       && (r->state != WY_JOB_OPEN
           || strcmp (r->holder, o->record->holder) != 0))
     {
-      wy_note ("job.stopped", "id=%s state=%s holder=%s listed=%u of=%u",
-               r->id, wy_job_state_name (r->state), r->holder, o->n_listed,
-               o->n_items);
+      wy_json_log ("job.stopped", "id=%s state=%s holder=%s listed=%u of=%u",
+                   r->id, wy_job_state_name (r->state), r->holder, o->n_listed,
+                   o->n_items);
       if (r->state == WY_JOB_ENDED && *o->spec->model)
         let_linger (j, o);
       else
@@ -101,24 +101,24 @@
   struct wy_jobs *j = ctx;
   struct wy_job_record *r;
 
-  if (strcmp (row->key, WY_JOB_KEY) != 0)
+  if (strcmp (row->key, WY_JOB_ROW_KEY) != 0)
     return;
   if (row->deleted)
     {
-      struct wy_owned *o = g_hash_table_lookup (j->owned, row->part);
+      struct wy_owned *o = g_hash_table_lookup (j->owned, row->partition);
 
       if (o)
         forget_owned (j, o);
-      g_hash_table_remove (j->records, row->part);
-      wy_jobs_forget_finished (j, row->part);
+      g_hash_table_remove (j->records, row->partition);
+      wy_jobs_forget_finished (j, row->partition);
       return;
     }
   r = wy_job_record_decode (row);
   if (r)
     wy_jobs_learn (j, r);
   else
-    wy_note ("job.unreadable", "id=%s version=%lld", row->part,
-             (long long)row->version);
+    wy_json_log ("job.unreadable", "id=%s version=%lld", row->partition,
+                 (long long)row->version);
 }
 
 /* Results of the job O are confirmed.  */
@@ -127,8 +127,9 @@
 {
   struct wy_jobs *j = ctx;
 
-  wy_note ("job.listed", "id=%s listed=%u of=%u waiting=%u scoring=%u",
-           o->record->id, o->n_listed, o->n_items, o->n_waiting, o->n_scoring);
+  wy_json_log ("job.listed", "id=%s listed=%u of=%u waiting=%u scoring=%u",
+               o->record->id, o->n_listed, o->n_items, o->n_waiting,
+               o->n_scoring);
   wy_jobs_wake_readers (j, o->record->id);
 }
 
@@ -140,7 +141,7 @@
 
   if (why == WY_OWNED_DONE)
     {
-      wy_note ("job.done", "id=%s items=%u", o->record->id, o->n_items);
+      wy_json_log ("job.done", "id=%s items=%u", o->record->id, o->n_items);
       wy_jobs_finish (j, o->record);
     }
   forget_owned (j, o);
@@ -160,7 +161,7 @@
                                 .ctx = j };
   struct wy_owned *w = wy_owned_new (&o);
 
-  w->newest_version = wy_lags_newest (j->lags, spec->model);
+  w->newest_version = wy_staleness_newest_version (j->lags, spec->model);
   g_hash_table_insert (j->owned, w->record->id, w);
   return w;
 }
@@ -194,7 +195,7 @@
     return false;
   if (!strcmp (r->holder, j->env->holder))
     return true;
-  if (!wy_members_is_gone (j->members, r->holder))
+  if (!wy_members_holder_is_gone (j->members, r->holder))
     return false;
   return now_ms / RANK_DELAY_MS % (wy_members_rank (j->members, r->id) + 1)
          == 0;
@@ -219,13 +220,13 @@
 
 struct turn
 {
-  struct wy_job_turn turn;
+  struct wy_job_priority turn;
   struct wy_owned *job;
 };
 
 /* An organisation that the configuration no longer has is as one without a
    priority.  */
-static struct wy_job_turn
+static struct wy_job_priority
 turn_of (const struct wy_owned *o)
 {
   const struct wy_routing *r = o->env->routing;
@@ -233,17 +234,18 @@
   const struct wy_org *org
       = r && r->orgs ? wy_orgs_find (r->orgs, o->record->organisation) : NULL;
 
-  return (struct wy_job_turn){ .organisation_priority
-                               = org ? org->priority : UINT32_MAX,
-                               .route_priority = route ? route->priority : 0,
-                               .accepted_ms = o->record->accepted_ms };
+  return (struct wy_job_priority){ .organisation_priority
+                                   = org ? org->priority : UINT32_MAX,
+                                   .route_priority
+                                   = route ? route->priority : 0,
+                                   .accepted_ms = o->record->accepted_ms };
 }
 
 static gint
 by_turn (gconstpointer a, gconstpointer b)
 {
-  return wy_job_turn_compare (&((const struct turn *)a)->turn,
-                              &((const struct turn *)b)->turn);
+  return wy_job_priority_compare (&((const struct turn *)a)->turn,
+                                  &((const struct turn *)b)->turn);
 }
 
 static void
@@ -319,9 +321,10 @@
 
 /* A trainer has named VERSION of MODEL.  */
 void
-wy_jobs_version_named (struct wy_jobs *j, const char *model, int64_t version)
+wy_jobs_version_announced (struct wy_jobs *j, const char *model,
+                           int64_t version)
 {
-  wy_lags_named (j->lags, model, version);
+  wy_staleness_version_announced (j->lags, model, version);
 }
 
 /* Targets have come or gone: waiting items may find one.  */
@@ -340,19 +343,19 @@
                                 .clock = o->env->clock,
                                 .rows = o->env->rows,
                                 .table = WY_JOBS_TABLE,
-                                .all_parts = true,
-                                .gap_ms = WATCH_GAP_MS,
+                                .all_partitions = true,
+                                .min_interval_ms = WATCH_GAP_MS,
                                 .seed = o->seed,
                                 .on_row = on_row,
                                 .ctx = j };
 
   j->env = o->env;
   j->members = o->members;
-  j->piece_bytes = o->piece_bytes;
-  j->keep_ms = o->keep_ms;
-  j->memory_bytes = o->memory_bytes;
+  j->piece_bytes = o->max_object_bytes;
+  j->keep_ms = o->result_retention_ms;
+  j->memory_bytes = o->memory_limit_bytes;
   /* The store counts a row's bytes as they travel, in base64.  */
-  j->row_bytes = o->row_bytes / 4 * 3 - ROW_MARGIN_BYTES;
+  j->row_bytes = o->max_row_bytes / 4 * 3 - ROW_MARGIN_BYTES;
   j->records
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_record);
   j->owned = g_hash_table_new (g_str_hash, g_str_equal);
@@ -363,7 +366,7 @@
   j->taking = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_queue_init (&j->waiting);
   j->watch = wy_watch_new (&w);
-  j->lags = wy_lags_new (o->env);
+  j->lags = wy_staleness_new (o->env);
   uv_timer_init (o->env->loop, &j->tick);
   j->tick.data = j;
   uv_timer_start (&j->tick, on_tick, TICK_MS, TICK_MS);
@@ -382,7 +385,7 @@
   for (guint i = 0; i < j->lingering->len; i++)
     wy_owned_drop (g_ptr_array_index (j->lingering, i));
   g_ptr_array_set_size (j->lingering, 0);
-  wy_lags_free (j->lags);
+  wy_staleness_free (j->lags);
   wy_watch_free (j->watch);
   uv_close ((uv_handle_t *)&j->tick, NULL);
 }
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -6,8 +6,8 @@
 #include "gate/env.h"
 #include "gate/members.h"
 #include "h1/server.h"
-#include "jobs/lag.h"
-#include "jobs/owned.h"
+#include "jobs/staleness.h"
+#include "jobs/active_job.h"
 #include "jobs/record.h"
 #include "platform/request_wire.h"
 
@@ -18,10 +18,10 @@
   struct wy_gate_env *env;
   struct wy_members *members;
   uint64_t seed;
-  uint32_t piece_bytes;  /* largest object that the store takes */
-  uint32_t row_bytes;    /* largest row */
-  int64_t keep_ms;       /* results, from their job's submission */
-  uint64_t memory_bytes; /* for jobs at a time; 0: no limit */
+  uint32_t max_object_bytes;   /* largest object that the store takes */
+  uint32_t max_row_bytes;      /* largest row */
+  int64_t result_retention_ms; /* results, from their job's submission */
+  uint64_t memory_limit_bytes; /* for jobs at a time; 0: no limit */
 };
 
 struct wy_jobs *wy_jobs_new (const struct wy_jobs_options *o);
@@ -29,7 +29,7 @@
 bool wy_jobs_is_synced (const struct wy_jobs *j);
 
 /* What is run here and not done.  */
-struct wy_jobs_work
+struct wy_jobs_backlog
 {
   int64_t oldest_ms; /* age of the oldest job; 0: none */
   uint32_t waiting;  /* items without a run */
@@ -37,7 +37,7 @@
   uint32_t unlisted; /* items with a result that is not listed */
 };
 
-void wy_jobs_work (const struct wy_jobs *j, struct wy_jobs_work *out);
+void wy_jobs_backlog (const struct wy_jobs *j, struct wy_jobs_backlog *out);
 
 /* One job as it is known.  */
 struct wy_job_view
@@ -45,9 +45,9 @@
   const char *id;
   const char *state;
   const char *holder;
-  bool here; /* it is run by this entry */
+  bool runs_here; /* it is run by this entry */
   uint32_t listed;
-  uint32_t of;
+  uint32_t total_items;
   int64_t age_ms; /* since it runs here; -1: elsewhere */
 };
 
@@ -55,14 +55,15 @@
                    void (*fn) (void *ctx, const struct wy_job_view *v),
                    void *ctx);
 uint32_t wy_jobs_running (const struct wy_jobs *j);
-void wy_jobs_version_named (struct wy_jobs *j, const char *model,
-                            int64_t version);
+void wy_jobs_version_announced (struct wy_jobs *j, const char *model,
+                                int64_t version);
 void wy_jobs_targets_changed (struct wy_jobs *j);
 
 void wy_jobs_accept (struct wy_jobs *j, struct wy_h1_request *r,
                      const char *organisation, bool config_is_fresh);
-bool wy_jobs_take_handed (struct wy_jobs *j, struct wy_h1_request *r);
-void wy_jobs_call (struct wy_jobs *j, struct wy_h1_request *r,
-                   const char *organisation, const struct wy_job_call *call);
+bool wy_jobs_accept_handoff (struct wy_jobs *j, struct wy_h1_request *r);
+void wy_jobs_handle_call (struct wy_jobs *j, struct wy_h1_request *r,
+                          const char *organisation,
+                          const struct wy_job_call *call);
 
 #endif
--- a/src/jobs/record.c
+++ b/src/jobs/record.c
@@ -112,7 +112,7 @@
   if (state)
     {
       r = g_new0 (struct wy_job_record, 1);
-      r->id = g_strdup (row->part);
+      r->id = g_strdup (row->partition);
       r->holder = text_of (doc, "holder");
       r->organisation = text_of (doc, "organisation");
       for (int i = 0; i < (int)G_N_ELEMENTS (state_names); i++)
@@ -139,13 +139,13 @@
 {
   char *value = wy_job_record_encode (r);
   struct wy_row_ref condition = { .table = WY_JOBS_TABLE,
-                                  .key = WY_JOB_KEY,
+                                  .key = WY_JOB_ROW_KEY,
                                   .version = r->row_version };
   struct wy_row_write w = { .table = WY_JOBS_TABLE,
-                            .key = WY_JOB_KEY,
+                            .key = WY_JOB_ROW_KEY,
                             .value = value,
                             .size_bytes = strlen (value) };
-  struct wy_rows_tx tx = { .part = r->id,
+  struct wy_rows_tx tx = { .partition = r->id,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &w,
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -11,7 +11,7 @@
 
 #define WY_JOBS_TABLE "wy-jobs"
 #define WY_RESULTS_TABLE "wy-results"
-#define WY_JOB_KEY "job"
+#define WY_JOB_ROW_KEY "job"
 
 enum wy_job_state
 {
--- a/src/jobs/lister.c
+++ b/src/jobs/result_list.c
@@ -6,13 +6,13 @@
    more, and the absence of a row at the first position it writes to, so that
    a write whose answer was lost can be sent again: whichever of the two is
    performed first, the other does nothing.  */
-#include "jobs/owned.h"
+#include "jobs/active_job.h"
 
 #include <string.h>
 
 #include "decide/listing.h"
 #include "jobs/result_rows.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -53,13 +53,13 @@
   const struct wy_route *route = wy_owned_route (o);
   struct wy_listing_options l = { .items = o->n_items,
                                   .results = o->n_listed + o->ended.length,
-                                  .whole_groups = o->whole_groups,
+                                  .complete_groups = o->whole_groups,
                                   .wanted_groups = o->spec->wanted_groups,
                                   .age_ms = wy_owned_age_ms (o),
                                   .stopping = o->env->stopping };
 
   l.due_ms = route ? route->result_deadline_ms : 0;
-  return wy_listing_waits (&l);
+  return wy_listing_is_deferred (&l);
 }
 
 /* Results wait to be listed: now, or with others that are still to come.  */
@@ -113,8 +113,8 @@
 static void
 lose (struct wy_owned *o, const char *why)
 {
-  wy_note ("job.lost", "id=%s reason=%s listed=%u of=%u", o->record->id, why,
-           o->n_listed, o->n_items);
+  wy_json_log ("job.lost", "id=%s reason=%s listed=%u of=%u", o->record->id,
+               why, o->n_listed, o->n_items);
   o->on_end (o->ctx, o, WY_OWNED_LOST);
 }
 
@@ -189,8 +189,9 @@
 read_back (struct wy_owned *o)
 {
   char from[WY_RESULT_KEY_SIZE_BYTES];
-  struct wy_rows_range range
-      = { .table = WY_RESULTS_TABLE, .part = o->record->id, .from = from };
+  struct wy_rows_range range = { .table = WY_RESULTS_TABLE,
+                                 .partition = o->record->id,
+                                 .from = from };
 
   wy_result_key (o->n_listed, from);
   o->writing = true;
@@ -209,7 +210,7 @@
       const struct wy_row *row = &r->rows[k];
       struct wy_job_record *rec;
 
-      if (strcmp (row->key, WY_JOB_KEY) != 0)
+      if (strcmp (row->key, WY_JOB_ROW_KEY) != 0)
         {
           present = present || row->version > 0;
           continue;
@@ -269,11 +270,12 @@
   struct wy_row_write *writes;
   char first[WY_RESULT_KEY_SIZE_BYTES];
   struct wy_row_ref conditions[2] = {
-    { WY_JOBS_TABLE, WY_JOB_KEY, o->record->row_version },
+    { WY_JOBS_TABLE, WY_JOB_ROW_KEY, o->record->row_version },
     { WY_RESULTS_TABLE, first, 0 },
   };
-  struct wy_rows_tx tx
-      = { .part = o->record->id, .conditions = conditions, .n_conditions = 2 };
+  struct wy_rows_tx tx = { .partition = o->record->id,
+                           .conditions = conditions,
+                           .n_conditions = 2 };
 
   if (o->ended.length == 0)
     return;
--- a/src/jobs/result_rows.c
+++ b/src/jobs/result_rows.c
@@ -78,7 +78,7 @@
       for (; i < r->n && same_position (&r->rows[first], &r->rows[i]); i++)
         g_string_append_len (value, r->rows[i].value,
                              (gssize)r->rows[i].size_bytes);
-      if (i == r->n && r->more && first > 0)
+      if (i == r->n && r->has_more && first > 0)
         break;
       res = wy_result_decode (value->str, value->len);
       if (!res)
@@ -95,7 +95,7 @@
 {
   char key[WY_RESULT_KEY_SIZE_BYTES];
 
-  if (!r->more)
+  if (!r->has_more)
     return NULL;
   wy_result_key (position, key);
   return g_strdup (key);
--- a/src/jobs/run.c
+++ b/src/jobs/run.c
@@ -8,9 +8,9 @@
 
 #include <string.h>
 
-#include "gate/answer.h"
+#include "gate/response.h"
 #include "platform/request_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -58,8 +58,9 @@
   struct wy_gate_env *env = r->item->job->env;
 
   r->item->run = NULL;
-  wy_events_clear (&r->events);
-  wy_target_ended (env->targets, r->target, outcome, wy_run_now_ms (r));
+  wy_sse_clear (&r->events);
+  wy_target_request_ended (env->targets, r->target, outcome,
+                           wy_run_now_ms (r));
   g_free (r);
 }
 
@@ -68,27 +69,28 @@
 {
   const struct wy_item *i = r->item;
 
-  wy_note ("item.run_ended",
-           "id=%s job=%s group=%s expected=%u target=%s outcome=%s status=%d "
-           "events=%u last=%lld version=%lld min_version=%lld runs=%u "
-           "ms=%lld silent_ms=%lld job_ms=%lld",
-           i->spec->id, i->job->record->id, i->spec->group,
-           i->spec->expected_tokens, r->target->info.id, outcome, r->status,
-           r->n_events, (long long)i->last_event, (long long)r->version,
-           (long long)i->job->spec->min_version, i->runs,
-           (long long)(wy_run_now_ms (r) - r->started_ms),
-           (long long)(wy_run_now_ms (r) - r->heard_ms),
-           (long long)(wy_run_now_ms (r) - i->job->started_ms));
+  wy_json_log (
+      "item.run_ended",
+      "id=%s job=%s group=%s expected=%u target=%s outcome=%s status=%d "
+      "events=%u last=%lld version=%lld min_version=%lld runs=%u "
+      "ms=%lld silent_ms=%lld job_ms=%lld",
+      i->spec->id, i->job->record->id, i->spec->group,
+      i->spec->expected_tokens, r->target->info.id, outcome, r->status,
+      r->n_events, (long long)i->last_event, (long long)r->version,
+      (long long)i->job->spec->min_version, i->runs,
+      (long long)(wy_run_now_ms (r) - r->started_ms),
+      (long long)(wy_run_now_ms (r) - r->heard_ms),
+      (long long)(wy_run_now_ms (r) - i->job->started_ms));
 }
 
 static void
 set_avoid (struct wy_item *i, struct wy_target *g)
 {
   if (i->avoid)
-    wy_target_release (i->job->env->targets, i->avoid);
+    wy_target_unref (i->job->env->targets, i->avoid);
   i->avoid = g;
   if (g)
-    wy_target_hold (g);
+    wy_target_ref (g);
 }
 
 /* End R with OUTCOME for its target; its item waits PAUSE_MS at least for
@@ -100,7 +102,7 @@
   struct wy_item *i = r->item;
 
   log_run (r, why);
-  (*i->job->env->count.items_broken)++;
+  (*i->job->env->count.item_runs_failed)++;
   i->state = WY_ITEM_WAITING;
   i->job->n_waiting++;
   i->not_before_ms = wy_run_now_ms (r) + pause_ms;
@@ -127,7 +129,7 @@
 {
   if (r->call)
     wy_h1_call_cancel (r->call);
-  free_run (r, WY_TARGET_ABANDONED);
+  free_run (r, WY_TARGET_CANCELLED);
 }
 
 static bool
@@ -146,7 +148,7 @@
 
   if (r->version < 0)
     return;
-  wy_target_saw_version (r->target, spec->model, r->version);
+  wy_target_record_version (r->target, spec->model, r->version);
   if (r->version < spec->min_version)
     r->fault = RUN_STALE;
   else if (r->single_version && has_other_version (r->item, r->version))
@@ -154,17 +156,18 @@
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *a)
+on_head (void *ctx, const struct wy_h1_response *a)
 {
   struct wy_run *r = ctx;
-  struct wy_answer_info info;
+  struct wy_response_info info;
 
   r->status = a->status;
-  wy_target_heard (r->target);
-  wy_answer_read (a->status, a->head, &info);
+  wy_target_response_started (r->target);
+  wy_response_parse_head (a->status, a->head, &info);
   r->not_run = info.not_run;
   if (info.has_load)
-    wy_target_loaded (r->target, info.running + info.waiting, r->heard_ms);
+    wy_target_record_load (r->target, info.running + info.waiting,
+                           r->heard_ms);
   if (info.id && strcmp (info.id, r->item->spec->id) != 0)
     r->fault = RUN_FOREIGN;
   if (a->status != STATUS_OK || r->fault)
@@ -184,7 +187,7 @@
 }
 
 static void
-on_event (void *ctx, const struct wy_event *ev)
+on_event (void *ctx, const struct wy_sse_event *ev)
 {
   struct wy_run *r = ctx;
   struct wy_item *i = r->item;
@@ -226,8 +229,8 @@
   if (fault == RUN_MIXED)
     forget_text (i);
   wy_run_again (r,
-                fault == RUN_FOREIGN || fault == RUN_GAP ? WY_TARGET_BROKEN
-                                                         : WY_TARGET_ABANDONED,
+                fault == RUN_FOREIGN || fault == RUN_GAP ? WY_TARGET_FAILED
+                                                         : WY_TARGET_CANCELLED,
                 RETRY_MS, fault_name (fault));
 }
 
@@ -239,14 +242,14 @@
   uint32_t before = r->n_events;
 
   if (r->status == STATUS_OK && !r->fault)
-    wy_events_feed (&r->events, p, n, on_event, r);
+    wy_sse_feed (&r->events, p, n, on_event, r);
   if (before && r->n_events > before)
     {
       uint32_t n = r->n_events - before;
       double event_ms = (double)(now_ms - r->heard_ms) / n;
 
       wy_run_paced (r, n, event_ms);
-      wy_target_paced (r->target, WY_WORK_EVENT, event_ms, now_ms);
+      wy_target_record_pace (r->target, WY_WORK_EVENT, event_ms, now_ms);
     }
   if (r->n_events > before)
     r->heard_ms = now_ms;
@@ -301,11 +304,12 @@
   if (r->n_events == 0)
     {
       i->unstarted++;
-      wy_crash_watch_broken (&i->job->env->crashes, fingerprint_of (i),
-                             r->target->info.id, wy_run_now_ms (r));
+      wy_crash_tracker_run_interrupted (&i->job->env->crashes,
+                                        fingerprint_of (i), r->target->info.id,
+                                        wy_run_now_ms (r));
     }
-  wy_run_again (r, WY_TARGET_BROKEN,
-                MAX (RETRY_MS, wy_crash_watch_pause_ms (i->unstarted)),
+  wy_run_again (r, WY_TARGET_FAILED,
+                MAX (RETRY_MS, wy_crash_tracker_backoff_ms (i->unstarted)),
                 "broken_off");
 }
 
@@ -317,15 +321,15 @@
   struct wy_gate_env *env = i->job->env;
   int64_t now_ms = wy_clock_mono_ms (env->clock);
 
-  if (i->unstarted || !wy_crash_watch_any (&env->crashes)
-      || !wy_crash_watch_holds_back (&env->crashes, fingerprint_of (i),
-                                     now_ms))
+  if (i->unstarted || !wy_crash_tracker_has_suspects (&env->crashes)
+      || !wy_crash_tracker_is_blocked (&env->crashes, fingerprint_of (i),
+                                       now_ms))
     return false;
   i->unstarted = SUSPECT_BREAKS;
-  i->not_before_ms = now_ms + wy_crash_watch_pause_ms (i->unstarted);
+  i->not_before_ms = now_ms + wy_crash_tracker_backoff_ms (i->unstarted);
   (*env->count.held_back)++;
-  wy_note ("item.held_back", "id=%s job=%s ms=%lld", i->spec->id,
-           i->job->record->id, (long long)(i->not_before_ms - now_ms));
+  wy_json_log ("item.held_back", "id=%s job=%s ms=%lld", i->spec->id,
+               i->job->record->id, (long long)(i->not_before_ms - now_ms));
   return true;
 }
 
@@ -337,18 +341,19 @@
 
   r->call = NULL;
   if (r->fault)
-    wy_run_again (r, WY_TARGET_BROKEN, RETRY_MS, fault_name (r->fault));
+    wy_run_again (r, WY_TARGET_FAILED, RETRY_MS, fault_name (r->fault));
   else if (err == WY_H1_ECONNECT)
-    wy_run_again (r, WY_TARGET_BROKEN, RETRY_MS, "no_connection");
+    wy_run_again (r, WY_TARGET_FAILED, RETRY_MS, "no_connection");
   else if (err)
     broken_off (r);
   else if (r->not_run)
-    wy_run_again (r, r->status == 421 ? WY_TARGET_ELSEWHERE : WY_TARGET_FULL,
-                  RETRY_MS, r->status == 421 ? "not_there" : "full");
+    wy_run_again (
+        r, r->status == 421 ? WY_TARGET_MISDIRECTED : WY_TARGET_REJECTED,
+        RETRY_MS, r->status == 421 ? "not_there" : "full");
   else if (r->status != STATUS_OK)
     refused_by_replica (r);
-  else if (wy_events_in_midst (&r->events) || r->item->last_event < 0)
-    wy_run_again (r, WY_TARGET_BROKEN, RETRY_MS, "cut_short");
+  else if (wy_sse_has_partial (&r->events) || r->item->last_event < 0)
+    wy_run_again (r, WY_TARGET_FAILED, RETRY_MS, "cut_short");
   else
     complete (r);
   wy_owned_pump (job);
@@ -361,14 +366,15 @@
   const struct wy_target *g = r->target;
   int64_t now_ms = wy_run_now_ms (r);
 
-  wy_note ("item.run_started",
-           "id=%s job=%s target=%s after=%lld run=%u in_flight=%u load=%u "
-           "load_age_ms=%lld pace_ms=%.0f held_version=%lld",
-           i->spec->id, i->job->record->id, g->info.id,
-           (long long)i->last_event, i->runs, g->in_flight, g->reported_load,
-           g->reported_ms ? (long long)(now_ms - g->reported_ms) : -1LL,
-           g->pace[WY_WORK_EVENT].ms,
-           (long long)wy_target_version (g, i->job->spec->model));
+  wy_json_log ("item.run_started",
+               "id=%s job=%s target=%s after=%lld run=%u in_flight=%u load=%u "
+               "load_age_ms=%lld pace_ms=%.0f held_version=%lld",
+               i->spec->id, i->job->record->id, g->info.id,
+               (long long)i->last_event, i->runs, g->in_flight,
+               g->reported_load,
+               g->reported_ms ? (long long)(now_ms - g->reported_ms) : -1LL,
+               g->pace[WY_WORK_EVENT].ms,
+               (long long)wy_target_version (g, i->job->spec->model));
 }
 
 /* Run I on G, behind the text that it has.  */
@@ -378,7 +384,7 @@
 {
   struct wy_gate_env *env = i->job->env;
   struct wy_run *r = g_new0 (struct wy_run, 1);
-  GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
+  GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
   struct wy_forward_info f
       = { .replica = g->info.id,
           .time_left_ms = -1,
@@ -405,18 +411,18 @@
   r->allowed_failures = route->attempts;
   r->started_ms = wy_run_now_ms (r);
   r->heard_ms = r->started_ms;
-  wy_events_init (&r->events);
+  wy_sse_init (&r->events);
   i->run = r;
   i->runs++;
   i->state = WY_ITEM_RUNNING;
   i->job->n_waiting--;
-  wy_item_fields ((const struct wy_h1_pair *)i->spec->fields->data,
-                  i->spec->fields->len, &f, fields);
-  o.fields = (const struct wy_h1_pair *)fields->data;
+  wy_request_item_fields ((const struct wy_h1_header *)i->spec->fields->data,
+                          i->spec->fields->len, &f, fields);
+  o.fields = (const struct wy_h1_header *)fields->data;
   o.n_fields = fields->len;
   log_start (r);
-  wy_target_started (g);
-  (*env->count.items_started)++;
+  wy_target_request_started (g);
+  (*env->count.item_runs)++;
   r->call = wy_h1_call_start (env->http, &o);
   g_array_free (fields, TRUE);
 }
--- a/src/jobs/run_check.c
+++ b/src/jobs/run_progress.c
@@ -1,5 +1,5 @@
 /* Moves a run off a replica that holds it up, behind the text that it has.  */
-#include "decide/headway.h"
+#include "decide/run_progress.h"
 #include "jobs/run_state.h"
 
 enum
@@ -30,28 +30,28 @@
 void
 wy_run_check (struct wy_run *r)
 {
-  double typical_ms = wy_targets_typical_pace_ms (
+  double typical_ms = wy_targets_median_pace_ms (
       r->item->job->env->targets, r->target->info.service, WY_WORK_EVENT);
-  struct wy_headway_options o
+  struct wy_run_progress_options o
       = { .n_events = r->n_events,
           .silent_ms = wy_run_now_ms (r) - r->heard_ms,
-          .event_ms = r->event_ms,
-          .event_before_ms = r->event_before_ms,
+          .last_event_ms = r->event_ms,
+          .previous_event_ms = r->event_before_ms,
           /* A pace of 1 ms stands for none known.  */
-          .typical_ms = typical_ms > 1 ? typical_ms : 0 };
-  enum wy_headway headway = wy_headway_of (&o);
+          .typical_event_ms = typical_ms > 1 ? typical_ms : 0 };
+  enum wy_run_progress headway = wy_run_progress_assess (&o);
 
   if (o.silent_ms >= SILENCE_MS)
     {
-      stop (r, WY_TARGET_SILENT, "silent");
+      stop (r, WY_TARGET_TIMED_OUT, "silent");
       return;
     }
-  if (headway == WY_HEADWAY_SOUND
+  if (headway == WY_RUN_PROGRESS_NORMAL
       || !wy_owned_pick (r->item, r->target,
-                         typical_ms * WY_HEADWAY_SOUND_FACTOR, 0))
+                         typical_ms * WY_RUN_PROGRESS_NORMAL_FACTOR, 0))
     return;
-  if (headway == WY_HEADWAY_STALLED)
+  if (headway == WY_RUN_PROGRESS_STALLED)
     stop (r, WY_TARGET_STALLED, "stalled");
   else
-    stop (r, WY_TARGET_ABANDONED, "slow");
+    stop (r, WY_TARGET_CANCELLED, "slow");
 }
--- a/src/jobs/run_state.h
+++ b/src/jobs/run_state.h
@@ -2,7 +2,7 @@
 #ifndef WY_JOBS_RUN_STATE_H
 #define WY_JOBS_RUN_STATE_H
 
-#include "jobs/owned.h"
+#include "jobs/active_job.h"
 
 /* Why a run is of no more use, found while its bytes are read.  */
 enum run_fault
@@ -19,7 +19,7 @@
   struct wy_item *item;
   struct wy_target *target;
   struct wy_h1_call *call;
-  struct wy_events events;
+  struct wy_sse_parser events;
   int status;
   bool not_run;
   bool single_version;
--- a/src/jobs/score.c
+++ b/src/jobs/score.c
@@ -14,7 +14,7 @@
 
 #include "decide/scoring.h"
 #include "platform/request_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -92,7 +92,7 @@
     wy_h1_call_cancel (t->call);
   g_free (t->mark);
   memset (t, 0, sizeof *t);
-  wy_target_ended (s->item->job->env->targets, g, outcome, now_of (s));
+  wy_target_request_ended (s->item->job->env->targets, g, outcome, now_of (s));
 }
 
 /* Stop the calls of S that are under way.  */
@@ -100,7 +100,7 @@
 wy_score_pause (struct wy_score *s)
 {
   for (int k = 0; k < TRIES_MAX; k++)
-    end_try (&s->tries[k], WY_TARGET_ABANDONED);
+    end_try (&s->tries[k], WY_TARGET_CANCELLED);
 }
 
 /* Free S, which may be NULL.  */
@@ -111,8 +111,8 @@
     return;
   wy_score_pause (s);
   for (guint k = 0; k < s->failed_at->len; k++)
-    wy_target_release (s->item->job->env->targets,
-                       g_ptr_array_index (s->failed_at, k));
+    wy_target_unref (s->item->job->env->targets,
+                     g_ptr_array_index (s->failed_at, k));
   g_ptr_array_free (s->failed_at, TRUE);
   g_free (s);
 }
@@ -132,12 +132,12 @@
   const struct wy_score *s = t->score;
   const struct wy_item *i = s->item;
 
-  wy_note ("score.try_failed",
-           "id=%s job=%s call=%s target=%s outcome=%s status=%d asked=%u "
-           "failed=%u ms=%lld",
-           i->spec->id, i->job->record->id, i->spec->scorer->id,
-           t->target->info.id, outcome, t->status, s->asked, s->failed,
-           (long long)(now_of (s) - t->started_ms));
+  wy_json_log ("score.try_failed",
+               "id=%s job=%s call=%s target=%s outcome=%s status=%d asked=%u "
+               "failed=%u ms=%lld",
+               i->spec->id, i->job->record->id, i->spec->scorer->id,
+               t->target->info.id, outcome, t->status, s->asked, s->failed,
+               (long long)(now_of (s) - t->started_ms));
 }
 
 /* T brought nothing; its score is asked for again after PAUSE_MS at least,
@@ -150,7 +150,7 @@
   struct wy_owned *o = s->item->job;
 
   log_failed (t, why);
-  (*o->env->count.scores_broken)++;
+  (*o->env->count.score_calls_failed)++;
   end_try (t, outcome);
   s->not_before_ms = now_of (s) + pause_ms;
 }
@@ -170,8 +170,8 @@
       if (!t->target)
         continue;
       if (ms >= after_ms)
-        wy_target_paced (t->target, WY_WORK_SCORE, (double)ms, now_ms);
-      end_try (t, ms >= after_ms ? WY_TARGET_STALLED : WY_TARGET_ABANDONED);
+        wy_target_record_pace (t->target, WY_WORK_SCORE, (double)ms, now_ms);
+      end_try (t, ms >= after_ms ? WY_TARGET_STALLED : WY_TARGET_CANCELLED);
     }
 }
 
@@ -179,10 +179,10 @@
 second_ms (const struct wy_score *s, const struct wy_route *route,
            const char *service)
 {
-  double typical_ms = wy_targets_typical_pace_ms (s->item->job->env->targets,
-                                                  service, WY_WORK_SCORE);
+  double typical_ms = wy_targets_median_pace_ms (s->item->job->env->targets,
+                                                 service, WY_WORK_SCORE);
 
-  return wy_scoring_second_ms (typical_ms, route->target_latency_ms);
+  return wy_scoring_hedge_delay_ms (typical_ms, route->target_latency_ms);
 }
 
 static void
@@ -198,15 +198,16 @@
       = route ? second_ms (s, route, t->target->info.service) : INT64_MAX;
   char *mark = g_steal_pointer (&t->mark);
 
-  wy_note ("item.scored",
-           "id=%s job=%s call=%s target=%s asked=%u ms=%lld waited_ms=%lld",
-           i->spec->id, i->job->record->id, i->spec->scorer->id,
-           t->target->info.id, s->asked, (long long)(now_ms - t->started_ms),
-           (long long)(now_ms - s->since_ms));
+  wy_json_log (
+      "item.scored",
+      "id=%s job=%s call=%s target=%s asked=%u ms=%lld waited_ms=%lld",
+      i->spec->id, i->job->record->id, i->spec->scorer->id, t->target->info.id,
+      s->asked, (long long)(now_ms - t->started_ms),
+      (long long)(now_ms - s->since_ms));
   wy_hist_add (env->count.score_us,
                (uint64_t)(now_ms - s->since_ms) * WY_US_PER_MS);
-  wy_target_paced (t->target, WY_WORK_SCORE, (double)(now_ms - t->started_ms),
-                   now_ms);
+  wy_target_record_pace (t->target, WY_WORK_SCORE,
+                         (double)(now_ms - t->started_ms), now_ms);
   end_try (t, WY_TARGET_ANSWERED);
   stop_slower (s, after_ms);
   wy_item_scored (i, mark);
@@ -221,29 +222,30 @@
   struct wy_item *i = s->item;
 
   s->failed++;
-  wy_target_hold (t->target);
+  wy_target_ref (t->target);
   g_ptr_array_add (s->failed_at, t->target);
   try_failed (t, WY_TARGET_ANSWERED, 0, "failed");
   if (s->failed < wy_owned_allowed_failures (i))
     return;
-  wy_note ("item.unscored", "id=%s job=%s call=%s failed=%u waited_ms=%lld",
-           i->spec->id, i->job->record->id, i->spec->scorer->id, s->failed,
-           (long long)(now_of (s) - s->since_ms));
+  wy_json_log ("item.unscored",
+               "id=%s job=%s call=%s failed=%u waited_ms=%lld", i->spec->id,
+               i->job->record->id, i->spec->scorer->id, s->failed,
+               (long long)(now_of (s) - s->since_ms));
   wy_item_give_up (i);
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *a)
+on_head (void *ctx, const struct wy_h1_response *a)
 {
   struct score_try *t = ctx;
-  struct wy_answer_info info;
+  struct wy_response_info info;
 
   t->status = a->status;
-  wy_target_heard (t->target);
-  wy_answer_read (a->status, a->head, &info);
+  wy_target_response_started (t->target);
+  wy_response_parse_head (a->status, a->head, &info);
   if (info.has_load)
-    wy_target_loaded (t->target, info.running + info.waiting,
-                      now_of (t->score));
+    wy_target_record_load (t->target, info.running + info.waiting,
+                           now_of (t->score));
   t->not_run = info.not_run;
   t->spoilt
       = (info.id && strcmp (info.id, t->score->item->spec->scorer->id) != 0)
@@ -263,7 +265,7 @@
   struct score_try *t = ctx;
   struct wy_score *s = t->score;
   struct wy_owned *o = s->item->job;
-  int64_t pause_ms = wy_scoring_pause_ms (s->broken);
+  int64_t pause_ms = wy_scoring_backoff_ms (s->broken);
 
   t->call = NULL;
   if (err || t->spoilt || t->not_run)
@@ -271,14 +273,14 @@
   else
     s->broken = 0;
   if (err)
-    try_failed (t, WY_TARGET_BROKEN, pause_ms,
+    try_failed (t, WY_TARGET_FAILED, pause_ms,
                 err == WY_H1_ECONNECT ? "no_connection" : "broken_off");
   else if (t->spoilt)
-    try_failed (t, WY_TARGET_BROKEN, pause_ms, "spoilt_answer");
+    try_failed (t, WY_TARGET_FAILED, pause_ms, "spoilt_answer");
   else if (t->not_run && t->status == STATUS_NOT_HERE)
-    try_failed (t, WY_TARGET_ELSEWHERE, pause_ms, "not_there");
+    try_failed (t, WY_TARGET_MISDIRECTED, pause_ms, "not_there");
   else if (t->not_run)
-    try_failed (t, WY_TARGET_FULL, pause_ms, "full");
+    try_failed (t, WY_TARGET_REJECTED, pause_ms, "full");
   else if (t->status == STATUS_OK)
     scored (t);
   else if (t->status == STATUS_FAILED)
@@ -303,7 +305,7 @@
   struct wy_item *i = s->item;
   const struct wy_scorer_spec *spec = i->spec->scorer;
   struct score_try *t = free_try (s);
-  GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
+  GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
   struct wy_forward_info f
       = { .replica = g->info.id,
           .time_left_ms = wy_owned_time_left_ms (i->job),
@@ -327,19 +329,19 @@
   t->target = g;
   t->started_ms = now_of (s);
   s->asked++;
-  wy_note ("score.asked",
-           "id=%s job=%s call=%s target=%s asked=%u in_flight=%u load=%u "
-           "load_age_ms=%lld pace_ms=%.0f waited_ms=%lld",
-           i->spec->id, i->job->record->id, spec->id, g->info.id, s->asked,
-           g->in_flight, g->reported_load,
-           g->reported_ms ? (long long)(t->started_ms - g->reported_ms) : -1LL,
-           g->pace[WY_WORK_SCORE].ms,
-           (long long)(t->started_ms - s->since_ms));
-  wy_item_fields (NULL, 0, &f, fields);
-  o.fields = (const struct wy_h1_pair *)fields->data;
+  wy_json_log (
+      "score.asked",
+      "id=%s job=%s call=%s target=%s asked=%u in_flight=%u load=%u "
+      "load_age_ms=%lld pace_ms=%.0f waited_ms=%lld",
+      i->spec->id, i->job->record->id, spec->id, g->info.id, s->asked,
+      g->in_flight, g->reported_load,
+      g->reported_ms ? (long long)(t->started_ms - g->reported_ms) : -1LL,
+      g->pace[WY_WORK_SCORE].ms, (long long)(t->started_ms - s->since_ms));
+  wy_request_item_fields (NULL, 0, &f, fields);
+  o.fields = (const struct wy_h1_header *)fields->data;
   o.n_fields = fields->len;
-  wy_target_started (g);
-  (*i->job->env->count.scores_asked)++;
+  wy_target_request_started (g);
+  (*i->job->env->count.score_calls)++;
   t->call = wy_h1_call_start (i->job->env->http, &o);
   g_array_free (fields, TRUE);
 }
@@ -351,16 +353,16 @@
 {
   struct wy_gate_env *env = s->item->job->env;
   double typical_ms
-      = wy_targets_typical_pace_ms (env->targets, service, WY_WORK_SCORE);
+      = wy_targets_median_pace_ms (env->targets, service, WY_WORK_SCORE);
   GPtrArray *tried = g_ptr_array_new ();
-  struct wy_pick q
+  struct wy_target_criteria q
       = { .service = service,
           .work = WY_WORK_SCORE,
           .availability_zone = env->availability_zone,
           .in_flight_limit = wy_gate_in_flight_limit (env, service),
-          .within_slots = true,
-          .slots_left = WY_SCORING_SLOTS_LEFT,
-          .pace_limit_ms = wy_scoring_pace_limit_ms (typical_ms) };
+          .require_free_slot = true,
+          .reserved_slots = WY_SCORING_RESERVED_SLOTS,
+          .pace_limit_ms = wy_scoring_latency_limit_ms (typical_ms) };
   struct wy_target *g;
 
   for (int k = 0; k < TRIES_MAX; k++)
@@ -381,10 +383,10 @@
 {
   struct wy_gate_env *env = s->item->job->env;
   const char *service
-      = wy_route_service (route, wy_rng_below (&env->rng, UINT32_MAX));
+      = wy_route_pick_service (route, wy_rng_below (&env->rng, UINT32_MAX));
   struct wy_target *g = pick_one (s, service, false);
 
-  if (g || wy_targets_ready (env->targets, service) > s->failed_at->len)
+  if (g || wy_targets_count_ready (env->targets, service) > s->failed_at->len)
     return g;
   return pick_one (s, service, true);
 }
@@ -410,7 +412,7 @@
         continue;
       if (now_of (s) - t->started_ms >= limit_ms)
         {
-          try_failed (t, WY_TARGET_SILENT, 0, "silent");
+          try_failed (t, WY_TARGET_TIMED_OUT, 0, "silent");
           continue;
         }
       running = t;
@@ -432,18 +434,19 @@
 next_of (const struct wy_owned *o, int64_t now_ms)
 {
   struct wy_item *best = NULL;
-  struct wy_scoring_turn best_turn = { 0 };
+  struct wy_scoring_candidate best_turn = { 0 };
 
   for (uint32_t k = 0; k < o->n_items; k++)
     {
       struct wy_item *i = &o->items[k];
-      struct wy_scoring_turn turn;
+      struct wy_scoring_candidate turn;
 
       if (i->state != WY_ITEM_SCORING || is_asking (i->score)
           || i->score->not_before_ms > now_ms)
         continue;
-      turn = (struct wy_scoring_turn){ i->group->missing, i->score->since_ms };
-      if (best && !wy_scoring_goes_first (&turn, &best_turn))
+      turn = (struct wy_scoring_candidate){ i->group->missing,
+                                            i->score->since_ms };
+      if (best && !wy_scoring_precedes (&turn, &best_turn))
         continue;
       best = i;
       best_turn = turn;
@@ -475,7 +478,7 @@
       if (!g)
         {
           /* The replicas that it may still ask have no room; others may.  */
-          i->score->not_before_ms = now_ms + wy_scoring_pause_ms (0);
+          i->score->not_before_ms = now_ms + wy_scoring_backoff_ms (0);
           continue;
         }
       wy_retry_request (&o->second_scores);
--- a/src/jobs/score.h
+++ b/src/jobs/score.h
@@ -3,7 +3,7 @@
 #ifndef WY_JOBS_SCORE_H
 #define WY_JOBS_SCORE_H
 
-#include "jobs/owned.h"
+#include "jobs/active_job.h"
 
 struct wy_score *wy_score_new (struct wy_item *i);
 void wy_score_pause (struct wy_score *s);
--- a/src/jobs/spec.c
+++ b/src/jobs/spec.c
@@ -20,8 +20,8 @@
 
   for (guint f = 0; f < i->fields->len; f++)
     {
-      struct wy_h1_pair *pair
-          = &g_array_index (i->fields, struct wy_h1_pair, f);
+      struct wy_h1_header *pair
+          = &g_array_index (i->fields, struct wy_h1_header, f);
 
       g_free ((char *)pair->name);
       g_free ((char *)pair->value);
@@ -51,7 +51,7 @@
 {
   struct wy_item_spec *i = g_new0 (struct wy_item_spec, 1);
 
-  i->fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
+  i->fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
   g_ptr_array_add (s->items, i);
   return i;
 }
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -24,7 +24,7 @@
   char *id;
   char *path;
   char *group;    /* items that share a prompt and count together */
-  GArray *fields; /* struct wy_h1_pair, owned texts */
+  GArray *fields; /* struct wy_h1_header, owned texts */
   unsigned char *body;
   size_t body_size_bytes;
   uint32_t expected_tokens;      /* the submitter's guess; 0: none */
--- a/src/jobs/lag.c
+++ b/src/jobs/staleness.c
@@ -4,7 +4,7 @@
    A model has a row for each observed lag, with the time at which an entry
    last observed it; the least of the fresh rows applies.  Each orderer reads
    all rows of a model, so their number must not grow with the entries.  */
-#include "jobs/lag.h"
+#include "jobs/staleness.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -31,17 +31,17 @@
   int64_t told_ms;
 };
 
-struct wy_lags
+struct wy_staleness
 {
   struct wy_gate_env *env;
   GHashTable *by_model; /* struct lag */
 };
 
 /* Lags as seen by the entry of ENV.  */
-struct wy_lags *
-wy_lags_new (struct wy_gate_env *env)
+struct wy_staleness *
+wy_staleness_new (struct wy_gate_env *env)
 {
-  struct wy_lags *l = g_new0 (struct wy_lags, 1);
+  struct wy_staleness *l = g_new0 (struct wy_staleness, 1);
 
   l->env = env;
   l->by_model
@@ -52,7 +52,7 @@
 /* Free L.  What it has told may still be under way, so the lags themselves
    stay.  */
 void
-wy_lags_free (struct wy_lags *l)
+wy_staleness_free (struct wy_staleness *l)
 {
   g_hash_table_steal_all (l->by_model);
   g_hash_table_destroy (l->by_model);
@@ -60,7 +60,7 @@
 }
 
 static struct lag *
-lag_for (struct wy_lags *l, const char *model)
+lag_for (struct wy_staleness *l, const char *model)
 {
   struct lag *g = g_hash_table_lookup (l->by_model, model);
 
@@ -76,7 +76,8 @@
 
 /* VERSION of MODEL has been named.  */
 void
-wy_lags_named (struct wy_lags *l, const char *model, int64_t version)
+wy_staleness_version_announced (struct wy_staleness *l, const char *model,
+                                int64_t version)
 {
   struct lag *g = lag_for (l, model);
 
@@ -86,7 +87,7 @@
 
 /* The newest version of MODEL that has been named.  */
 int64_t
-wy_lags_newest (struct wy_lags *l, const char *model)
+wy_staleness_newest_version (struct wy_staleness *l, const char *model)
 {
   return lag_for (l, model)->named;
 }
@@ -102,13 +103,13 @@
 }
 
 static void
-tell (struct wy_lags *l, struct lag *g, const char *model, int64_t now_ms)
+tell (struct wy_staleness *l, struct lag *g, const char *model, int64_t now_ms)
 {
   char key[24];
   char value[96];
   struct wy_row_write w
-      = { .table = WY_LAG_TABLE, .key = key, .value = value };
-  struct wy_rows_tx tx = { .part = model, .writes = &w, .n_writes = 1 };
+      = { .table = WY_STALENESS_TABLE, .key = key, .value = value };
+  struct wy_rows_tx tx = { .partition = model, .writes = &w, .n_writes = 1 };
 
   snprintf (key, sizeof key, "%lld", (long long)g->least);
   snprintf (value, sizeof value, "{\"lag\":%lld,\"at_ms\":%lld}",
@@ -122,7 +123,8 @@
 
 /* A job of MODEL that takes weights from MIN_VERSION on has been accepted.  */
 void
-wy_lags_accepted (struct wy_lags *l, const char *model, int64_t min_version)
+wy_staleness_job_accepted (struct wy_staleness *l, const char *model,
+                           int64_t min_version)
 {
   struct lag *g = lag_for (l, model);
   int64_t now_ms = wy_clock_mono_ms (l->env->clock);
@@ -143,7 +145,7 @@
 /* The lag that the rows R, all of a model's part, tell; 0 when none is fresh,
    which asks for every version at once.  */
 uint32_t
-wy_lag_of (const struct wy_rows_result *r)
+wy_staleness_allowed (const struct wy_rows_result *r)
 {
   int64_t least = -1;
 
@@ -155,7 +157,7 @@
       int64_t at_ms = json_integer_value (json_object_get (doc, "at_ms"));
 
       json_decref (doc);
-      if (r->now_ms - at_ms <= FRESH_MS && (least < 0 || lag < least))
+      if (r->store_now_ms - at_ms <= FRESH_MS && (least < 0 || lag < least))
         least = lag;
     }
   return least < 0 ? 0 : (uint32_t)least;
--- a/src/jobs/state.h
+++ b/src/jobs/state.h
@@ -14,7 +14,7 @@
   uint64_t memory_bytes;
   uint64_t accepting_bytes; /* of submissions not yet answered */
   struct wy_watch *watch;
-  struct wy_lags *lags;
+  struct wy_staleness *lags;
   uv_timer_t tick;
   int64_t ticked_ms;
   uint64_t ticks;
--- a/src/jobs/takeover.c
+++ b/src/jobs/takeover.c
@@ -4,9 +4,9 @@
 
 #include <string.h>
 
-#include "jobs/carry.h"
+#include "jobs/checkpoint.h"
 #include "jobs/result_rows.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 struct takeover
 {
@@ -22,7 +22,7 @@
 static void
 end_takeover (struct takeover *t, const char *outcome, int err)
 {
-  wy_note (
+  wy_json_log (
       "job.takeover", "id=%s outcome=%s err=%d version=%lld ms=%lld",
       t->record->id, outcome, err, (long long)t->record->row_version,
       (long long)(wy_clock_mono_ms (t->jobs->env->clock) - t->started_ms));
@@ -53,8 +53,9 @@
   (*j->env->count.jobs_taken_over)++;
   g_hash_table_insert (j->owned, t->owned->record->id, t->owned);
   t->owned->record->row_version = wy_jobs_find (j, t->record->id)->row_version;
-  wy_note ("job.running", "id=%s listed=%u of=%u text_taken=%u", t->record->id,
-           t->owned->n_listed, t->owned->n_items, t->n_text);
+  wy_json_log ("job.running", "id=%s listed=%u of=%u text_taken=%u",
+               t->record->id, t->owned->n_listed, t->owned->n_items,
+               t->n_text);
   if (wy_owned_is_done (t->owned))
     wy_jobs_on_owned_end (j, t->owned, WY_OWNED_DONE);
   else
@@ -122,8 +123,9 @@
 static void
 read_listed (struct takeover *t)
 {
-  struct wy_rows_range range
-      = { .table = WY_RESULTS_TABLE, .part = t->record->id, .from = t->from };
+  struct wy_rows_range range = { .table = WY_RESULTS_TABLE,
+                                 .partition = t->record->id,
+                                 .from = t->from };
 
   wy_rows_get (t->jobs->env->rows, &range, on_listed_read, t);
 }
@@ -147,7 +149,8 @@
   o.record = wy_job_record_copy (t->record);
   o.spec = spec;
   t->owned = wy_owned_new (&o);
-  t->owned->newest_version = wy_lags_newest (t->jobs->lags, spec->model);
+  t->owned->newest_version
+      = wy_staleness_newest_version (t->jobs->lags, spec->model);
   read_listed (t);
 }
 
@@ -184,8 +187,8 @@
       wy_job_load (j, t->record, on_spec, t);
       return;
     }
-  wy_note ("job.taking", "id=%s from=%s version=%lld", r->id, r->holder,
-           (long long)r->row_version);
+  wy_json_log ("job.taking", "id=%s from=%s version=%lld", r->id, r->holder,
+               (long long)r->row_version);
   g_free (t->record->holder);
   t->record->holder = g_strdup (j->env->holder);
   wy_job_record_write (j->env->rows, t->record, on_taken, t);
--- a/src/jobs/view.c
+++ b/src/jobs/view.c
@@ -5,7 +5,7 @@
 
 /* Sum up what is run here.  */
 void
-wy_jobs_work (const struct wy_jobs *j, struct wy_jobs_work *out)
+wy_jobs_backlog (const struct wy_jobs *j, struct wy_jobs_backlog *out)
 {
   int64_t now_ms = wy_clock_mono_ms (j->env->clock);
   GHashTableIter it;
@@ -42,11 +42,11 @@
       struct wy_job_view v = { .id = r->id,
                                .state = wy_job_state_name (r->state),
                                .holder = r->holder,
-                               .here = o != NULL,
-                               .of = (uint32_t)r->total,
+                               .runs_here = o != NULL,
+                               .total_items = (uint32_t)r->total,
                                .age_ms = -1 };
 
-      if (here != v.here)
+      if (here != v.runs_here)
         continue;
       if (o)
         {
--- a/src/lease/lease.c
+++ b/src/lease/lease.c
@@ -293,7 +293,7 @@
 
 /* The fencing number of the lease as last held.  */
 int64_t
-wy_lease_fence (const struct wy_lease *l)
+wy_lease_fencing_token (const struct wy_lease *l)
 {
   return l->state.row.fence;
 }
@@ -307,14 +307,14 @@
 
 /* Key of the row that changes only when the lease changes hands.  */
 const char *
-wy_lease_fence_key (const struct wy_lease *l)
+wy_lease_token_key (const struct wy_lease *l)
 {
   return l->fence_key;
 }
 
 /* The rev of that row while the lease is held.  */
 int64_t
-wy_lease_fence_rev (const struct wy_lease *l)
+wy_lease_token_rev (const struct wy_lease *l)
 {
   return l->state.row.fence_rev;
 }
--- a/src/lease/lease.h
+++ b/src/lease/lease.h
@@ -2,8 +2,8 @@
 
    Two rows a lease: "lease/NAME" is written at each renewal; its sibling
    "lease/NAME/fence" only when the lease changes hands.  A transaction that
-   may only succeed for the holder puts wy_lease_fence_key at
-   wy_lease_fence_rev among its conditions.  */
+   may only succeed for the holder puts wy_lease_token_key at
+   wy_lease_token_rev among its conditions.  */
 #ifndef WY_LEASE_LEASE_H
 #define WY_LEASE_LEASE_H
 
@@ -37,9 +37,9 @@
 void wy_lease_release (struct wy_lease *l);
 void wy_lease_free (struct wy_lease *l);
 bool wy_lease_valid (const struct wy_lease *l);
-int64_t wy_lease_fence (const struct wy_lease *l);
+int64_t wy_lease_fencing_token (const struct wy_lease *l);
 const char *wy_lease_name (const struct wy_lease *l);
-const char *wy_lease_fence_key (const struct wy_lease *l);
-int64_t wy_lease_fence_rev (const struct wy_lease *l);
+const char *wy_lease_token_key (const struct wy_lease *l);
+int64_t wy_lease_token_rev (const struct wy_lease *l);
 
 #endif
--- a/src/orders/order_metrics.c
+++ b/src/orders/order_metrics.c
@@ -3,7 +3,7 @@
 #include "orders/orderer_state.h"
 
 #include "platform/replica_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -21,9 +21,9 @@
   struct wy_metrics *a = wy_metrics_new ();
 
   m->all = a;
-  m->orders
-      = wy_metrics_counters (a, "wy_orderer_orders_total",
-                             "Orders by how they were answered", OUTCOMES_MAX);
+  m->orders = wy_metrics_counter_family (a, "wy_orderer_orders_total",
+                                         "Orders by how they were answered",
+                                         OUTCOMES_MAX);
   m->load_us = wy_metrics_histogram (a, "wy_orderer_load_us",
                                      "Time from an order to its effect");
   m->named = wy_metrics_gauge (a, "wy_orderer_version_named",
@@ -71,7 +71,7 @@
 static void
 on_request (void *ctx, struct wy_h1_request *r)
 {
-  static const struct wy_h1_pair type
+  static const struct wy_h1_header type
       = { "Content-Type", "text/plain; version=0.0.4" };
   struct wy_orderer_daemon *d = ctx;
   struct wy_order_metrics *m = &d->metrics;
@@ -85,7 +85,7 @@
   *m->generation = MAX (d->generation, 0);
   *m->store_calls = (int64_t)rows.calls;
   *m->store_direct = rows.direct_ok;
-  *m->log_dropped = (int64_t)wy_note_dropped ();
+  *m->log_dropped = (int64_t)wy_json_log_dropped ();
   wy_metrics_print (m->all, out);
   wy_h1_respond (r, 200, &type, 1, out->str, out->len);
   g_string_free (out, TRUE);
@@ -105,7 +105,7 @@
                       .body_bytes = BODY_BYTES,
                       .header_timeout_ms = TIMEOUT_MS,
                       .idle_timeout_ms = IDLE_MS,
-                      .held_bytes = HELD_BYTES },
+                      .buffered_bytes = HELD_BYTES },
           .on_request = on_request,
           .ctx = d };
 
@@ -130,8 +130,8 @@
 void
 wy_order_metrics_outcome (struct wy_order_metrics *m, const char *outcome)
 {
-  char *label = wy_label ("outcome", outcome);
+  char *label = wy_metrics_label ("outcome", outcome);
 
-  ++*wy_family_counter (m->orders, label);
+  ++*wy_metrics_family_counter (m->orders, label);
   g_free (label);
 }
--- a/src/orders/order_metrics.h
+++ b/src/orders/order_metrics.h
@@ -10,8 +10,8 @@
 struct wy_order_metrics
 {
   struct wy_metrics *all;
-  struct wy_h1_server *server; /* NULL: not served */
-  struct wy_family *orders;    /* by outcome */
+  struct wy_h1_server *server;      /* NULL: not served */
+  struct wy_metrics_family *orders; /* by outcome */
   struct wy_hist *load_us;
   int64_t *named;
   int64_t *held;
--- a/src/orders/orderer.c
+++ b/src/orders/orderer.c
@@ -12,7 +12,7 @@
 #include "platform/config_wire.h"
 #include "platform/replica_wire.h"
 #include "platform/request_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 #define GENERATION_TABLE "wy-orderers"
 
@@ -54,7 +54,7 @@
       = { .table = GENERATION_TABLE, .key = generation_key };
   struct wy_row_write w
       = { .table = GENERATION_TABLE, .key = generation_key, .value = value };
-  struct wy_rows_tx tx = { .part = d->o.settings->target,
+  struct wy_rows_tx tx = { .partition = d->o.settings->target,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &w,
@@ -85,21 +85,22 @@
   d->drawing = false;
   d->generation = r->err ? 0 : -d->generation;
   if (!r->err)
-    wy_note ("generation.drawn", "generation=%lld", (long long)d->generation);
+    wy_json_log ("generation.drawn", "generation=%lld",
+                 (long long)d->generation);
 }
 
 static void
 draw_generation (struct wy_orderer_daemon *d)
 {
   struct wy_rows_range range
-      = { .table = GENERATION_TABLE, .part = d->o.settings->target };
+      = { .table = GENERATION_TABLE, .partition = d->o.settings->target };
 
   d->drawing = true;
   wy_rows_get (d->rows, &range, on_generation_read, d);
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *a)
+on_head (void *ctx, const struct wy_h1_response *a)
 {
   ((struct wy_orderer_daemon *)ctx)->call_status = a->status;
 }
@@ -131,16 +132,16 @@
   if (d->call_status != 200
       || !wy_replica_report_decode (d->answer->str, d->answer->len, &r))
     {
-      wy_note ("report.unreadable", "status=%d bytes=%zu", d->call_status,
-               d->answer->len);
+      wy_json_log ("report.unreadable", "status=%d bytes=%zu", d->call_status,
+                   d->answer->len);
       return;
     }
   if (d->reported_ms && is_restart (&d->report, &r))
     {
-      wy_note ("target.restarted",
-               "id=%s orders=%lld before=%lld started_ms=%lld", d->id,
-               (long long)r.orders_accepted,
-               (long long)d->report.orders_accepted, (long long)r.started_ms);
+      wy_json_log (
+          "target.restarted", "id=%s orders=%lld before=%lld started_ms=%lld",
+          d->id, (long long)r.orders_accepted,
+          (long long)d->report.orders_accepted, (long long)r.started_ms);
       /* The order was lost with the process that accepted it.  */
       d->ordered = NULL;
       /* The new process may have another id.  */
@@ -158,15 +159,15 @@
       wy_hist_add (d->metrics.load_us, (uint64_t)took_ms * WY_US_PER_MS);
       if (took_ms < LOAD_MS_MAX)
         d->load_ms += load_weight * (took_ms - d->load_ms);
-      wy_note ("version.loaded", "model=%s version=%lld ms=%.0f",
-               d->ordered->v.model, (long long)version, took_ms);
+      wy_json_log ("version.loaded", "model=%s version=%lld ms=%.0f",
+                   d->ordered->v.model, (long long)version, took_ms);
       d->ordered = NULL;
     }
   else if (!r.order_in_progress && now_ms - d->ordered_ms >= ORDER_RETRY_MS)
     {
-      wy_note ("order.lost", "model=%s version=%lld ms=%lld",
-               d->ordered->v.model, (long long)d->ordered_version,
-               (long long)(now_ms - d->ordered_ms));
+      wy_json_log ("order.lost", "model=%s version=%lld ms=%lld",
+                   d->ordered->v.model, (long long)d->ordered_version,
+                   (long long)(now_ms - d->ordered_ms));
       wy_order_metrics_outcome (&d->metrics, "lost");
       d->ordered = NULL;
     }
@@ -175,21 +176,22 @@
 static void
 learn_order (struct wy_orderer_daemon *d)
 {
-  enum wy_order_outcome outcome = wy_order_outcome_of (d->call_status);
+  enum wy_order_outcome outcome
+      = wy_order_outcome_from_status (d->call_status);
 
-  wy_note ("order.answered", "model=%s version=%lld status=%d outcome=%s",
-           d->ordered ? d->ordered->v.model : "",
-           (long long)d->ordered_version, d->call_status,
-           wy_order_outcome_name (outcome));
+  wy_json_log ("order.answered", "model=%s version=%lld status=%d outcome=%s",
+               d->ordered ? d->ordered->v.model : "",
+               (long long)d->ordered_version, d->call_status,
+               wy_order_outcome_name (outcome));
   wy_order_metrics_outcome (&d->metrics, wy_order_outcome_name (outcome));
   d->report_due_ms = 0;
   switch (outcome)
     {
     case WY_ORDER_ACCEPTED:
-    case WY_ORDER_HOLDS:
+    case WY_ORDER_ALREADY_LOADED:
     case WY_ORDER_UNKNOWN:
       break;
-    case WY_ORDER_NOT_HERE:
+    case WY_ORDER_MISDIRECTED:
       d->id[0] = '\0';
       d->ordered = NULL;
       d->order_due_ms = wy_orderer_now_ms (d) + REFUSED_RETRY_MS;
@@ -212,7 +214,7 @@
   d->call = NULL;
   if (err)
     {
-      wy_note ("target.call_failed", "order=%d err=%d", order, err);
+      wy_json_log ("target.call_failed", "order=%d err=%d", order, err);
       if (order)
         wy_order_metrics_outcome (&d->metrics, "unanswered");
       if (order && err == WY_H1_ECONNECT)
@@ -231,8 +233,8 @@
              const char *target, const char *body)
 {
   struct wy_forward_info f = { .time_left_ms = -1, .after_event = -1 };
-  GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
-  struct wy_h1_pair type = { "Content-Type", "application/json" };
+  GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
+  struct wy_h1_header type = { "Content-Type", "application/json" };
   struct wy_h1_call_options o = { .address = d->target,
                                   .method = method,
                                   .target = target,
@@ -249,8 +251,8 @@
       f.replica = d->id;
       g_array_append_val (fields, type);
     }
-  wy_item_fields (NULL, 0, &f, fields);
-  o.fields = (const struct wy_h1_pair *)fields->data;
+  wy_request_item_fields (NULL, 0, &f, fields);
+  o.fields = (const struct wy_h1_header *)fields->data;
   o.n_fields = fields->len;
   d->call_is_order = body != NULL;
   d->call_status = 0;
@@ -266,8 +268,8 @@
   struct wy_load_order o
       = { .model = n->v.model,
           .version = n->v.version,
-          .mode = wy_orderer_wants_single_version (d) ? WY_LOAD_AFTER_RUNS
-                                                      : WY_LOAD_UNDER_RUNS,
+          .mode = wy_orderer_wants_single_version (d) ? WY_LOAD_WAIT_FOR_RUNS
+                                                      : WY_LOAD_DURING_RUNS,
           .holder = d->o.settings->name,
           .generation = d->generation,
           .orders_accepted = d->report.orders_accepted };
@@ -276,14 +278,15 @@
   d->ordered = n;
   d->ordered_version = n->v.version;
   d->ordered_ms = wy_orderer_now_ms (d);
-  wy_note ("order.sent",
-           "model=%s version=%lld held=%lld orders=%lld report_age_ms=%lld "
-           "after_named_ms=%lld",
-           n->v.model, (long long)n->v.version,
-           (long long)wy_orderer_held_version (d, n->v.model),
-           (long long)d->report.orders_accepted,
-           (long long)(wy_orderer_now_ms (d) - d->reported_ms),
-           (long long)(wy_orderer_now_ms (d) - n->seen_ms));
+  wy_json_log (
+      "order.sent",
+      "model=%s version=%lld held=%lld orders=%lld report_age_ms=%lld "
+      "after_named_ms=%lld",
+      n->v.model, (long long)n->v.version,
+      (long long)wy_orderer_held_version (d, n->v.model),
+      (long long)d->report.orders_accepted,
+      (long long)(wy_orderer_now_ms (d) - d->reported_ms),
+      (long long)(wy_orderer_now_ms (d) - n->seen_ms));
   call_target (d, "POST", WY_ORDER_TARGET, body);
   g_free (body);
 }
@@ -351,7 +354,8 @@
     {
       wy_h1_call_cancel (d->call);
       d->call = NULL;
-      wy_note ("target.call_failed", "order=%d err=timeout", d->call_is_order);
+      wy_json_log ("target.call_failed", "order=%d err=timeout",
+                   d->call_is_order);
     }
   if (!d->call)
     work (d, now_ms);
@@ -372,7 +376,7 @@
   struct wy_watch_options w = { .loop = o->loop,
                                 .clock = o->clock,
                                 .table = WY_OPERATOR_TABLE,
-                                .gap_ms = WATCH_GAP_MS,
+                                .min_interval_ms = WATCH_GAP_MS,
                                 .on_row = wy_orderer_on_operator_row,
                                 .ctx = d };
 
@@ -385,9 +389,9 @@
       return WY_H1_EBIND;
     }
   wy_id_new (o->clock, d->incarnation);
-  wy_note_open (o->loop, o->settings->name, d->incarnation);
-  wy_note ("process.start", "target=%s service=%s store=%s",
-           o->settings->target, o->settings->service, o->settings->store);
+  wy_json_log_open (o->loop, o->settings->name, d->incarnation);
+  wy_json_log ("process.start", "target=%s service=%s store=%s",
+               o->settings->target, o->settings->service, o->settings->store);
   d->answer = g_string_new (NULL);
   d->http = wy_h1_client_new (&http);
   rows.http = d->http;
@@ -408,7 +412,7 @@
 void
 wy_orderer_daemon_free (struct wy_orderer_daemon *d)
 {
-  wy_note ("process.stop", "reason=asked ordered=%d", d->ordered != NULL);
+  wy_json_log ("process.stop", "reason=asked ordered=%d", d->ordered != NULL);
   wy_order_metrics_stop (d);
   wy_watch_free (d->operator_rows);
   wy_rows_free (d->rows);
--- a/src/orders/orderer_state.h
+++ b/src/orders/orderer_state.h
@@ -19,7 +19,7 @@
 
 struct wy_named
 {
-  struct wy_named_version v;
+  struct wy_requested_version v;
   int64_t seen_ms; /* when it was learned here */
   int64_t due_ms;  /* 0: the list must be read for it first */
   bool loads;      /* this replica is to load it */
--- a/src/orders/relays.c
+++ b/src/orders/relays.c
@@ -30,8 +30,9 @@
       return;
     }
   for (size_t i = 0; i < r->n && d->n_relays < WY_ORDERER_RELAYS_MAX; i++)
-    d->n_relays += wy_member_address (&r->rows[i], &d->relays[d->n_relays]);
-  if (d->n_relays < RELAYS_MIN && ++d->relay_parts < WY_MEMBERS_PARTS)
+    d->n_relays
+        += wy_member_parse_address (&r->rows[i], &d->relays[d->n_relays]);
+  if (d->n_relays < RELAYS_MIN && ++d->relay_parts < WY_MEMBERS_PARTITIONS)
     {
       read_part (d, NULL);
       return;
@@ -44,13 +45,13 @@
 static void
 read_part (struct wy_orderer_daemon *d, const char *from)
 {
-  char part[WY_MEMBERS_PART_SIZE_BYTES];
+  char part[WY_MEMBERS_PARTITION_SIZE_BYTES];
   struct wy_rows_range range = { .table = WY_ADDRESSES_TABLE,
-                                 .part = part,
+                                 .partition = part,
                                  .from = from,
                                  .limit = WY_ORDERER_RELAYS_MAX };
 
-  wy_members_part (d->relay_position + d->relay_parts, part);
+  wy_members_partition (d->relay_position + d->relay_parts, part);
   wy_rows_get (d->rows, &range, on_addresses, d);
 }
 
--- a/src/orders/turns.c
+++ b/src/orders/versions.c
@@ -4,10 +4,10 @@
 
 #include <string.h>
 
-#include "decide/load_turn.h"
-#include "jobs/lag.h"
+#include "decide/weight_loading.h"
+#include "jobs/staleness.h"
 #include "platform/replica_wire.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -48,13 +48,13 @@
 static void
 learn_version (struct wy_orderer_daemon *d, const struct wy_row *row)
 {
-  struct wy_named_version v;
+  struct wy_requested_version v;
   struct wy_named *n;
 
-  if (!wy_named_version_decode (row->value, row->size_bytes, &v))
+  if (!wy_requested_version_decode (row->value, row->size_bytes, &v))
     {
-      wy_note ("version.rejected", "key=%s row_version=%lld", row->key,
-               (long long)row->version);
+      wy_json_log ("version.rejected", "key=%s row_version=%lld", row->key,
+                   (long long)row->version);
       return;
     }
   n = named_of (d, v.model);
@@ -63,9 +63,9 @@
   n->v = v;
   n->seen_ms = wy_orderer_now_ms (d);
   n->due_ms = 0;
-  wy_note ("version.named", "model=%s version=%lld held=%lld", v.model,
-           (long long)v.version,
-           (long long)wy_orderer_held_version (d, v.model));
+  wy_json_log ("version.named", "model=%s version=%lld held=%lld", v.model,
+               (long long)v.version,
+               (long long)wy_orderer_held_version (d, v.model));
 }
 
 /* A row of the operator's table is new or has changed.  */
@@ -126,8 +126,9 @@
       const struct wy_route *r = g_ptr_array_index (d->routing->routes, i);
 
       for (guint k = 0; r->single_version && k < r->splits->len; k++)
-        if (!strcmp (g_array_index (r->splits, struct wy_split, k).service,
-                     d->o.settings->service))
+        if (!strcmp (
+                g_array_index (r->splits, struct wy_traffic_split, k).service,
+                d->o.settings->service))
           return true;
     }
   return false;
@@ -136,21 +137,22 @@
 static void
 set_turn (struct wy_orderer_daemon *d, struct wy_named *n, uint32_t lag)
 {
-  struct wy_load_turn_options o = { .rank = d->rank,
-                                    .replicas = d->replicas,
-                                    .version = n->v.version,
-                                    .lag = lag,
-                                    .load_ms = (uint32_t)d->load_ms };
-  struct wy_load_turn t;
+  struct wy_weight_loading_options o = { .rank = d->rank,
+                                         .replicas = d->replicas,
+                                         .version = n->v.version,
+                                         .lag = lag,
+                                         .load_ms = (uint32_t)d->load_ms };
+  struct wy_weight_loading t;
 
   model_place (d, n->v.model, &o.model, &o.models);
-  t = wy_load_turn (&o);
+  t = wy_weight_loading (&o);
   n->loads = t.loads;
   n->due_ms = n->seen_ms + t.delay_ms;
-  wy_note ("version.turn",
-           "model=%s version=%lld loads=%d delay_ms=%u rank=%u of=%u lag=%u",
-           n->v.model, (long long)n->v.version, n->loads, t.delay_ms, d->rank,
-           d->replicas, lag);
+  wy_json_log (
+      "version.turn",
+      "model=%s version=%lld loads=%d delay_ms=%u rank=%u of=%u lag=%u",
+      n->v.model, (long long)n->v.version, n->loads, t.delay_ms, d->rank,
+      d->replicas, lag);
 }
 
 /* The first named version whose turn is not known yet; NULL: none.  */
@@ -183,7 +185,7 @@
   /* Another version may have been named meanwhile; its model's lag is read
      in its turn.  */
   if (n->v.version == d->lag_version && !strcmp (n->v.model, d->lag_model))
-    set_turn (d, n, wy_lag_of (r));
+    set_turn (d, n, wy_staleness_allowed (r));
   read_lag (d);
 }
 
@@ -191,13 +193,13 @@
 read_lag (struct wy_orderer_daemon *d)
 {
   const struct wy_named *n = without_turn (d);
-  struct wy_rows_range range = { .table = WY_LAG_TABLE };
+  struct wy_rows_range range = { .table = WY_STALENESS_TABLE };
 
   if (!n)
     return;
   g_strlcpy (d->lag_model, n->v.model, sizeof d->lag_model);
   d->lag_version = n->v.version;
-  range.part = d->lag_model;
+  range.partition = d->lag_model;
   d->listing = true;
   wy_rows_get (d->rows, &range, on_lag, d);
 }
@@ -235,7 +237,7 @@
     return;
   for (size_t i = 0; i < r->n; i++)
     count_replica (d, &r->rows[i]);
-  if (r->more && r->n)
+  if (r->has_more && r->n)
     {
       g_free (l->next_key);
       /* The least key after that of the last row.  */
@@ -259,8 +261,9 @@
 static void
 read_page (struct wy_orderer_daemon *d)
 {
-  struct wy_rows_range range
-      = { .table = WY_REPLICA_TABLE, .part = "", .from = d->list.next_key };
+  struct wy_rows_range range = { .table = WY_REPLICA_TABLE,
+                                 .partition = "",
+                                 .from = d->list.next_key };
 
   d->listing = true;
   wy_rows_get (d->rows, &range, on_page, d);
--- a/src/orgs/access.c
+++ b/src/orgs/access.c
@@ -10,7 +10,7 @@
 /* Decide on Q.  ORG is the organisation that the caller acts for, NULL if it
    has no valid key.  */
 enum wy_access
-wy_access_decide (const struct wy_access_query *q, const struct wy_org **org)
+wy_access_check (const struct wy_access_query *q, const struct wy_org **org)
 {
   bool authorized;
 
@@ -19,8 +19,8 @@
              : NULL;
   authorized = !q->orgs || *org || q->route == WY_ROUTE_ACCESS_PUBLIC;
   if (authorized && q->route != WY_ROUTE_ACCESS_UNKNOWN)
-    return WY_ACCESS_ADMIT;
-  if (!q->config_is_fresh)
-    return WY_ACCESS_NOT_SURE;
+    return WY_ACCESS_ALLOW;
+  if (!q->config_is_current)
+    return WY_ACCESS_CONFIG_STALE;
   return authorized ? WY_ACCESS_NO_ROUTE : WY_ACCESS_UNAUTHORIZED;
 }
--- a/src/orgs/access.h
+++ b/src/orgs/access.h
@@ -11,7 +11,7 @@
 {
   WY_CREDENTIAL_NONE,
   WY_CREDENTIAL_MALFORMED, /* not of the bearer scheme, or empty */
-  WY_CREDENTIAL_SEVERAL,   /* more than one field */
+  WY_CREDENTIAL_MULTIPLE,  /* more than one field */
   WY_CREDENTIAL_KEY
 };
 
@@ -19,15 +19,15 @@
 {
   WY_ROUTE_ACCESS_UNKNOWN, /* no such route */
   WY_ROUTE_ACCESS_PUBLIC,
-  WY_ROUTE_ACCESS_KEYED
+  WY_ROUTE_ACCESS_KEY_REQUIRED
 };
 
 enum wy_access
 {
-  WY_ACCESS_ADMIT,
+  WY_ACCESS_ALLOW,
   WY_ACCESS_UNAUTHORIZED, /* 401: no valid key */
   WY_ACCESS_NO_ROUTE,     /* 404 */
-  WY_ACCESS_NOT_SURE      /* 503: the configuration may be out of date */
+  WY_ACCESS_CONFIG_STALE  /* 503: the configuration may be out of date */
 };
 
 struct wy_access_query
@@ -36,10 +36,10 @@
   enum wy_credential credential;
   const char *key; /* with WY_CREDENTIAL_KEY */
   enum wy_route_access route;
-  bool config_is_fresh;
+  bool config_is_current;
 };
 
-enum wy_access wy_access_decide (const struct wy_access_query *q,
-                                 const struct wy_org **org);
+enum wy_access wy_access_check (const struct wy_access_query *q,
+                                const struct wy_org **org);
 
 #endif
--- a/src/rows/call.c
+++ b/src/rows/call.c
@@ -1,12 +1,12 @@
 /* The life of a call to the store: sent, answered, sent again on another path,
    lost.  */
-#include "rows/store_state.h"
+#include "rows/client_state.h"
 
 #include <string.h>
 
 #include <glib.h>
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -63,8 +63,8 @@
     }
   s->stats.direct_failed += !ok;
   if (wy_paths_direct_ended (&s->paths, k->started_ms, ok))
-    wy_note (ok ? "store.regained" : "store.lost", "path=direct reason=%s",
-             why);
+    wy_json_log (ok ? "store.regained" : "store.lost", "path=direct reason=%s",
+                 why);
 }
 
 /* The store's clock read STORE_MS when it answered, some time ago: the answer
@@ -91,7 +91,7 @@
 count_traffic (struct wy_rows_call *k, const struct wy_rows_result *r)
 {
   struct wy_table_traffic *t
-      = wy_traffic_of (&k->store->stats.traffic, k->table);
+      = wy_traffic_counters (&k->store->stats.traffic, k->table);
 
   t->calls++;
   t->rows_read += r->n;
@@ -106,8 +106,8 @@
   void *ctx = k->ctx;
 
   count_traffic (k, r);
-  if (r->now_ms)
-    learn_time (k->store, r->now_ms);
+  if (r->store_now_ms)
+    learn_time (k->store, r->store_now_ms);
   if (k->forward_cb)
     k->forward_cb (ctx, k->status, k->answer->str, k->answer->len);
   else
@@ -123,13 +123,13 @@
   switch (verb)
     {
     case WY_STORE_GET:
-    case WY_STORE_PARTS:
+    case WY_STORE_PARTITIONS:
     case WY_STORE_FEED:
     case WY_STORE_GET_OBJECT:
       return true;
     case WY_STORE_TX:
     case WY_STORE_PUT_OBJECT:
-    case WY_STORE_DROP_OBJECT:
+    case WY_STORE_DELETE_OBJECT:
       break;
     }
   return false;
@@ -147,7 +147,7 @@
 
   if (k->forward_cb || k->tries >= TRIES_MAX || now_ms >= k->deadline_ms
       || (err != WY_ROWS_EREFUSED && !only_reads (k->verb))
-      || wy_rows_is_away (s) || !wy_paths_has_other (&s->paths, now_ms))
+      || wy_rows_is_unreachable (s) || !wy_paths_has_other (&s->paths, now_ms))
     return false;
   k->status = 0;
   g_string_truncate (k->answer, 0);
@@ -184,12 +184,13 @@
 
   if (!rate_limited)
     count_end (k, false, why);
-  wy_note ("store.call_failed", "verb=%s via=%s outcome=%s reason=%s",
-           wy_store_verb_name (k->verb), k->relayed ? "peer" : "direct",
-           err == WY_ROWS_EREFUSED ? "not_done" : "unknown", why);
+  wy_json_log ("store.call_failed", "verb=%s via=%s outcome=%s reason=%s",
+               wy_store_verb_name (k->verb), k->relayed ? "peer" : "direct",
+               err == WY_ROWS_EREFUSED ? "not_done" : "unknown", why);
   if (!rate_limited && try_again (k, err))
     return;
-  k->store->stats.ended[k->verb][err == WY_ROWS_EREFUSED ? WY_ROWS_NOT_DONE
+  k->store->stats
+      .calls_by_outcome[k->verb][err == WY_ROWS_EREFUSED ? WY_ROWS_NOT_DONE
                                                          : WY_ROWS_UNKNOWN]++;
   /* A peer is told what is known, by the codes that the store itself uses. */
   if (!rate_limited)
@@ -243,11 +244,11 @@
       return false;
     case WY_STORE_PUT_OBJECT:
     case WY_STORE_GET_OBJECT:
-    case WY_STORE_DROP_OBJECT:
+    case WY_STORE_DELETE_OBJECT:
       made_ms = k->store->paths.regained_ms;
       break;
     case WY_STORE_GET:
-    case WY_STORE_PARTS:
+    case WY_STORE_PARTITIONS:
     case WY_STORE_TX:
       break;
     }
@@ -255,7 +256,7 @@
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *a)
+on_head (void *ctx, const struct wy_h1_response *a)
 {
   ((struct wy_rows_call *)ctx)->status = a->status;
 }
@@ -276,7 +277,7 @@
 {
   struct wy_rows_call *k = ctx;
   struct wy_rows_result r = { 0 };
-  struct wy_store_answer *decoded;
+  struct wy_store_response *decoded;
 
   if (err)
     {
@@ -288,8 +289,8 @@
       return;
     }
   k->http = NULL;
-  decoded = wy_store_decode (k->verb, k->status, k->answer->str,
-                             k->answer->len, &r);
+  decoded = wy_store_decode_response (k->verb, k->status, k->answer->str,
+                                      k->answer->len, &r);
   if (r.err == WY_ROWS_EREFUSED || r.err == WY_ROWS_EUNKNOWN)
     fail (k, r.err, is_rate_limited (k) ? "rate" : "turned_away");
   else
@@ -297,13 +298,13 @@
       struct wy_rows *s = k->store;
       int64_t made_ms = k->started_ms;
 
-      s->stats.ended[k->verb][WY_ROWS_DONE]++;
+      s->stats.calls_by_outcome[k->verb][WY_ROWS_DONE]++;
       s->answered_ms = wy_clock_mono_ms (s->clock);
       count_end (k, true, "answered");
       deliver (k, &r);
       end_lost (s, is_overtaken, made_ms, "overtaken");
     }
-  wy_store_answer_free (decoded);
+  wy_store_response_free (decoded);
 }
 
 static void
@@ -320,14 +321,14 @@
   switch (verb)
     {
     case WY_STORE_GET:
-    case WY_STORE_PARTS:
+    case WY_STORE_PARTITIONS:
     case WY_STORE_FEED:
       return ROWS_TIMEOUT_MS;
     case WY_STORE_TX:
       return TX_TIMEOUT_MS;
     case WY_STORE_PUT_OBJECT:
     case WY_STORE_GET_OBJECT:
-    case WY_STORE_DROP_OBJECT:
+    case WY_STORE_DELETE_OBJECT:
       return OBJECT_TIMEOUT_MS;
     }
   return ROWS_TIMEOUT_MS;
@@ -363,7 +364,7 @@
   struct wy_rows *s = k->store;
   char host[64];
   char ip[INET_ADDRSTRLEN];
-  struct wy_h1_pair fields[3];
+  struct wy_h1_header fields[3];
   struct wy_h1_call_options o = { .method = k->method,
                                   .target = k->target,
                                   .fields = fields,
@@ -387,7 +388,7 @@
   g_snprintf (host, sizeof host, "%s:%u", ip, ntohs (k->address.sin_port));
   fields[0].name = "Host";
   fields[0].value = host;
-  o.n_fields = 1 + wy_store_fields (k->verb, fields + 1);
+  o.n_fields = 1 + wy_store_header_fields (k->verb, fields + 1);
   k->http = wy_h1_call_start (s->http, &o);
 }
 
--- a/src/rows/store.c
+++ b/src/rows/client.c
@@ -1,6 +1,6 @@
 /* Calls to the store: directly, or through another process of the system
    when the store turns this one away.  */
-#include "rows/store_state.h"
+#include "rows/client_state.h"
 
 #include <string.h>
 
@@ -30,19 +30,19 @@
 
 /* List the parts of TABLE that follow AFTER (NULL: from the first).  */
 void
-wy_rows_parts (struct wy_rows *s, const char *table, const char *after,
-               wy_rows_cb *cb, void *ctx)
+wy_rows_list_partitions (struct wy_rows *s, const char *table,
+                         const char *after, wy_rows_cb *cb, void *ctx)
 {
-  wy_rows_call_start (wy_rows_call_new (s, WY_STORE_PARTS, table,
-                                        wy_store_parts_target (table, after),
-                                        cb, ctx),
-                      NULL, 0);
+  wy_rows_call_start (
+      wy_rows_call_new (s, WY_STORE_PARTITIONS, table,
+                        wy_store_partitions_target (table, after), cb, ctx),
+      NULL, 0);
 }
 
 /* Wait up to WAIT_MS for changes of TABLE newer than AFTER.  */
 void
-wy_rows_feed (struct wy_rows *s, const char *table, int64_t after,
-              uint32_t wait_ms, wy_rows_cb *cb, void *ctx)
+wy_rows_read_feed (struct wy_rows *s, const char *table, int64_t after,
+                   uint32_t wait_ms, wy_rows_cb *cb, void *ctx)
 {
   struct wy_rows_call *k = wy_rows_call_new (
       s, WY_STORE_FEED, table, wy_store_feed_target (table, after, wait_ms),
@@ -100,12 +100,12 @@
 
 /* Remove the object NAME.  */
 void
-wy_rows_drop_object (struct wy_rows *s, const char *name, wy_rows_cb *cb,
-                     void *ctx)
+wy_rows_delete_object (struct wy_rows *s, const char *name, wy_rows_cb *cb,
+                       void *ctx)
 {
   wy_rows_call_start (
-      wy_rows_call_new (s, WY_STORE_DROP_OBJECT, OBJECTS,
-                        wy_store_object_target (WY_STORE_DROP_OBJECT, name),
+      wy_rows_call_new (s, WY_STORE_DELETE_OBJECT, OBJECTS,
+                        wy_store_object_target (WY_STORE_DELETE_OBJECT, name),
                         cb, ctx),
       NULL, 0);
 }
@@ -122,7 +122,7 @@
   enum wy_store_verb verb;
   struct wy_rows_call *k;
 
-  if (!wy_store_classify (method, target, &verb))
+  if (!wy_store_parse_verb (method, target, &verb))
     {
       on_done (ctx, 404, "", 0);
       return;
@@ -212,7 +212,7 @@
 
 /* Whether the store answers on no path.  */
 bool
-wy_rows_is_away (const struct wy_rows *s)
+wy_rows_is_unreachable (const struct wy_rows *s)
 {
   return !s->paths.direct_ok
          && wy_clock_mono_ms (s->clock) - s->answered_ms > AWAY_MS;
--- a/src/rows/store_state.h
+++ b/src/rows/client_state.h
@@ -1,6 +1,6 @@
 /* Inside of the store's client: src/rows/store.c and src/rows/call.c.  */
-#ifndef WY_ROWS_STORE_STATE_H
-#define WY_ROWS_STORE_STATE_H
+#ifndef WY_ROWS_CLIENT_STATE_H
+#define WY_ROWS_CLIENT_STATE_H
 
 #include <glib.h>
 
--- a/src/rows/rows.h
+++ b/src/rows/rows.h
@@ -20,10 +20,10 @@
 
 enum wy_rows_error
 {
-  WY_ROWS_EREFUSED = -1101,  /* not done, and will not be */
-  WY_ROWS_EUNKNOWN = -1102,  /* no answer */
-  WY_ROWS_ECONFLICT = -1103, /* a condition did not hold */
-  WY_ROWS_EHISTORY = -1104,  /* the feed no longer reaches back so far */
+  WY_ROWS_EREFUSED = -1101,   /* not done, and will not be */
+  WY_ROWS_EUNKNOWN = -1102,   /* no answer */
+  WY_ROWS_ECONFLICT = -1103,  /* a condition did not hold */
+  WY_ROWS_ECOMPACTED = -1104, /* the feed no longer reaches back so far */
   WY_ROWS_ENOTFOUND = -1105,
   WY_ROWS_EFULL = -1106,
   WY_ROWS_EMALFORMED = -1107 /* an answer that can't be read */
@@ -32,7 +32,7 @@
 struct wy_row
 {
   const char *table;
-  const char *part;
+  const char *partition;
   const char *key;
   const void *value;
   size_t size_bytes;
@@ -45,11 +45,11 @@
   int err;
   const struct wy_row *rows;
   size_t n;
-  const char *const *names; /* of parts */
-  size_t n_names;
-  bool more;
-  int64_t version; /* the newest of the store */
-  int64_t now_ms;  /* the store's steady clock */
+  const char *const *partitions; /* of parts */
+  size_t n_partitions;
+  bool has_more;
+  int64_t version;      /* the newest of the store */
+  int64_t store_now_ms; /* the store's steady clock */
   const void *object;
   size_t object_size_bytes;
 };
@@ -73,7 +73,7 @@
 /* All entries lie in PART.  */
 struct wy_rows_tx
 {
-  const char *part;
+  const char *partition;
   const struct wy_row_ref *conditions;
   size_t n_conditions;
   const struct wy_row_write *writes;
@@ -85,7 +85,7 @@
 struct wy_rows_range
 {
   const char *table;
-  const char *part;
+  const char *partition;
   const char *from; /* NULL: from the first */
   const char *to;   /* excluded; NULL: to the last */
   uint32_t limit;   /* 0: the store's own */
@@ -97,7 +97,7 @@
   WY_ROWS_DONE = 0,
   WY_ROWS_NOT_DONE,
   WY_ROWS_UNKNOWN,
-  WY_ROWS_ENDS
+  WY_ROWS_OUTCOMES
 };
 
 /* How calls reach the store and end, for logs and metrics.  */
@@ -108,7 +108,7 @@
   uint64_t relayed;
   uint64_t relay_failed;
   bool direct_ok;
-  uint64_t ended[WY_ROWS_VERBS][WY_ROWS_ENDS];
+  uint64_t calls_by_outcome[WY_ROWS_VERBS][WY_ROWS_OUTCOMES];
   struct wy_traffic traffic;
 };
 
@@ -132,23 +132,23 @@
                          size_t n);
 void wy_rows_stats (const struct wy_rows *s, struct wy_rows_stats *out);
 int64_t wy_rows_store_now_ms (const struct wy_rows *s);
-bool wy_rows_is_away (const struct wy_rows *s);
+bool wy_rows_is_unreachable (const struct wy_rows *s);
 bool wy_rows_is_direct (const struct wy_rows *s);
 
 void wy_rows_get (struct wy_rows *s, const struct wy_rows_range *range,
                   wy_rows_cb *cb, void *ctx);
-void wy_rows_parts (struct wy_rows *s, const char *table, const char *after,
-                    wy_rows_cb *cb, void *ctx);
-void wy_rows_feed (struct wy_rows *s, const char *table, int64_t after,
-                   uint32_t wait_ms, wy_rows_cb *cb, void *ctx);
+void wy_rows_list_partitions (struct wy_rows *s, const char *table,
+                              const char *after, wy_rows_cb *cb, void *ctx);
+void wy_rows_read_feed (struct wy_rows *s, const char *table, int64_t after,
+                        uint32_t wait_ms, wy_rows_cb *cb, void *ctx);
 void wy_rows_tx (struct wy_rows *s, const struct wy_rows_tx *tx,
                  wy_rows_cb *cb, void *ctx);
 void wy_rows_put_object (struct wy_rows *s, const char *name, const void *p,
                          size_t n, wy_rows_cb *cb, void *ctx);
 void wy_rows_get_object (struct wy_rows *s, const char *name, wy_rows_cb *cb,
                          void *ctx);
-void wy_rows_drop_object (struct wy_rows *s, const char *name, wy_rows_cb *cb,
-                          void *ctx);
+void wy_rows_delete_object (struct wy_rows *s, const char *name,
+                            wy_rows_cb *cb, void *ctx);
 void wy_rows_forward (struct wy_rows *s, const char *method,
                       const char *target, const void *body, size_t n,
                       void (*on_done) (void *ctx, int status, const char *body,
--- a/src/rows/traffic.c
+++ b/src/rows/traffic.c
@@ -8,7 +8,7 @@
 /* The counters of TABLE, added if missing.  When the array is full, further
    tables share its last element, named "other".  */
 struct wy_table_traffic *
-wy_traffic_of (struct wy_traffic *t, const char *table)
+wy_traffic_counters (struct wy_traffic *t, const char *table)
 {
   struct wy_table_traffic *c;
 
--- a/src/rows/traffic.h
+++ b/src/rows/traffic.h
@@ -26,7 +26,7 @@
   uint32_t n_tables;
 };
 
-struct wy_table_traffic *wy_traffic_of (struct wy_traffic *t,
-                                        const char *table);
+struct wy_table_traffic *wy_traffic_counters (struct wy_traffic *t,
+                                              const char *table);
 
 #endif
--- a/src/rows/watch.c
+++ b/src/rows/watch.c
@@ -11,7 +11,7 @@
 #include <glib.h>
 
 #include "base/rng.h"
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 enum
 {
@@ -116,7 +116,7 @@
 schedule_next (struct wy_watch *w)
 {
   int64_t now_ms = wy_clock_mono_ms (w->o.clock);
-  int64_t due_ms = w->called_ms + w->o.gap_ms;
+  int64_t due_ms = w->called_ms + w->o.min_interval_ms;
 
   w->retry_ms = RETRY_MIN_MS;
   schedule (w, due_ms > now_ms ? (uint32_t)(due_ms - now_ms) : 0);
@@ -132,7 +132,7 @@
 static char *
 key_of (const struct wy_row *row)
 {
-  return g_strconcat (row->part, "\n", row->key, NULL);
+  return g_strconcat (row->partition, "\n", row->key, NULL);
 }
 
 static void
@@ -170,7 +170,7 @@
       if (*(uint64_t *)g == w->generation)
         continue;
       words = g_strsplit (key, "\n", 2);
-      row.part = words[0];
+      row.partition = words[0];
       row.key = words[1];
       row.version = w->sync_version;
       g_hash_table_iter_remove (&it);
@@ -185,8 +185,8 @@
   tell_lost (w);
   w->version = w->sync_version;
   if (!w->synced)
-    wy_note ("watch.synced", "table=%s rows=%u version=%lld", w->o.table,
-             g_hash_table_size (w->known), (long long)w->version);
+    wy_json_log ("watch.synced", "table=%s rows=%u version=%lld", w->o.table,
+                 g_hash_table_size (w->known), (long long)w->version);
   w->synced = true;
   if (w->o.on_synced)
     w->o.on_synced (w->o.ctx);
@@ -225,7 +225,7 @@
     w->sync_version = r->version;
   for (size_t i = 0; i < r->n; i++)
     tell (w, &r->rows[i]);
-  if (!r->more || r->n == 0)
+  if (!r->has_more || r->n == 0)
     {
       end_sync (w);
       return;
@@ -243,7 +243,7 @@
 {
   struct wy_watch *w = p->watch;
   struct wy_rows_range range
-      = { .table = w->o.table, .part = p->part, .from = p->from };
+      = { .table = w->o.table, .partition = p->part, .from = p->from };
 
   w->reading++;
   w->pending_calls++;
@@ -266,7 +266,7 @@
         }
       for (size_t i = 0; i < r->n; i++)
         tell (w, &r->rows[i]);
-      if (!r->err && r->more && r->n)
+      if (!r->err && r->has_more && r->n)
         {
           g_free (p->from);
           p->from = next_key (&r->rows[r->n - 1]);
@@ -324,12 +324,12 @@
   w->answered_ms = wy_clock_mono_ms (w->o.clock);
   if (w->sync_version == 0)
     w->sync_version = r->version;
-  for (size_t i = 0; i < r->n_names; i++)
-    g_ptr_array_add (w->parts, g_strdup (r->names[i]));
-  if (r->more && r->n_names)
+  for (size_t i = 0; i < r->n_partitions; i++)
+    g_ptr_array_add (w->parts, g_strdup (r->partitions[i]));
+  if (r->has_more && r->n_partitions)
     {
       g_free (w->from);
-      w->from = g_strdup (r->names[r->n_names - 1]);
+      w->from = g_strdup (r->partitions[r->n_partitions - 1]);
       schedule (w, 0);
       return;
     }
@@ -343,10 +343,10 @@
 
   if (!finish_call (w))
     return;
-  if (r->err == WY_ROWS_EHISTORY)
+  if (r->err == WY_ROWS_ECOMPACTED)
     {
-      wy_note ("watch.restarted", "table=%s reason=history version=%lld",
-               w->o.table, (long long)w->version);
+      wy_json_log ("watch.restarted", "table=%s reason=history version=%lld",
+                   w->o.table, (long long)w->version);
       start_sync (w);
       schedule (w, 0);
       return;
@@ -358,7 +358,7 @@
     }
   w->answered_ms = wy_clock_mono_ms (w->o.clock);
   for (size_t i = 0; i < r->n; i++)
-    if (w->o.all_parts || !*r->rows[i].part)
+    if (w->o.all_partitions || !*r->rows[i].partition)
       tell (w, &r->rows[i]);
   if (r->version > w->version)
     w->version = r->version;
@@ -369,7 +369,7 @@
 next_call (struct wy_watch *w)
 {
   struct wy_rows_range range
-      = { .table = w->o.table, .part = "", .from = w->from };
+      = { .table = w->o.table, .partition = "", .from = w->from };
 
   w->calling = true;
   w->called_ms = wy_clock_mono_ms (w->o.clock);
@@ -381,9 +381,10 @@
     }
   w->pending_calls++;
   if (w->synced)
-    wy_rows_feed (w->o.rows, w->o.table, w->version, FEED_WAIT_MS, on_feed, w);
-  else if (w->o.all_parts)
-    wy_rows_parts (w->o.rows, w->o.table, w->from, on_parts, w);
+    wy_rows_read_feed (w->o.rows, w->o.table, w->version, FEED_WAIT_MS,
+                       on_feed, w);
+  else if (w->o.all_partitions)
+    wy_rows_list_partitions (w->o.rows, w->o.table, w->from, on_parts, w);
   else
     wy_rows_get (w->o.rows, &range, on_page, w);
 }
--- a/src/rows/watch.h
+++ b/src/rows/watch.h
@@ -11,9 +11,9 @@
   uv_loop_t *loop;
   const struct wy_clock *clock;
   struct wy_rows *rows;
-  const char *table; /* static */
-  bool all_parts;    /* false: rows of the empty part alone */
-  uint32_t gap_ms;   /* least time between two calls */
+  const char *table;        /* static */
+  bool all_partitions;      /* false: rows of the empty part alone */
+  uint32_t min_interval_ms; /* least time between two calls */
   uint64_t seed;
   /* A row is new, changed or deleted; it may be told more than once.  */
   void (*on_row) (void *ctx, const struct wy_row *row);
--- a/src/standin/platform.c
+++ b/src/standin/platform.c
@@ -354,7 +354,7 @@
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *a)
+on_head (void *ctx, const struct wy_h1_response *a)
 {
   struct wy_platform_call *c = ctx;
   const char *after = wy_h1_head_get (a->head, "Retry-After");
@@ -402,11 +402,11 @@
 {
   struct wy_platform_call *c = g_new0 (struct wy_platform_call, 1);
   char credential[64];
-  struct wy_h1_pair fields[] = { { "Host", WY_PLATFORM_HOST },
-                                 { "Authorization", credential },
-                                 { "Wait-Milliseconds", "500" },
-                                 { "Deadline-Milliseconds", "2000" },
-                                 { "Attempt-Id", id } };
+  struct wy_h1_header fields[] = { { "Host", WY_PLATFORM_HOST },
+                                   { "Authorization", credential },
+                                   { "Wait-Milliseconds", "500" },
+                                   { "Deadline-Milliseconds", "2000" },
+                                   { "Attempt-Id", id } };
   struct wy_h1_call_options o
       = { .address = g_array_index (p->gates, struct sockaddr_in,
                                     p->next_gate++ % p->gates->len),
--- a/src/standin/platform_callers.c
+++ b/src/standin/platform_callers.c
@@ -36,10 +36,11 @@
 
   id_of (c->number, c->tries, id);
   wy_platform_digest (c->body->str, c->body->len, digest);
-  wy_trace_event (
-      c->platform->standin->trace, "caller.got", "{s:s, s:s, s:i, s:s, s:s}",
-      "key", id, "req", id, "status", status, "ran",
-      wy_status_implies_not_run (status) ? "no" : "", "digest", digest);
+  wy_trace_event (c->platform->standin->trace, "caller.got",
+                  "{s:s, s:s, s:i, s:s, s:s}", "key", id, "req", id, "status",
+                  status, "ran",
+                  wy_attempt_status_implies_not_run (status) ? "no" : "",
+                  "digest", digest);
 }
 
 static void
--- a/src/standin/platform_replica.c
+++ b/src/standin/platform_replica.c
@@ -76,7 +76,7 @@
       text + n, sizeof text - (size_t)n, "id: %lld\ndata: %s\n\n",
       (long long)u->next,
       wy_platform_replica_text ((uint32_t)u->next, data, sizeof data));
-  wy_h1_write (u->request, text, (size_t)n);
+  wy_h1_write_response (u->request, text, (size_t)n);
   u->next++;
   u->sent++;
 }
@@ -91,7 +91,7 @@
     send_event (u);
   if (u->cut && u->sent >= r->faults.cut_after)
     {
-      wy_h1_break (u->request);
+      wy_h1_abort (u->request);
       end_run (u);
     }
   else if (u->stall)
@@ -99,7 +99,7 @@
   else if (u->next > r->o.events)
     {
       wy_h1_on_hangup (u->request, NULL, NULL);
-      wy_h1_finish (u->request);
+      wy_h1_end_response (u->request);
       if (r->o.on_whole)
         r->o.on_whole (r->o.ctx, r->o.id, u->id);
       end_run (u);
@@ -113,7 +113,7 @@
   struct run *u = g_new0 (struct run, 1);
   char version[24];
   char load[48];
-  struct wy_h1_pair fields[]
+  struct wy_h1_header fields[]
       = { { "Content-Type", "text/event-stream" },
           { "Attempt-Id",
             wy_platform_take_fault (&r->faults.foreign) ? "another" : id },
@@ -133,7 +133,7 @@
   u->stall = wy_platform_take_fault (&r->faults.stalls);
   snprintf (version, sizeof version, "%lld", (long long)r->version);
   snprintf (load, sizeof load, "%u,0,%u", r->running, r->o.slots);
-  wy_h1_begin (q, 200, fields, G_N_ELEMENTS (fields));
+  wy_h1_begin_response (q, 200, fields, G_N_ELEMENTS (fields));
   uv_timer_init (r->o.loop, &u->timer);
   u->timer.data = u;
   uv_timer_start (&u->timer, on_event_timer, r->o.event_ms, r->o.event_ms);
@@ -180,7 +180,7 @@
   const char *body = wy_h1_body (u->request, &n);
   char load[48];
   char mark[160];
-  struct wy_h1_pair fields[3]
+  struct wy_h1_header fields[3]
       = { { "Attempt-Id",
             wy_platform_take_fault (&r->faults.foreign) ? "another" : u->id },
           { "Server-Load", load },
@@ -243,7 +243,7 @@
   const struct wy_h1_head *head = wy_h1_head (q);
   const char *target = wy_h1_head_get (head, "Target-Instance");
   const char *id = wy_h1_head_get (head, "Attempt-Id");
-  struct wy_h1_pair not_run = { "Not-Executed", "1" };
+  struct wy_h1_header not_run = { "Not-Executed", "1" };
 
   if (target && strcmp (target, r->o.id) != 0)
     wy_h1_respond (q, 421, NULL, 0, "", 0);
@@ -254,7 +254,7 @@
     {
       r->runs++;
       tell_run (r, head, id, "", 0);
-      wy_h1_break (q);
+      wy_h1_abort (q);
     }
   else if (wy_platform_take_fault (&r->faults.never))
     plain (r, q, 422, id);
@@ -317,7 +317,7 @@
                       .body_bytes = BODY_LIMIT_BYTES,
                       .header_timeout_ms = IDLE_MS,
                       .idle_timeout_ms = IDLE_MS,
-                      .held_bytes = UINT64_MAX / 2 },
+                      .buffered_bytes = UINT64_MAX / 2 },
           .on_request = on_request,
           .ctx = r };
 
--- a/src/standin/platform_replica_orders.c
+++ b/src/standin/platform_replica_orders.c
@@ -75,7 +75,7 @@
 
   json_decref (doc);
   if (wy_platform_take_fault (&r->faults.lose_orders))
-    wy_h1_break (q);
+    wy_h1_abort (q);
   else
     wy_h1_respond (q, status, NULL, 0, "", 0);
 }
--- a/src/standin/platform_store.c
+++ b/src/standin/platform_store.c
@@ -78,7 +78,8 @@
 wy_platform_store_respond (struct wy_platform_store *s,
                            struct wy_h1_request *r, int status, json_t *doc)
 {
-  static const struct wy_h1_pair type = { "Content-Type", "application/json" };
+  static const struct wy_h1_header type
+      = { "Content-Type", "application/json" };
   char *text;
 
   if (!doc)
@@ -239,7 +240,7 @@
   if (g_str_has_prefix (t, "/api/rows-get"))
     wy_platform_store_get (s, r, t);
   else if (g_str_has_prefix (t, "/api/rows-parts"))
-    wy_platform_store_parts (s, r, t);
+    wy_platform_store_partitions (s, r, t);
   else if (g_str_has_prefix (t, "/api/rows-feed"))
     wy_platform_store_feed (s, r, t);
   else if (g_str_has_prefix (t, "/api/rows-tx"))
@@ -277,7 +278,7 @@
                       .body_bytes = BODY_LIMIT_BYTES,
                       .header_timeout_ms = IDLE_MS,
                       .idle_timeout_ms = IDLE_MS,
-                      .held_bytes = UINT64_MAX / 2 },
+                      .buffered_bytes = UINT64_MAX / 2 },
           .on_request = on_request,
           .ctx = s };
 
--- a/src/standin/platform_store_read.c
+++ b/src/standin/platform_store_read.c
@@ -98,8 +98,8 @@
 
 /* The parts of a table.  */
 void
-wy_platform_store_parts (struct wy_platform_store *s, struct wy_h1_request *r,
-                         const char *target)
+wy_platform_store_partitions (struct wy_platform_store *s,
+                              struct wy_h1_request *r, const char *target)
 {
   char *table = query (target, "table");
   GHashTable *seen = g_hash_table_new (g_str_hash, g_str_equal);
--- a/src/standin/platform_store_state.h
+++ b/src/standin/platform_store_state.h
@@ -47,8 +47,9 @@
 json_t *wy_platform_store_row_json (const struct wy_platform_row *r);
 void wy_platform_store_get (struct wy_platform_store *s,
                             struct wy_h1_request *r, const char *target);
-void wy_platform_store_parts (struct wy_platform_store *s,
-                              struct wy_h1_request *r, const char *target);
+void wy_platform_store_partitions (struct wy_platform_store *s,
+                                   struct wy_h1_request *r,
+                                   const char *target);
 void wy_platform_store_feed (struct wy_platform_store *s,
                              struct wy_h1_request *r, const char *target);
 void wy_platform_store_tick (uv_timer_t *t);
--- a/src/standin/platform_store_tx.c
+++ b/src/standin/platform_store_tx.c
@@ -138,7 +138,7 @@
     {
       s->faults.late--;
       perform_late (s, doc);
-      wy_h1_break (r);
+      wy_h1_abort (r);
     }
   else
     {
@@ -147,7 +147,7 @@
         {
           s->faults.lose--;
           json_decref (rows);
-          wy_h1_break (r);
+          wy_h1_abort (r);
         }
       else
         wy_platform_store_respond (
--- a/src/trace/line.c
+++ b/src/trace/json_fields.c
@@ -3,7 +3,7 @@
    Every request leaves several events at each process it passes.  Building a
    tree of JSON values for each and printing that took a third of an entry's
    time; the flat fields that nearly all events have are printed directly.  */
-#include "trace/line.h"
+#include "trace/json_fields.h"
 
 #include <inttypes.h>
 #include <stdbool.h>
@@ -83,7 +83,7 @@
 /* Append field KEY with the text VALUE to OUT, an object not yet closed; a
    NULL counts as empty.  */
 void
-wy_line_text (GString *out, const char *key, const char *value)
+wy_json_fields_string (GString *out, const char *key, const char *value)
 {
   put_key (out, key);
   put_text (out, value ? value : "");
@@ -91,7 +91,7 @@
 
 /* Append field KEY with the number VALUE to OUT.  */
 void
-wy_line_number (GString *out, const char *key, int64_t value)
+wy_json_fields_integer (GString *out, const char *key, int64_t value)
 {
   put_key (out, key);
   put_number (out, value);
@@ -165,7 +165,7 @@
 /* Append to OUT the fields that FMT and AP name, in the notation of
    json_pack.  */
 void
-wy_line_fields (GString *out, const char *fmt, va_list ap)
+wy_json_fields_pack (GString *out, const char *fmt, va_list ap)
 {
   va_list rest;
 
--- a/src/trace/note.c
+++ b/src/trace/json_log.c
@@ -1,5 +1,5 @@
 /* Structured log lines on standard output.  */
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 #include <errno.h>
 #include <fcntl.h>
@@ -53,7 +53,7 @@
 
 /* Write what waits, as far as the reader takes it.  */
 void
-wy_note_flush (void)
+wy_json_log_flush (void)
 {
   ssize_t n;
 
@@ -76,7 +76,7 @@
 on_timer (uv_timer_t *t)
 {
   note.waiting = false;
-  wy_note_flush ();
+  wy_json_log_flush ();
   if (note.out->len)
     arm ();
 }
@@ -205,7 +205,7 @@
 /* Log EVENT with the pairs that FMT gives, such as "id=%s age_ms=%d".
    Values hold no spaces.  */
 void
-wy_note (const char *event, const char *fmt, ...)
+wy_json_log (const char *event, const char *fmt, ...)
 {
   char pairs[LINE_SIZE_BYTES];
   struct timespec ts;
@@ -224,7 +224,7 @@
   append_pairs (note.out, pairs);
   g_string_append (note.out, "}\n");
   if (note.out->len >= FLUSH_BYTES)
-    wy_note_flush ();
+    wy_json_log_flush ();
   if (note.out->len)
     arm ();
 }
@@ -232,8 +232,8 @@
 /* Start logging as PROCESS; INCARNATION tells its starts apart.  When open
    already, only the names change.  */
 void
-wy_note_open (struct uv_loop_s *loop, const char *process,
-              const char *incarnation)
+wy_json_log_open (struct uv_loop_s *loop, const char *process,
+                  const char *incarnation)
 {
   int flags = fcntl (STDOUT_FILENO, F_GETFL);
 
@@ -251,18 +251,18 @@
 
 /* Lines that were not written.  */
 uint64_t
-wy_note_dropped (void)
+wy_json_log_dropped (void)
 {
   return note.dropped;
 }
 
 /* Write what waits and stop logging.  */
 void
-wy_note_close (void)
+wy_json_log_close (void)
 {
   if (!note.open)
     return;
-  wy_note_flush ();
+  wy_json_log_flush ();
   note.open = false;
   g_string_free (note.out, TRUE);
   uv_close ((uv_handle_t *)&note.timer, NULL);
--- /dev/null
+++ b/src/trace/json_log.h
@@ -0,0 +1,19 @@
+/* Structured log lines on standard output, for the engineer on call: one JSON
+   object a line.  Never blocks: lines are kept in a bounded buffer and the
+   ones that do not fit are counted.  */
+#ifndef WY_TRACE_JSON_LOG_H
+#define WY_TRACE_JSON_LOG_H
+
+#include <stdint.h>
+
+struct uv_loop_s;
+
+void wy_json_log_open (struct uv_loop_s *loop, const char *process,
+                       const char *incarnation);
+void wy_json_log (const char *event, const char *fmt, ...)
+    __attribute__ ((format (printf, 2, 3)));
+void wy_json_log_flush (void);
+uint64_t wy_json_log_dropped (void);
+void wy_json_log_close (void);
+
+#endif
--- a/src/trace/metrics.c
+++ b/src/trace/metrics.c
@@ -22,7 +22,7 @@
   struct wy_hist *histogram;
 };
 
-struct wy_family
+struct wy_metrics_family
 {
   GHashTable *by_labels; /* struct labelled */
   GPtrArray *sets;       /* the same, in the order of their first use */
@@ -39,7 +39,7 @@
     uint64_t counter;
     int64_t gauge;
     struct wy_hist *histogram;
-    struct wy_family *family;
+    struct wy_metrics_family *family;
   } u;
 };
 
@@ -59,7 +59,7 @@
 }
 
 static void
-family_free (struct wy_family *f)
+family_free (struct wy_metrics_family *f)
 {
   g_hash_table_destroy (f->by_labels);
   g_ptr_array_free (f->sets, TRUE);
@@ -145,11 +145,11 @@
   return x->u.histogram;
 }
 
-static struct wy_family *
+static struct wy_metrics_family *
 family (struct wy_metrics *m, enum metric_kind kind, const char *name,
         const char *help, uint32_t sets_max)
 {
-  struct wy_family *f = g_new0 (struct wy_family, 1);
+  struct wy_metrics_family *f = g_new0 (struct wy_metrics_family, 1);
 
   f->by_labels = g_hash_table_new (g_str_hash, g_str_equal);
   f->sets = g_ptr_array_new_with_free_func (labelled_free);
@@ -161,23 +161,23 @@
 /* Counters of one name, with SETS_MAX label sets at most: names of routes come
    from outside and must not fill the memory.  What comes later is counted
    under other="true".  */
-struct wy_family *
-wy_metrics_counters (struct wy_metrics *m, const char *name, const char *help,
-                     uint32_t sets_max)
+struct wy_metrics_family *
+wy_metrics_counter_family (struct wy_metrics *m, const char *name,
+                           const char *help, uint32_t sets_max)
 {
   return family (m, METRIC_COUNTERS, name, help, sets_max);
 }
 
 /* The same with histograms.  */
-struct wy_family *
-wy_metrics_histograms (struct wy_metrics *m, const char *name,
-                       const char *help, uint32_t sets_max)
+struct wy_metrics_family *
+wy_metrics_histogram_family (struct wy_metrics *m, const char *name,
+                             const char *help, uint32_t sets_max)
 {
   return family (m, METRIC_HISTOGRAMS, name, help, sets_max);
 }
 
 static struct labelled *
-set_of (struct wy_family *f, const char *labels)
+set_of (struct wy_metrics_family *f, const char *labels)
 {
   struct labelled *l = g_hash_table_lookup (f->by_labels, labels);
 
@@ -195,17 +195,17 @@
   return l;
 }
 
-/* The counter of F with LABELS, as wy_label makes them, separated by
+/* The counter of F with LABELS, as wy_metrics_label makes them, separated by
    commas.  */
 uint64_t *
-wy_family_counter (struct wy_family *f, const char *labels)
+wy_metrics_family_counter (struct wy_metrics_family *f, const char *labels)
 {
   return &set_of (f, labels)->counter;
 }
 
 /* The histogram of F with LABELS.  */
 struct wy_hist *
-wy_family_histogram (struct wy_family *f, const char *labels)
+wy_metrics_family_histogram (struct wy_metrics_family *f, const char *labels)
 {
   struct labelled *l = set_of (f, labels);
 
@@ -216,7 +216,7 @@
 
 /* NAME="VALUE" with VALUE escaped; the caller frees it.  */
 char *
-wy_label (const char *name, const char *value)
+wy_metrics_label (const char *name, const char *value)
 {
   GString *s = g_string_new (name);
 
@@ -260,7 +260,7 @@
 static void
 print_family (const struct metric *x, GString *out)
 {
-  const struct wy_family *f = x->u.family;
+  const struct wy_metrics_family *f = x->u.family;
 
   for (guint i = 0; i < f->sets->len; i++)
     {
--- a/src/trace/metrics.h
+++ b/src/trace/metrics.h
@@ -20,16 +20,21 @@
                                       const char *help);
 
 /* Metrics of one name that differ in their labels.  */
-struct wy_family;
-
-struct wy_family *wy_metrics_counters (struct wy_metrics *m, const char *name,
-                                       const char *help, uint32_t sets_max);
-struct wy_family *wy_metrics_histograms (struct wy_metrics *m,
-                                         const char *name, const char *help,
-                                         uint32_t sets_max);
-uint64_t *wy_family_counter (struct wy_family *f, const char *labels);
-struct wy_hist *wy_family_histogram (struct wy_family *f, const char *labels);
-char *wy_label (const char *name, const char *value);
+struct wy_metrics_family;
+
+struct wy_metrics_family *wy_metrics_counter_family (struct wy_metrics *m,
+                                                     const char *name,
+                                                     const char *help,
+                                                     uint32_t sets_max);
+struct wy_metrics_family *wy_metrics_histogram_family (struct wy_metrics *m,
+                                                       const char *name,
+                                                       const char *help,
+                                                       uint32_t sets_max);
+uint64_t *wy_metrics_family_counter (struct wy_metrics_family *f,
+                                     const char *labels);
+struct wy_hist *wy_metrics_family_histogram (struct wy_metrics_family *f,
+                                             const char *labels);
+char *wy_metrics_label (const char *name, const char *value);
 
 void wy_metrics_print (const struct wy_metrics *m, GString *out);
 
--- a/src/trace/trace.c
+++ b/src/trace/trace.c
@@ -10,7 +10,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#include "trace/line.h"
+#include "trace/json_fields.h"
 
 enum
 {
@@ -76,7 +76,7 @@
 
 /* A stamp above all stamps written or seen so far.  */
 uint64_t
-wy_trace_stamp (struct wy_trace *t)
+wy_trace_timestamp (struct wy_trace *t)
 {
   uint64_t now = (uint64_t)wy_clock_wall_ms (t->clock) << STAMP_COUNTER_BITS;
 
@@ -138,15 +138,15 @@
     return;
   line = g_string_sized_new (LINE_SIZE_BYTES);
   g_string_append_c (line, '{');
-  wy_line_number (line, "hlc", (int64_t)wy_trace_stamp (t));
-  wy_line_text (line, "proc", t->process);
-  wy_line_text (line, "inc", t->incarnation);
-  wy_line_number (line, "seq", (int64_t)++t->seq);
-  wy_line_text (line, "ev", event);
+  wy_json_fields_integer (line, "hlc", (int64_t)wy_trace_timestamp (t));
+  wy_json_fields_string (line, "proc", t->process);
+  wy_json_fields_string (line, "inc", t->incarnation);
+  wy_json_fields_integer (line, "seq", (int64_t)++t->seq);
+  wy_json_fields_string (line, "ev", event);
   if (fmt)
     {
       va_start (ap, fmt);
-      wy_line_fields (line, fmt, ap);
+      wy_json_fields_pack (line, fmt, ap);
       va_end (ap);
     }
   g_string_append (line, "}\n");
--- a/src/trace/trace.h
+++ b/src/trace/trace.h
@@ -29,7 +29,7 @@
 void wy_trace_free (struct wy_trace *t);
 void wy_trace_event (struct wy_trace *t, const char *event, const char *fmt,
                      ...);
-uint64_t wy_trace_stamp (struct wy_trace *t);
+uint64_t wy_trace_timestamp (struct wy_trace *t);
 void wy_trace_observe (struct wy_trace *t, uint64_t stamp);
 uint64_t wy_trace_read (struct wy_trace *t, uint64_t after, GString *out);
 const char *wy_trace_incarnation (const struct wy_trace *t);
--- a/src/yard/fix.c
+++ b/src/yard/fix.c
@@ -150,7 +150,7 @@
   json_t *value = wy_step_row_json (&j->fixed, j->fix_op);
   const struct wy_store_condition conditions[]
       = { { j->key, j->row.rev },
-          { wy_lease_fence_key (s->lease), j->fix_fence_rev },
+          { wy_lease_token_key (s->lease), j->fix_fence_rev },
           { s->current_key, j->fix_current_rev } };
   const struct wy_store_write write = { j->key, value };
   const struct wy_store_txn txn = { .cause = "fix",
@@ -197,9 +197,9 @@
   j->fixed.samples = ids;
   j->fixed.oldest = oldest;
   j->fixed.current = s->o.version->current;
-  j->fixed.fence = wy_lease_fence (s->lease);
+  j->fixed.fence = wy_lease_fencing_token (s->lease);
   j->fix_current_rev = s->o.version->rev;
-  j->fix_fence_rev = wy_lease_fence_rev (s->lease);
+  j->fix_fence_rev = wy_lease_token_rev (s->lease);
   j->fix = WY_FIX_OBJECT;
   j->awaited++;
   wy_store_put_object (s->o.env->o.store, "fix", j->fixed.batch, text,
@@ -232,7 +232,7 @@
     case WY_FIX_AGAIN:
       /* Under another fencing number the old transaction can no longer take
          effect, and the samples are fixed anew.  */
-      if (holds && j->fix_fence_rev != wy_lease_fence_rev (s->lease))
+      if (holds && j->fix_fence_rev != wy_lease_token_rev (s->lease))
         j->fix = WY_FIX_NONE;
       else if (holds)
         send_txn (j);
--- a/src/yard/replica.c
+++ b/src/yard/replica.c
@@ -142,13 +142,14 @@
 {
   struct wy_rollout *r = x->rollout;
   const struct wy_orderer *orderer = r->env->o.orderer;
-  const struct wy_order_request request = { .target = x->id,
-                                            .lease = wy_lease_name (r->lease),
-                                            .fence = wy_lease_fence (r->lease),
-                                            .kind = kind,
-                                            .model = r->model,
-                                            .version = r->goal,
-                                            .source = source };
+  const struct wy_order_request request
+      = { .target = x->id,
+          .lease = wy_lease_name (r->lease),
+          .fence = wy_lease_fencing_token (r->lease),
+          .kind = kind,
+          .model = r->model,
+          .version = r->goal,
+          .source = source };
 
   if (x->ordered != r->goal)
     x->tries = 0;
--- a/src/yard/rollout.c
+++ b/src/yard/rollout.c
@@ -109,7 +109,7 @@
       if (!source)
         continue;
       if (!*source && r->env->o.weight_bytes_per_s
-          && wy_pace_take (&r->pace, r->env->o.weight_bytes, now))
+          && wy_token_bucket_take (&r->pace, r->env->o.weight_bytes, now))
         return;
       wy_replica_order (x, WY_ORDER_STAGE, source);
       out++;
@@ -208,8 +208,8 @@
   r->order = g_ptr_array_new ();
   r->views = g_new0 (struct wy_target_view, WY_ROLLOUT_TARGETS_MAX);
   /* The budget holds what the roots need at once.  */
-  wy_pace_init (&r->pace, eo->weight_bytes_per_s, eo->weight_bytes * ROOTS,
-                wy_rollout_now_ms (r));
+  wy_token_bucket_init (&r->pace, eo->weight_bytes_per_s,
+                        eo->weight_bytes * ROOTS, wy_rollout_now_ms (r));
   r->lease = wy_lease_new (&lease);
   g_free (name);
   uv_timer_init (eo->loop, &r->timer);
--- a/src/yard/rollout_state.h
+++ b/src/yard/rollout_state.h
@@ -37,7 +37,7 @@
   GHashTable *replicas; /* char * -> struct wy_replica */
   GPtrArray *order;     /* struct wy_replica, by id: the relay tree */
   struct wy_target_view *views;
-  struct wy_pace pace;
+  struct wy_token_bucket pace;
   uint32_t awaited;
   bool stopped;
   bool closing;
--- a/src/yard/sample.c
+++ b/src/yard/sample.c
@@ -109,13 +109,13 @@
   else
     switch (wy_step_done (s->step, m->index, (uint64_t)m->oldest, m->tokens))
       {
-      case WY_SAMPLE_TAKE:
+      case WY_STEP_VERDICT_ACCEPT:
         leave_open (m, WY_SAMPLE_TAKEN);
         break;
-      case WY_SAMPLE_STALE:
+      case WY_STEP_VERDICT_STALE:
         wy_sample_drop (m, "stale");
         break;
-      case WY_SAMPLE_SURPLUS:
+      case WY_STEP_VERDICT_SURPLUS:
         wy_sample_drop (m, "surplus");
         break;
       }
--- a/src/yard/sampler.h
+++ b/src/yard/sampler.h
@@ -59,7 +59,7 @@
   char *trainer;
   char *label; /* "YARD/TRAINER" */
   char *model;
-  struct wy_yard_weights weights;
+  struct wy_step_cost_weights weights;
   uint32_t worth_milli;
   struct wy_sampling_pace pace;
   struct wy_lease *lease;
--- a/src/yard/sampling.c
+++ b/src/yard/sampling.c
@@ -119,7 +119,7 @@
   if (version == s->version)
     return;
   s->version = version;
-  if (wy_step_recheck (s->step, (uint64_t)version) == 0)
+  if (wy_step_drop_stale (s->step, (uint64_t)version) == 0)
     return;
   n = take_batch (s, &batch);
   for (guint i = 0; i < s->samples->len; i++)
@@ -132,7 +132,7 @@
 }
 
 static void
-give_up_stragglers (struct wy_sampling *s, const struct wy_step_now *now)
+give_up_stragglers (struct wy_sampling *s, const struct wy_step_inputs *now)
 {
   for (;;)
     {
@@ -155,7 +155,7 @@
 }
 
 static uint32_t
-restart_refused (struct wy_sampling *s, const struct wy_step_now *now)
+restart_refused (struct wy_sampling *s, const struct wy_step_inputs *now)
 {
   uint32_t n = now->free_streams;
 
@@ -188,7 +188,7 @@
    they are; one that takes much longer than others counts as overdue, and the
    decisions give it a replacement.  */
 static void
-tell_progress (struct wy_sampling *s, const struct wy_step_now *now)
+tell_progress (struct wy_sampling *s, const struct wy_step_inputs *now)
 {
   for (guint i = 0; i < s->samples->len; i++)
     {
@@ -205,20 +205,20 @@
 /* Issue what should be issued while streams are free; what is left of them is
    SPARE when no other step wants it.  */
 static void
-issue_all (struct wy_sampling *s, struct wy_step_now *now, bool spare)
+issue_all (struct wy_sampling *s, struct wy_step_inputs *now, bool spare)
 {
   s->idle = false;
   while (now->free_streams > 0)
     {
-      struct wy_issue r = wy_step_issue (s->step, now);
+      struct wy_step_issuance r = wy_step_issue (s->step, now);
 
-      if (r.any)
+      if (r.is_issued)
         {
           issue (s, r.sample);
           now->free_streams--;
         }
-      else if (spare && !now->spare)
-        now->spare = true;
+      else if (spare && !now->may_over_issue)
+        now->may_over_issue = true;
       else
         {
           s->idle = true;
@@ -234,7 +234,7 @@
                  bool last)
 {
   const struct wy_runner *runner = s->o.env->o.runner;
-  struct wy_step_now now
+  struct wy_step_inputs now
       = { .now_ms = wy_clock_mono_ms (s->o.env->o.clock),
           .version_period_ms = version->period_ms,
           .us_per_token = (uint32_t)s->o.pace->us_per_token };
@@ -256,7 +256,7 @@
 bool
 wy_sampling_whole (const struct wy_sampling *s)
 {
-  return wy_step_whole (s->step);
+  return wy_step_is_complete (s->step);
 }
 
 /* Whether a group has used up its spares: its last place was issued and came
@@ -279,7 +279,8 @@
 bool
 wy_sampling_stuck (const struct wy_sampling *s)
 {
-  return s->idle && s->open == 0 && !wy_step_whole (s->step) && used_up (s);
+  return s->idle && s->open == 0 && !wy_step_is_complete (s->step)
+         && used_up (s);
 }
 
 static json_t *
--- a/src/yard/sampling.h
+++ b/src/yard/sampling.h
@@ -28,7 +28,7 @@
   int64_t step;
   int64_t version; /* the trainer's when it will take the batch */
   uint32_t bound;
-  struct wy_yard_weights weights;
+  struct wy_step_cost_weights weights;
   const json_t *groups; /* as submitted; borrowed while it lives */
   void (*on_progress) (void *ctx);
   void *ctx;
--- a/tests/support/duty_world.c
+++ b/tests/support/duty_world.c
@@ -56,7 +56,7 @@
 static void
 on_acquired (void *ctx)
 {
-  wy_usage_acquired (((struct duty_entry *)ctx)->usage);
+  wy_usage_on_elected (((struct duty_entry *)ctx)->usage);
 }
 
 static void
@@ -98,27 +98,27 @@
           .seed = 1,
           .address
           = platform_loopback (wy_platform_store_port (duty_world.store)) };
-  struct wy_duty_holder_options d = { .loop = &duty_world.loop,
-                                      .clock = &e->clock,
-                                      .subject = "s",
-                                      .holder = e->holder,
-                                      .seed = (uint64_t)(uintptr_t)e,
-                                      .ttl_ms = DUTY_LEASE_MS,
-                                      .may_hold = may_hold,
-                                      .on_acquired = on_acquired,
-                                      .on_lost = on_lost,
-                                      .ctx = e };
+  struct wy_election_options d = { .loop = &duty_world.loop,
+                                   .clock = &e->clock,
+                                   .subject = "s",
+                                   .holder = e->holder,
+                                   .seed = (uint64_t)(uintptr_t)e,
+                                   .ttl_ms = DUTY_LEASE_MS,
+                                   .is_candidate = may_hold,
+                                   .on_acquired = on_acquired,
+                                   .on_lost = on_lost,
+                                   .ctx = e };
   struct wy_duty_calls_options c = { .loop = &duty_world.loop,
                                      .clock = &e->clock,
                                      .address = e->platform,
                                      .node = node };
   struct wy_usage_options u = { .loop = &duty_world.loop,
                                 .clock = &e->clock,
-                                .holder = e->holder,
+                                .counts_row_key = e->holder,
                                 .window_ms = DUTY_WINDOW_MS,
-                                .late_ms = DUTY_LATE_MS,
+                                .report_deadline_ms = DUTY_LATE_MS,
                                 .epoch_ms = epoch_ms,
-                                .complete_everywhere = complete_everywhere,
+                                .newest_complete_window = complete_everywhere,
                                 .on_complete = on_complete,
                                 .ctx = e };
   static int starts;
@@ -134,12 +134,12 @@
   r.http = e->http;
   e->rows = wy_rows_new (&r);
   d.rows = e->rows;
-  e->duties = wy_duty_holder_new (&d);
+  e->duties = wy_election_new (&d);
   c.http = e->http;
-  c.duties = e->duties;
+  c.election = e->duties;
   cr_assert_eq (wy_duty_calls_new (&e->calls, &c), 0);
   u.rows = e->rows;
-  u.duties = e->duties;
+  u.election = e->duties;
   u.calls = e->calls;
   e->usage = wy_usage_new (&u);
 }
@@ -154,7 +154,7 @@
   wy_duty_calls_stop (e->calls);
   wy_usage_free (e->usage);
   wy_duty_calls_free (e->calls);
-  wy_duty_holder_free (e->duties);
+  wy_election_free (e->duties);
   wy_rows_free (e->rows);
   wy_h1_client_free (e->http);
 }
@@ -163,5 +163,5 @@
 bool
 duty_entry_holds (void *entry)
 {
-  return wy_duty_holder_holds (((struct duty_entry *)entry)->duties);
+  return wy_election_is_leader (((struct duty_entry *)entry)->duties);
 }
--- a/tests/support/duty_world.h
+++ b/tests/support/duty_world.h
@@ -20,7 +20,7 @@
   int64_t slept_ms;      /* that the monotonic time has not counted */
   char holder[32];
   char platform[32]; /* address */
-  struct wy_duty_holder *duties;
+  struct wy_election *duties;
   struct wy_duty_calls *calls;
   struct wy_usage *usage;
   struct wy_h1_client *http;
--- a/tests/support/job_world.c
+++ b/tests/support/job_world.c
@@ -14,11 +14,12 @@
 {
   struct wy_job_call call;
 
-  wy_job_call_read (wy_h1_method (r), wy_h1_target (r), wy_h1_head (r), &call);
+  wy_job_call_parse (wy_h1_method (r), wy_h1_target (r), wy_h1_head (r),
+                     &call);
   if (call.kind == WY_JOB_CALL_NONE)
     wy_jobs_accept (job_entry.jobs, r, job_organisation, true);
   else
-    wy_jobs_call (job_entry.jobs, r, job_organisation, &call);
+    wy_jobs_handle_call (job_entry.jobs, r, job_organisation, &call);
 }
 
 static bool
@@ -35,9 +36,9 @@
   struct wy_members_options m
       = { .env = &job_world.env, .address = "127.0.0.1:1" };
   struct wy_jobs_options j = { .env = &job_world.env,
-                               .piece_bytes = 512,
-                               .row_bytes = 65536,
-                               .memory_bytes = job_memory_bytes };
+                               .max_object_bytes = 512,
+                               .max_row_bytes = 65536,
+                               .memory_limit_bytes = job_memory_bytes };
   struct wy_h1_server_options o
       = { .loop = &job_world.loop,
           .host = "127.0.0.1",
@@ -129,9 +130,9 @@
 job_world_call (const char *method, const char *target, const char *id,
                 const char *body)
 {
-  struct wy_h1_pair fields[] = { { "Host", "h" },
-                                 { "Wait-Milliseconds", "300" },
-                                 { "Attempt-Id", id ? id : "" } };
+  struct wy_h1_header fields[] = { { "Host", "h" },
+                                   { "Wait-Milliseconds", "300" },
+                                   { "Attempt-Id", id ? id : "" } };
   struct platform_answer *a
       = platform_world_call (&job_world, wy_h1_server_port (job_entry.server),
                              method, target, fields, id ? 3 : 2, body);
--- a/tests/support/platform_world.c
+++ b/tests/support/platform_world.c
@@ -108,11 +108,11 @@
 {
   struct wy_gate_counters *c = &w->env.count;
   uint64_t **counters[]
-      = { &c->requests,        &c->answered,     &c->refused,
-          &c->failed,          &c->hung_up,      &c->retries,
-          &c->held_back,       &c->hedges,       &c->items_started,
-          &c->items_done,      &c->items_broken, &c->jobs_accepted,
-          &c->jobs_taken_over, &c->scores_asked, &c->scores_broken,
+      = { &c->requests,        &c->answered,         &c->refused,
+          &c->failed,          &c->hung_up,          &c->retries,
+          &c->held_back,       &c->hedges,           &c->item_runs,
+          &c->items_done,      &c->item_runs_failed, &c->jobs_accepted,
+          &c->jobs_taken_over, &c->score_calls,      &c->score_calls_failed,
           &c->score_hedges };
   char name[32];
 
@@ -125,8 +125,9 @@
   c->latency_us = wy_metrics_histogram (w->metrics, "latency", "");
   c->score_us = wy_metrics_histogram (w->metrics, "score", "");
   c->item_us = wy_metrics_histogram (w->metrics, "item", "");
-  c->ended = wy_metrics_counters (w->metrics, "ended", "", 64);
-  c->latency_by = wy_metrics_histograms (w->metrics, "latency_by", "", 16);
+  c->requests_ended = wy_metrics_counter_family (w->metrics, "ended", "", 64);
+  c->latency_by_route
+      = wy_metrics_histogram_family (w->metrics, "latency_by", "", 16);
 }
 
 /* The shared parts of an entry named NODE.  */
@@ -192,7 +193,7 @@
 {
   struct wy_route *t = wy_routing_add_route (r);
   struct wy_service *s = wy_routing_add_service (r);
-  struct wy_split split = { g_strdup (service), 1 };
+  struct wy_traffic_split split = { g_strdup (service), 1 };
 
   t->name = g_strdup (prefix);
   t->host = g_strdup (host);
@@ -201,7 +202,7 @@
   t->target_latency_ms = 200;
   g_array_append_val (t->splits, split);
   s->name = g_strdup (service);
-  wy_routing_seal (r);
+  wy_routing_sort (r);
   return t;
 }
 
@@ -251,7 +252,7 @@
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_answer *h)
+on_head (void *ctx, const struct wy_h1_response *h)
 {
   struct platform_answer *a = ctx;
 
@@ -280,7 +281,7 @@
 struct platform_answer *
 platform_world_call (struct platform_world *w, uint16_t port,
                      const char *method, const char *target,
-                     const struct wy_h1_pair *fields, size_t n_fields,
+                     const struct wy_h1_header *fields, size_t n_fields,
                      const char *body)
 {
   struct platform_answer *a = g_new0 (struct platform_answer, 1);
--- a/tests/support/platform_world.h
+++ b/tests/support/platform_world.h
@@ -57,7 +57,7 @@
 struct platform_answer *platform_world_call (struct platform_world *w,
                                              uint16_t port, const char *method,
                                              const char *target,
-                                             const struct wy_h1_pair *fields,
+                                             const struct wy_h1_header *fields,
                                              size_t n_fields,
                                              const char *body);
 bool platform_answer_done (void *answer);
