--- a/tests/test_crashes.c
+++ b/tests/test_crashes.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "gate/crash_rows.h"
+#include "gate/suspect_list.h"
 #include "gate/proxy.h"
 #include "support/job_world.h"
 
@@ -19,19 +19,19 @@
    leaves the list, or starts anew, has crashed.  */
 Test (crashes, lost_connections_do_not_count)
 {
-  static struct wy_crash_watch w;
-
-  wy_crash_watch_init (&w);
-  wy_crash_watch_broken (&w, FP, "i-1", 0);
-  wy_crash_watch_broken (&w, FP, "i-2", 10);
-  wy_crash_watch_broken (&w, FP, "i-3", 20);
-  cr_expect_not (wy_crash_watch_holds_back (&w, FP, 30));
-  cr_expect_eq (wy_crash_watch_crashed (&w, "i-9", 40), 0);
-  cr_expect_not (wy_crash_watch_holds_back (&w, FP, 50));
+  static struct wy_crash_tracker w;
+
+  wy_crash_tracker_init (&w);
+  wy_crash_tracker_run_interrupted (&w, FP, "i-1", 0);
+  wy_crash_tracker_run_interrupted (&w, FP, "i-2", 10);
+  wy_crash_tracker_run_interrupted (&w, FP, "i-3", 20);
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 30));
+  cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-9", 40), 0);
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 50));
   /* Too long after to be the cause.  */
-  cr_expect_eq (wy_crash_watch_crashed (&w, "i-1", 60 * s_ms), 0);
-  cr_expect_eq (wy_crash_watch_crashed (&w, "i-2", 60 * s_ms), 0);
-  cr_expect_not (wy_crash_watch_holds_back (&w, FP, 60 * s_ms));
+  cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-1", 60 * s_ms), 0);
+  cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-2", 60 * s_ms), 0);
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 60 * s_ms));
 }
 
 /* One request takes down each replica that runs it, and comes again.  After
@@ -39,19 +39,19 @@
    crashes goes on.  */
 Test (crashes, second_crash_holds_back)
 {
-  static struct wy_crash_watch w;
-
-  wy_crash_watch_init (&w);
-  wy_crash_watch_broken (&w, FP, "i-1", 0);
-  wy_crash_watch_broken (&w, FP + 1, "i-1", 0);
-  cr_expect_eq (wy_crash_watch_crashed (&w, "i-1", 4 * s_ms), 0);
-  cr_expect_not (wy_crash_watch_holds_back (&w, FP, 4 * s_ms));
-  wy_crash_watch_broken (&w, FP, "i-2", 5 * s_ms);
-  cr_expect_eq (wy_crash_watch_crashed (&w, "i-2", 6 * s_ms), 1);
-  cr_expect (wy_crash_watch_holds_back (&w, FP, 7 * s_ms));
-  cr_expect_not (wy_crash_watch_holds_back (&w, FP + 1, 7 * s_ms));
-  wy_crash_watch_cleared (&w, FP);
-  cr_expect_not (wy_crash_watch_holds_back (&w, FP, 7 * s_ms));
+  static struct wy_crash_tracker w;
+
+  wy_crash_tracker_init (&w);
+  wy_crash_tracker_run_interrupted (&w, FP, "i-1", 0);
+  wy_crash_tracker_run_interrupted (&w, FP + 1, "i-1", 0);
+  cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-1", 4 * s_ms), 0);
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 4 * s_ms));
+  wy_crash_tracker_run_interrupted (&w, FP, "i-2", 5 * s_ms);
+  cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-2", 6 * s_ms), 1);
+  cr_expect (wy_crash_tracker_is_blocked (&w, FP, 7 * s_ms));
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP + 1, 7 * s_ms));
+  wy_crash_tracker_clear (&w, FP);
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 7 * s_ms));
 }
 
 /* The request is sent to one entry after the other, each of which sees one
@@ -59,17 +59,18 @@
    the end though they go on telling each other.  */
 Test (crashes, entries_tell_each_other)
 {
-  static struct wy_crash_watch a;
-  static struct wy_crash_watch b;
+  static struct wy_crash_tracker a;
+  static struct wy_crash_tracker b;
   int64_t now_ms = 0;
 
-  wy_crash_watch_init (&a);
-  wy_crash_watch_init (&b);
-  wy_crash_watch_broken (&a, FP, "i-1", 0);
-  wy_crash_watch_crashed (&a, "i-1", 1);
-  wy_crash_watch_broken (&b, FP, "i-2", 0);
-  wy_crash_watch_crashed (&b, "i-2", 1);
-  for (; now_ms < 2 * ttl_ms && (now_ms < s_ms || wy_crash_watch_any (&a));
+  wy_crash_tracker_init (&a);
+  wy_crash_tracker_init (&b);
+  wy_crash_tracker_run_interrupted (&a, FP, "i-1", 0);
+  wy_crash_tracker_target_crashed (&a, "i-1", 1);
+  wy_crash_tracker_run_interrupted (&b, FP, "i-2", 0);
+  wy_crash_tracker_target_crashed (&b, "i-2", 1);
+  for (; now_ms < 2 * ttl_ms
+         && (now_ms < s_ms || wy_crash_tracker_has_suspects (&a));
        now_ms += s_ms)
     {
       json_t *from_a = wy_crash_rows_encode (&a, now_ms);
@@ -77,9 +78,9 @@
 
       cr_expect_leq (wy_crash_rows_learn (&a, from_b, now_ms), 1);
       cr_expect_leq (wy_crash_rows_learn (&b, from_a, now_ms), 1);
-      cr_expect_eq (wy_crash_watch_holds_back (&a, FP, now_ms),
+      cr_expect_eq (wy_crash_tracker_is_blocked (&a, FP, now_ms),
                     now_ms <= ttl_ms);
-      cr_expect_eq (wy_crash_watch_holds_back (&b, FP, now_ms),
+      cr_expect_eq (wy_crash_tracker_is_blocked (&b, FP, now_ms),
                     now_ms <= ttl_ms);
       json_decref (from_a);
       json_decref (from_b);
@@ -98,9 +99,9 @@
           "[[7, null]]",
           "{}",
           "[[\"00000000000000ab\", 5, 6, 7, 8]]" };
-  static struct wy_crash_watch w;
+  static struct wy_crash_tracker w;
 
-  wy_crash_watch_init (&w);
+  wy_crash_tracker_init (&w);
   for (size_t i = 0; i < sizeof texts / sizeof *texts; i++)
     {
       json_t *j = json_loads (texts[i], 0, NULL);
@@ -125,9 +126,9 @@
 static struct platform_answer *
 ask (const char *body)
 {
-  struct wy_h1_pair fields[] = { { "Host", "h" },
-                                 { "Attempt-Id", "a-1" },
-                                 { "Deadline-Milliseconds", "2000" } };
+  struct wy_h1_header fields[] = { { "Host", "h" },
+                                   { "Attempt-Id", "a-1" },
+                                   { "Deadline-Milliseconds", "2000" } };
   struct platform_answer *a = platform_world_call (
       &w, wy_h1_server_port (server), "POST", "/p/x", fields, 3, body);
 
@@ -162,8 +163,8 @@
     {
       static const char *const ids[] = { "i-1", "i-2", "i-3" };
 
-      wy_crash_watch_crashed (&w.env.crashes, ids[i],
-                              wy_clock_mono_ms (w.env.clock));
+      wy_crash_tracker_target_crashed (&w.env.crashes, ids[i],
+                                       wy_clock_mono_ms (w.env.clock));
       wy_platform_replica_faults (w.replicas[i])->lose = 0;
     }
   runs = wy_platform_replica_runs (w.replicas[0])
@@ -191,14 +192,14 @@
    item waits, its neighbours run.  */
 Test (crashes, item_waits)
 {
-  struct wy_crash_watch *watch = &job_world.env.crashes;
+  struct wy_crash_tracker *watch = &job_world.env.crashes;
   uint64_t fp = wy_fingerprint ("it-0", NULL, 0);
 
   job_world_start (2);
-  wy_crash_watch_broken (watch, fp, "i-8", 0);
-  wy_crash_watch_crashed (watch, "i-8", 0);
-  wy_crash_watch_broken (watch, fp, "i-9", 0);
-  wy_crash_watch_crashed (watch, "i-9", 0);
+  wy_crash_tracker_run_interrupted (watch, fp, "i-8", 0);
+  wy_crash_tracker_target_crashed (watch, "i-8", 0);
+  wy_crash_tracker_run_interrupted (watch, fp, "i-9", 0);
+  wy_crash_tracker_target_crashed (watch, "i-9", 0);
   for (uint32_t i = 0; i < 2; i++)
     watch->suspects.slot[i].seen_ms = wy_clock_mono_ms (job_world.env.clock);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
@@ -217,11 +218,11 @@
   int64_t at_ms = 0;
   uint32_t runs = 0;
 
-  cr_expect_eq (wy_crash_watch_pause_ms (1), 0);
-  cr_expect_eq (wy_crash_watch_pause_ms (2), 0);
+  cr_expect_eq (wy_crash_tracker_backoff_ms (1), 0);
+  cr_expect_eq (wy_crash_tracker_backoff_ms (2), 0);
   for (uint32_t n = 1; at_ms < 35 * s_ms; n++)
     {
-      at_ms += wy_crash_watch_pause_ms (n);
+      at_ms += wy_crash_tracker_backoff_ms (n);
       runs += at_ms > 4 * s_ms && at_ms < 35 * s_ms;
     }
   cr_expect_leq (runs, 3);
--- a/tests/test_decide_attempt.c
+++ b/tests/test_decide_attempt.c
@@ -44,7 +44,7 @@
     { .sent = true,
       .complete = true,
       .not_run = true,
-      .spoilt = true,
+      .mismatched = true,
       .status = 503 },
     true,
     false,
@@ -94,13 +94,13 @@
       cr_expect_eq (may_have_run, r->may_have_run, "%s", r->name);
       cr_expect_eq (wy_attempt_is_unclear_refusal (&r->attempt),
                     r->unclear_refusal, "%s", r->name);
-      cr_expect_eq (wy_status_of_failure (may_have_run, false), r->status,
-                    "%s", r->name);
-      cr_expect_eq (wy_status_of_failure (may_have_run, true), r->late_status,
-                    "%s", r->name);
-      cr_expect_eq (wy_status_implies_not_run (r->status), !may_have_run, "%s",
-                    r->name);
-      cr_expect_eq (wy_status_implies_not_run (r->late_status), !may_have_run,
+      cr_expect_eq (wy_attempt_failure_status (may_have_run, false), r->status,
                     "%s", r->name);
+      cr_expect_eq (wy_attempt_failure_status (may_have_run, true),
+                    r->late_status, "%s", r->name);
+      cr_expect_eq (wy_attempt_status_implies_not_run (r->status),
+                    !may_have_run, "%s", r->name);
+      cr_expect_eq (wy_attempt_status_implies_not_run (r->late_status),
+                    !may_have_run, "%s", r->name);
     }
 }
--- a/tests/test_decide_items.c
+++ b/tests/test_decide_item_slots.c
@@ -51,11 +51,12 @@
 static double
 share_of (bool leave, uint32_t place, int64_t waited_ms)
 {
-  struct wy_item_slots_options o = {
-    .place = place, .items = ITEMS, .waited_ms = waited_ms, .due_ms = DUE_MS
-  };
+  struct wy_item_slots_options o = { .length_rank = place,
+                                     .items = ITEMS,
+                                     .waited_ms = waited_ms,
+                                     .due_ms = DUE_MS };
 
-  return leave ? wy_item_slots_share (&o) : 0;
+  return leave ? wy_item_slots_occupancy_max (&o) : 0;
 }
 
 static void
@@ -154,26 +155,27 @@
 Test (items, none_left_when_time_runs_out)
 {
   struct wy_item_slots_options o
-      = { .place = ITEMS - 1, .items = ITEMS, .due_ms = DUE_MS };
+      = { .length_rank = ITEMS - 1, .items = ITEMS, .due_ms = DUE_MS };
 
-  cr_expect_eq (wy_item_slots_share (&o), 0.5);
+  cr_expect_eq (wy_item_slots_occupancy_max (&o), 0.5);
   o.waited_ms = DUE_MS / 3;
-  cr_expect_eq (wy_item_slots_share (&o), 0);
+  cr_expect_eq (wy_item_slots_occupancy_max (&o), 0);
   o.waited_ms = 0;
   o.due_ms = 0;
-  cr_expect_eq (wy_item_slots_share (&o), 0);
+  cr_expect_eq (wy_item_slots_occupancy_max (&o), 0);
   o.due_ms = DUE_MS;
-  o.place = 0;
-  cr_expect_eq (wy_item_slots_share (&o), 0);
+  o.length_rank = 0;
+  cr_expect_eq (wy_item_slots_occupancy_max (&o), 0);
 }
 
 /* A replica dies under an item that was expected to be short and has run for
    seconds.  It must go on at once; the step waits for it.  */
 Test (items, interrupted_takes_any_slot)
 {
-  struct wy_item_slots_options o = {
-    .place = ITEMS - 1, .items = ITEMS, .has_begun = true, .due_ms = DUE_MS
-  };
+  struct wy_item_slots_options o = { .length_rank = ITEMS - 1,
+                                     .items = ITEMS,
+                                     .has_partial_text = true,
+                                     .due_ms = DUE_MS };
 
-  cr_expect_eq (wy_item_slots_share (&o), 0);
+  cr_expect_eq (wy_item_slots_occupancy_max (&o), 0);
 }
--- a/tests/test_decide_turn.c
+++ b/tests/test_decide_job_priority.c
@@ -1,14 +1,14 @@
 /* Whose items are started first.  */
 #include <criterion/criterion.h>
 
-#include "decide/job_turn.h"
+#include "decide/job_priority.h"
 
 Test (job_turn, order)
 {
   static const struct
   {
-    struct wy_job_turn first;
-    struct wy_job_turn second;
+    struct wy_job_priority first;
+    struct wy_job_priority second;
   } rows[] = {
     /* The organisation's priority goes before the route's, and before age. */
     { { 0, 5, 200 }, { 1, 0, 100 } },
@@ -23,10 +23,11 @@
 
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++)
     {
-      cr_expect_lt (wy_job_turn_compare (&rows[i].first, &rows[i].second), 0,
-                    "row %zu", i);
-      cr_expect_gt (wy_job_turn_compare (&rows[i].second, &rows[i].first), 0,
-                    "row %zu", i);
-      cr_expect_eq (wy_job_turn_compare (&rows[i].first, &rows[i].first), 0);
+      cr_expect_lt (wy_job_priority_compare (&rows[i].first, &rows[i].second),
+                    0, "row %zu", i);
+      cr_expect_gt (wy_job_priority_compare (&rows[i].second, &rows[i].first),
+                    0, "row %zu", i);
+      cr_expect_eq (wy_job_priority_compare (&rows[i].first, &rows[i].first),
+                    0);
     }
 }
--- a/tests/test_decide_listing.c
+++ b/tests/test_decide_listing.c
@@ -89,12 +89,12 @@
                                       .age_ms = now_ms,
                                       .due_ms = DUE_MS };
 
-      o.whole_groups = whole_groups (s->done_ms, now_ms);
+      o.complete_groups = whole_groups (s->done_ms, now_ms);
       for (int k = 0; k < ITEMS; k++)
         o.results += s->done_ms[k] <= now_ms;
-      if (enough_ms < 0 && o.whole_groups >= WANTED)
+      if (enough_ms < 0 && o.complete_groups >= WANTED)
         enough_ms = now_ms;
-      for (int k = 0; k < ITEMS && (each || !wy_listing_waits (&o)); k++)
+      for (int k = 0; k < ITEMS && (each || !wy_listing_is_deferred (&o)); k++)
         if (s->listed_ms[k] < 0 && s->done_ms[k] <= now_ms)
           s->listed_ms[k] = now_ms + WRITE_MS;
     }
@@ -173,28 +173,28 @@
 {
   struct wy_listing_options last = { .items = ITEMS,
                                      .results = ITEMS - 4,
-                                     .whole_groups = WANTED - 1,
+                                     .complete_groups = WANTED - 1,
                                      .wanted_groups = WANTED,
                                      .age_ms = 6000,
                                      .due_ms = DUE_MS };
   struct wy_listing_options o = last;
 
-  cr_expect (wy_listing_waits (&o));
-  o.whole_groups = WANTED;
-  cr_expect_not (wy_listing_waits (&o), "the trainer can go on");
+  cr_expect (wy_listing_is_deferred (&o));
+  o.complete_groups = WANTED;
+  cr_expect_not (wy_listing_is_deferred (&o), "the trainer can go on");
   o = last;
   o.age_ms = DUE_MS;
-  cr_expect_not (wy_listing_waits (&o), "due");
+  cr_expect_not (wy_listing_is_deferred (&o), "due");
   o = last;
   o.due_ms = 0;
-  cr_expect_not (wy_listing_waits (&o), "never due");
+  cr_expect_not (wy_listing_is_deferred (&o), "never due");
   o = last;
   o.wanted_groups = 0;
-  cr_expect_not (wy_listing_waits (&o), "no number of groups");
+  cr_expect_not (wy_listing_is_deferred (&o), "no number of groups");
   o = last;
   o.stopping = true;
-  cr_expect_not (wy_listing_waits (&o), "stopping");
+  cr_expect_not (wy_listing_is_deferred (&o), "stopping");
   o = last;
   o.results = ITEMS / 2;
-  cr_expect_not (wy_listing_waits (&o), "not among the last");
+  cr_expect_not (wy_listing_is_deferred (&o), "not among the last");
 }
--- a/tests/test_decide_place.c
+++ b/tests/test_decide_placement.c
@@ -1,21 +1,21 @@
 /* Outcomes for callers of placement.  */
 #include <criterion/criterion.h>
 
-#include "decide/place.h"
+#include "decide/placement.h"
 #include "decide/retry.h"
 #include "decide/suspect.h"
 
-static struct wy_place *
+static struct wy_placement *
 table (uint32_t targets, uint32_t azs)
 {
-  struct wy_place_options o = { .targets_max = targets };
-  struct wy_place *p = wy_place_new (&o);
+  struct wy_placement_options o = { .targets_max = targets };
+  struct wy_placement *p = wy_placement_new (&o);
 
   for (uint32_t i = 0; i < targets; i++)
     {
       struct wy_target_options t = { .id = i + 1, .az = i % azs };
 
-      cr_assert_eq (wy_place_add (p, &t), (int)i);
+      cr_assert_eq (wy_placement_add (p, &t), (int)i);
     }
   return p;
 }
@@ -24,31 +24,31 @@
    more, though it looks the emptiest of all.  */
 Test (place, leaving_target_gets_nothing)
 {
-  struct wy_place *p = table (3, 1);
-  struct wy_place_req req = { .predicted_tokens = 50 };
+  struct wy_placement *p = table (3, 1);
+  struct wy_placement_request req = { .predicted_tokens = 50 };
   struct wy_rng rng;
 
   wy_rng_seed (&rng, 1);
-  wy_place_leaving (p, 0);
+  wy_placement_drain (p, 0);
   for (int i = 0; i < 200; i++)
     {
-      int slot = wy_place_pick (p, &req, 0, &rng);
+      int slot = wy_placement_pick (p, &req, 0, &rng);
 
       cr_assert_gt (slot, 0);
-      wy_place_started (p, (uint32_t)slot, &req, 0);
+      wy_placement_request_started (p, (uint32_t)slot, &req, 0);
     }
-  wy_place_leaving (p, 1);
-  wy_place_leaving (p, 2);
-  cr_assert_eq (wy_place_pick (p, &req, 0, &rng), WY_DECIDE_ENONE);
-  wy_place_free (p);
+  wy_placement_drain (p, 1);
+  wy_placement_drain (p, 2);
+  cr_assert_eq (wy_placement_pick (p, &req, 0, &rng), WY_DECIDE_ENONE);
+  wy_placement_free (p);
 }
 
 /* A target fails all that it is given, at once, and so looks idle.  Callers
    would be sent to it again and again.  */
 Test (place, failing_target_is_left_out_and_let_back)
 {
-  struct wy_place *p = table (6, 1);
-  struct wy_place_req req = { .predicted_tokens = 50 };
+  struct wy_placement *p = table (6, 1);
+  struct wy_placement_request req = { .predicted_tokens = 50 };
   struct wy_rng rng;
   uint32_t on_bad = 0;
   uint32_t back = 0;
@@ -56,27 +56,28 @@
   wy_rng_seed (&rng, 2);
   for (int i = 0; i < 600; i++)
     {
-      int slot = wy_place_pick (p, &req, i, &rng);
+      int slot = wy_placement_pick (p, &req, i, &rng);
 
       cr_assert_geq (slot, 0);
-      wy_place_started (p, (uint32_t)slot, &req, i);
+      wy_placement_request_started (p, (uint32_t)slot, &req, i);
       on_bad += slot == 0;
-      wy_place_ended (p, (uint32_t)slot, req.work_class,
-                      slot == 0 ? WY_OUTCOME_FAILED : WY_OUTCOME_OK, i);
+      wy_placement_request_ended (
+          p, (uint32_t)slot, req.work_class,
+          slot == 0 ? WY_OUTCOME_FAILED : WY_OUTCOME_OK, i);
     }
   cr_assert_leq (on_bad, 3U);
   for (int i = 0; i < 600; i++)
     {
       int64_t now_ms = 10000 + 50 * i;
-      int slot = wy_place_pick (p, &req, now_ms, &rng);
+      int slot = wy_placement_pick (p, &req, now_ms, &rng);
 
-      wy_place_started (p, (uint32_t)slot, &req, now_ms);
+      wy_placement_request_started (p, (uint32_t)slot, &req, now_ms);
       back += slot == 0;
-      wy_place_ended (p, (uint32_t)slot, req.work_class, WY_OUTCOME_OK,
-                      now_ms);
+      wy_placement_request_ended (p, (uint32_t)slot, req.work_class,
+                                  WY_OUTCOME_OK, now_ms);
     }
   cr_assert_gt (back, 50U);
-  wy_place_free (p);
+  wy_placement_free (p);
 }
 
 /* Two entries hold the same list in a different order.  The same filing sent
@@ -87,8 +88,9 @@
   uint64_t b[] = { 44, 11, 33, 22 };
 
   for (uint64_t key = 0; key < 500; key++)
-    cr_assert_eq (a[wy_place_home (key, a, 4)], b[wy_place_home (key, b, 4)]);
-  cr_assert_eq (wy_place_home (1, a, 0), WY_DECIDE_ENONE);
+    cr_assert_eq (a[wy_placement_rendezvous (key, a, 4)],
+                  b[wy_placement_rendezvous (key, b, 4)]);
+  cr_assert_eq (wy_placement_rendezvous (1, a, 0), WY_DECIDE_ENONE);
 }
 
 /* All targets refuse.  Trying each refused request again elsewhere would
@@ -118,11 +120,11 @@
   uint64_t fp = wy_fingerprint ("filing-7", NULL, 0);
 
   wy_suspects_init (&s);
-  cr_assert_eq (wy_suspects_check (&s, fp, 0), WY_SUSPICION_CLEAR);
-  wy_suspects_crashed (&s, fp, 1, 9, 0);
-  cr_assert_eq (wy_suspects_check (&s, fp, 10), WY_SUSPICION_ALONE);
-  wy_suspects_crashed (&s, fp, 1, 1, 20);
-  cr_assert_eq (wy_suspects_check (&s, fp, 30), WY_SUSPICION_ALONE);
-  wy_suspects_crashed (&s, fp, 2, 1, 40);
+  cr_assert_eq (wy_suspects_check (&s, fp, 0), WY_SUSPICION_NONE);
+  wy_suspects_record_crash (&s, fp, 1, 9, 0);
+  cr_assert_eq (wy_suspects_check (&s, fp, 10), WY_SUSPICION_ISOLATE);
+  wy_suspects_record_crash (&s, fp, 1, 1, 20);
+  cr_assert_eq (wy_suspects_check (&s, fp, 30), WY_SUSPICION_ISOLATE);
+  wy_suspects_record_crash (&s, fp, 2, 1, 40);
   cr_assert_eq (wy_suspects_check (&s, fp, 50), WY_SUSPICION_REFUSE);
 }
--- a/tests/test_decide_headway.c
+++ b/tests/test_decide_run_progress.c
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 #include "base/rng.h"
-#include "decide/headway.h"
+#include "decide/run_progress.h"
 
 enum
 {
@@ -25,16 +25,16 @@
   double event_before_ms;
 };
 
-static enum wy_headway
+static enum wy_run_progress
 look_at (const struct run *r, int64_t now_ms)
 {
-  struct wy_headway_options o = { .n_events = r->n_events,
-                                  .silent_ms = now_ms - r->heard_ms,
-                                  .event_ms = r->event_ms,
-                                  .event_before_ms = r->event_before_ms,
-                                  .typical_ms = EVENT_MS };
+  struct wy_run_progress_options o = { .n_events = r->n_events,
+                                       .silent_ms = now_ms - r->heard_ms,
+                                       .last_event_ms = r->event_ms,
+                                       .previous_event_ms = r->event_before_ms,
+                                       .typical_event_ms = EVENT_MS };
 
-  return wy_headway_of (&o);
+  return wy_run_progress_assess (&o);
 }
 
 static void
@@ -68,7 +68,7 @@
           due_ms += EVENT_MS;
         }
       if (now_ms % CHECK_MS == 0 && !moved
-          && look_at (&r, now_ms) != WY_HEADWAY_SOUND)
+          && look_at (&r, now_ms) != WY_RUN_PROGRESS_NORMAL)
         {
           moved = true;
           due_ms = EVENT_MS + MOVE_MS;
@@ -116,7 +116,7 @@
           now_ms += EVENT_MS * 2 / 3 + wy_rng_below (&rng, EVENT_MS * 2 / 3);
           now_ms += e == EVENTS / 2 ? 3 * EVENT_MS : 0;
           hear (&r, now_ms);
-          moves += look_at (&r, now_ms) != WY_HEADWAY_SOUND;
+          moves += look_at (&r, now_ms) != WY_RUN_PROGRESS_NORMAL;
         }
     }
   cr_expect_eq (moves, 0);
@@ -128,19 +128,20 @@
 {
   struct run r = { .n_events = 3, .heard_ms = 0, .event_ms = EVENT_MS };
 
-  cr_expect_eq (look_at (&r, STALL_MS), WY_HEADWAY_SOUND);
-  cr_expect_eq (look_at (&r, STALL_MS + 1), WY_HEADWAY_STALLED);
+  cr_expect_eq (look_at (&r, STALL_MS), WY_RUN_PROGRESS_NORMAL);
+  cr_expect_eq (look_at (&r, STALL_MS + 1), WY_RUN_PROGRESS_STALLED);
   r.n_events = 0;
-  cr_expect_eq (look_at (&r, FIRST_STALL_MS), WY_HEADWAY_SOUND);
-  cr_expect_eq (look_at (&r, FIRST_STALL_MS + 1), WY_HEADWAY_STALLED);
+  cr_expect_eq (look_at (&r, FIRST_STALL_MS), WY_RUN_PROGRESS_NORMAL);
+  cr_expect_eq (look_at (&r, FIRST_STALL_MS + 1), WY_RUN_PROGRESS_STALLED);
 }
 
 /* Nothing is known of the usual pace yet: no run is moved.  */
 Test (headway, unknown_pace)
 {
-  struct wy_headway_options o = {
-    .n_events = 2, .silent_ms = 5000, .event_ms = 900, .event_before_ms = 900
-  };
+  struct wy_run_progress_options o = { .n_events = 2,
+                                       .silent_ms = 5000,
+                                       .last_event_ms = 900,
+                                       .previous_event_ms = 900 };
 
-  cr_expect_eq (wy_headway_of (&o), WY_HEADWAY_SOUND);
+  cr_expect_eq (wy_run_progress_assess (&o), WY_RUN_PROGRESS_NORMAL);
 }
--- a/tests/test_decide_scaling.c
+++ b/tests/test_decide_scaling.c
@@ -22,7 +22,7 @@
                                    .maximum = 4,
                                    .boot_ms = 3000,
                                    .slots = SLOTS,
-                                   .complete = true };
+                                   .all_reported = true };
   now_ms = 0;
   orders = 0;
 }
@@ -32,7 +32,7 @@
 {
   uint32_t n = s.desired;
 
-  load.busy = busy;
+  load.busy_slots = busy;
   for (int64_t until_ms = now_ms + ms; now_ms < until_ms; now_ms += TICK_MS)
     {
       uint32_t next = wy_scaling_next (&s, &load, now_ms);
@@ -88,7 +88,7 @@
 Test (scaling, reports_missing)
 {
   start (3);
-  load.complete = false;
+  load.all_reported = false;
   cr_expect_eq (run (0, 60000), 3);
   cr_expect_eq (run (20, TICK_MS), 4);
 }
--- a/tests/test_decide_scoring.c
+++ b/tests/test_decide_scoring.c
@@ -83,17 +83,17 @@
 static int
 next_text (const struct world *w, int64_t now_ms)
 {
-  struct wy_scoring_turn best_turn = { 0 };
+  struct wy_scoring_candidate best_turn = { 0 };
   int best = -1;
 
   for (int i = 0; i < TEXTS; i++)
     {
       const struct work *k = &w->text[i];
-      struct wy_scoring_turn turn
+      struct wy_scoring_candidate turn
           = { w->by_arrival ? 0 : missing_of (w, i / GROUP_SIZE), k->came_ms };
 
       if (k->target >= 0 || k->came_ms > now_ms
-          || (best >= 0 && !wy_scoring_goes_first (&turn, &best_turn)))
+          || (best >= 0 && !wy_scoring_precedes (&turn, &best_turn)))
         continue;
       best = i;
       best_turn = turn;
@@ -104,7 +104,7 @@
 static int
 free_target (const struct world *w)
 {
-  int limit = SLOTS - WY_SCORING_SLOTS_LEFT;
+  int limit = SLOTS - WY_SCORING_RESERVED_SLOTS;
   int best = -1;
 
   for (int t = 0; t < w->targets; t++)
@@ -291,13 +291,15 @@
    soon that every call is made twice.  */
 Test (scoring, second_replica)
 {
-  cr_expect_geq (wy_scoring_second_ms (SCORE_MS, 800), (int64_t)2 * SCORE_MS);
-  cr_expect_leq (wy_scoring_second_ms (SCORE_MS, 800), (int64_t)4 * SCORE_MS);
+  cr_expect_geq (wy_scoring_hedge_delay_ms (SCORE_MS, 800),
+                 (int64_t)2 * SCORE_MS);
+  cr_expect_leq (wy_scoring_hedge_delay_ms (SCORE_MS, 800),
+                 (int64_t)4 * SCORE_MS);
   /* Nothing is known of the service yet: what its route promises counts.  */
-  cr_expect_eq (wy_scoring_second_ms (1, 800), 400);
-  cr_expect_eq (wy_scoring_second_ms (1, 0), INT64_MAX);
-  cr_expect_gt (wy_scoring_pace_limit_ms (SCORE_MS), SCORE_MS);
-  cr_expect_eq (wy_scoring_pace_limit_ms (1), 0);
+  cr_expect_eq (wy_scoring_hedge_delay_ms (1, 800), 400);
+  cr_expect_eq (wy_scoring_hedge_delay_ms (1, 0), INT64_MAX);
+  cr_expect_gt (wy_scoring_latency_limit_ms (SCORE_MS), SCORE_MS);
+  cr_expect_eq (wy_scoring_latency_limit_ms (1), 0);
 }
 
 /* A service that refuses or breaks every call is not called in a tight loop,
@@ -308,11 +310,11 @@
 
   for (uint32_t n = 0; n < 20; n++)
     {
-      int64_t ms = wy_scoring_pause_ms (n);
+      int64_t ms = wy_scoring_backoff_ms (n);
 
       cr_expect_geq (ms, before_ms);
       cr_expect_leq (ms, 1000);
       before_ms = ms;
     }
-  cr_expect_gt (wy_scoring_pause_ms (0), 0);
+  cr_expect_gt (wy_scoring_backoff_ms (0), 0);
 }
--- a/tests/test_decide_steps.c
+++ b/tests/test_decide_steps.c
@@ -21,27 +21,27 @@
   return s;
 }
 
-static struct wy_step_now
+static struct wy_step_inputs
 at_version (uint64_t version)
 {
-  struct wy_step_now now = { .version = version,
-                             .us_per_token = 10000,
-                             .best_us_per_token = 8000,
-                             .free_streams = 100 };
+  struct wy_step_inputs now = { .version = version,
+                                .us_per_token = 10000,
+                                .best_us_per_token = 8000,
+                                .free_streams = 100 };
 
   return now;
 }
 
 static uint32_t
-issue_all (struct wy_step *s, const struct wy_step_now *now, uint32_t *out)
+issue_all (struct wy_step *s, const struct wy_step_inputs *now, uint32_t *out)
 {
   uint32_t n = 0;
 
   for (;;)
     {
-      struct wy_issue i = wy_step_issue (s, now);
+      struct wy_step_issuance i = wy_step_issue (s, now);
 
-      if (!i.any)
+      if (!i.is_issued)
         return n;
       out[n++] = i.sample;
     }
@@ -52,7 +52,7 @@
 Test (steps, long_groups_first)
 {
   struct wy_step *s = step_of (3, 1);
-  struct wy_step_now now = at_version (5);
+  struct wy_step_inputs now = at_version (5);
   uint32_t sample[3 * SAMPLES] = { 0 };
 
   cr_assert_eq (issue_all (s, &now, sample), 3U * SAMPLES);
@@ -66,25 +66,25 @@
 Test (steps, straggler_is_replaced_and_then_cancelled)
 {
   struct wy_step *s = step_of (1, 1);
-  struct wy_step_now now = at_version (5);
+  struct wy_step_inputs now = at_version (5);
   uint32_t sample[SAMPLES] = { 0 };
   struct wy_straggler gone;
-  struct wy_issue more;
+  struct wy_step_issuance more;
 
   cr_assert_eq (issue_all (s, &now, sample), (uint32_t)SAMPLES);
   for (uint32_t i = 1; i < SAMPLES; i++)
-    cr_assert_eq (wy_step_done (s, sample[i], 5, 100), WY_SAMPLE_TAKE);
-  cr_assert_not (wy_step_issue (s, &now).any);
+    cr_assert_eq (wy_step_done (s, sample[i], 5, 100), WY_STEP_VERDICT_ACCEPT);
+  cr_assert_not (wy_step_issue (s, &now).is_issued);
   wy_step_progress (s, sample[0], 1000, 10000);
   more = wy_step_issue (s, &now);
-  cr_assert (more.any);
-  cr_assert_not (wy_step_whole (s));
-  cr_assert_eq (wy_step_done (s, more.sample, 5, 100), WY_SAMPLE_TAKE);
-  cr_assert (wy_step_whole (s));
+  cr_assert (more.is_issued);
+  cr_assert_not (wy_step_is_complete (s));
+  cr_assert_eq (wy_step_done (s, more.sample, 5, 100), WY_STEP_VERDICT_ACCEPT);
+  cr_assert (wy_step_is_complete (s));
   gone = wy_step_straggler (s, &now);
   cr_assert_eq (gone.action, WY_STRAGGLER_CANCEL);
   cr_assert_eq (gone.sample, sample[0]);
-  cr_assert_eq (wy_step_done (s, sample[0], 5, 2000), WY_SAMPLE_SURPLUS);
+  cr_assert_eq (wy_step_done (s, sample[0], 5, 2000), WY_STEP_VERDICT_SURPLUS);
   wy_step_free (s);
 }
 
@@ -93,7 +93,7 @@
 Test (steps, never_starts_what_cannot_end_within_the_bound)
 {
   struct wy_step *s = step_of (1, 1);
-  struct wy_step_now now = at_version (5);
+  struct wy_step_inputs now = at_version (5);
   uint32_t sample[SAMPLES] = { 0 };
 
   now.next_version_ms = 100;
@@ -113,18 +113,18 @@
 Test (steps, stale_at_hand_out_is_dropped_and_issued_anew)
 {
   struct wy_step *s = step_of (1, 1);
-  struct wy_step_now now = at_version (5);
+  struct wy_step_inputs now = at_version (5);
   uint32_t sample[SAMPLES] = { 0 };
 
   issue_all (s, &now, sample);
   for (uint32_t i = 0; i < SAMPLES; i++)
     wy_step_done (s, sample[i], i == 0 ? 4 : 5, 100);
-  cr_assert (wy_step_whole (s));
-  cr_assert_eq (wy_step_recheck (s, 6), 1U);
-  cr_assert_not (wy_step_whole (s));
+  cr_assert (wy_step_is_complete (s));
+  cr_assert_eq (wy_step_drop_stale (s, 6), 1U);
+  cr_assert_not (wy_step_is_complete (s));
   now.version = 6;
   cr_assert_eq (issue_all (s, &now, sample), 1U);
-  cr_assert_eq (wy_step_done (s, sample[0], 4, 100), WY_SAMPLE_STALE);
+  cr_assert_eq (wy_step_done (s, sample[0], 4, 100), WY_STEP_VERDICT_STALE);
   wy_step_free (s);
 }
 
@@ -151,7 +151,7 @@
 Test (steps, stalled_sample_is_moved)
 {
   struct wy_step *s = step_of (1, 1);
-  struct wy_step_now now = at_version (5);
+  struct wy_step_inputs now = at_version (5);
   uint32_t sample[SAMPLES] = { 0 };
   struct wy_straggler m;
 
--- a/tests/test_decide_waves.c
+++ b/tests/test_decide_waves.c
@@ -71,14 +71,14 @@
    them.  */
 Test (pace, keeps_to_the_store_budget)
 {
-  struct wy_pace p;
+  struct wy_token_bucket p;
   int64_t now_ms = 0;
   uint64_t taken = 0;
 
-  wy_pace_init (&p, 1000, 500, 0);
+  wy_token_bucket_init (&p, 1000, 500, 0);
   while (now_ms < 10000)
     {
-      uint32_t wait_ms = wy_pace_take (&p, 200, now_ms);
+      uint32_t wait_ms = wy_token_bucket_take (&p, 200, now_ms);
 
       if (wait_ms == 0)
         taken += 200;
@@ -86,6 +86,6 @@
     }
   cr_assert_geq (taken, 10000U);
   cr_assert_leq (taken, 10500U);
-  cr_assert_eq (wy_pace_take (&p, 5000, now_ms + 1000), 0U);
-  cr_assert_gt (wy_pace_take (&p, 1, now_ms + 1000), 4000U);
+  cr_assert_eq (wy_token_bucket_take (&p, 5000, now_ms + 1000), 0U);
+  cr_assert_gt (wy_token_bucket_take (&p, 1, now_ms + 1000), 4000U);
 }
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -63,7 +63,7 @@
 
 Test (usage_counts, sum)
 {
-  GHashTable *sum = wy_usage_counts_table ();
+  GHashTable *sum = wy_usage_counts_table_new ();
   const char *rows[] = { "{\"b\":1,\"a\":2}", "{\"a\":3,\"c\":0}", "garbage" };
   char *text;
 
@@ -81,11 +81,11 @@
   int64_t generation;
 
   start_two ();
-  generation = wy_duty_holder_generation (a.duties);
+  generation = wy_election_generation (a.duties);
   cr_expect (!duty_entry_holds (&b));
   duty_entry_kill (&a);
   cr_expect (platform_world_until (&duty_world, duty_entry_holds, &b));
-  cr_expect_gt (wy_duty_holder_generation (b.duties), generation);
+  cr_expect_gt (wy_election_generation (b.duties), generation);
   stop ();
 }
 
@@ -112,13 +112,13 @@
   int64_t generation;
 
   start_two ();
-  generation = wy_duty_holder_generation (a.duties);
+  generation = wy_election_generation (a.duties);
   b.may_hold = false;
   duty_entry_kill (&a);
   a = (struct duty_entry){ .may_hold = true, .peer = &b };
   duty_entry_start (&a, "a");
   cr_expect (platform_world_until (&duty_world, duty_entry_holds, &a));
-  cr_expect_gt (wy_duty_holder_generation (a.duties), generation);
+  cr_expect_gt (wy_election_generation (a.duties), generation);
   stop ();
 }
 
@@ -128,7 +128,7 @@
   int64_t generation;
 
   start_two ();
-  generation = wy_duty_holder_generation (a.duties);
+  generation = wy_election_generation (a.duties);
   duty_entry_kill (&a);
   duty_entry_kill (&b);
   a = (struct duty_entry){ .may_hold = true, .peer = &b };
@@ -137,7 +137,7 @@
   duty_entry_start (&b, "b");
   cr_expect (platform_world_until (&duty_world, is_held, NULL));
   cr_expect_gt (
-      wy_duty_holder_generation (duty_entry_holds (&a) ? a.duties : b.duties),
+      wy_election_generation (duty_entry_holds (&a) ? a.duties : b.duties),
       generation);
   stop ();
 }
@@ -146,7 +146,7 @@
 Test (duties, holder_stops)
 {
   start_two ();
-  wy_duty_holder_give_up (a.duties, 0, "test");
+  wy_election_resign (a.duties, 0, "test");
   cr_expect (!duty_entry_holds (&a));
   cr_expect (platform_world_until (&duty_world, duty_entry_holds, &b));
   cr_expect (!duty_entry_holds (&a));
@@ -260,9 +260,9 @@
 static int
 call_platform (const char *holder, const char *generation, const char *body)
 {
-  struct wy_h1_pair fields[] = { { "Host", "p" },
-                                 { "Duty-Holder", holder },
-                                 { "Fencing-Token", generation } };
+  struct wy_h1_header fields[] = { { "Host", "p" },
+                                   { "Duty-Holder", holder },
+                                   { "Fencing-Token", generation } };
   struct platform_answer *p = platform_world_call (
       &duty_world, wy_platform_duties_port (duty_platform), "POST", "/usage",
       fields, G_N_ELEMENTS (fields), body);
--- a/tests/test_gate.c
+++ b/tests/test_gate.c
@@ -93,7 +93,7 @@
 static struct platform_answer *
 ask (int door, const char *target)
 {
-  struct wy_h1_pair fields[] = { { "Host", "h" }, { "Attempt-Id", "a-1" } };
+  struct wy_h1_header fields[] = { { "Host", "h" }, { "Attempt-Id", "a-1" } };
   uint16_t port = (uint16_t)atoi (strchr (addresses[door], ':') + 1);
   struct platform_answer *a
       = platform_world_call (&w, port, "GET", target, fields, 2, NULL);
--- a/tests/test_gate_decide.c
+++ b/tests/test_gate_decide.c
@@ -3,8 +3,8 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "decide/load_turn.h"
-#include "gate/events.h"
+#include "decide/weight_loading.h"
+#include "gate/sse.h"
 #include "gate/routing.h"
 
 static struct wy_route *
@@ -12,7 +12,7 @@
        const char *service)
 {
   struct wy_route *t = wy_routing_add_route (r);
-  struct wy_split s = { g_strdup (service), 1 };
+  struct wy_traffic_split s = { g_strdup (service), 1 };
 
   t->name = g_strdup (prefix);
   t->host = g_strdup (host);
@@ -43,7 +43,7 @@
   route (r, "h", "/a/", "s1");
   route (r, "h", "/a/b/", "s2");
   route (r, "g", "/", "s3");
-  wy_routing_seal (r);
+  wy_routing_sort (r);
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++)
     {
       const struct wy_route *t
@@ -61,12 +61,12 @@
 {
   struct wy_routing *r = wy_routing_new ();
   struct wy_route *t = route (r, "h", "/", "a");
-  struct wy_split b = { g_strdup ("b"), 3 };
+  struct wy_traffic_split b = { g_strdup ("b"), 3 };
   int n_b = 0;
 
   g_array_append_val (t->splits, b);
   for (uint32_t i = 0; i < 400; i++)
-    n_b += !strcmp (wy_route_service (t, i), "b");
+    n_b += !strcmp (wy_route_pick_service (t, i), "b");
   cr_expect_eq (n_b, 300);
   wy_routing_free (r);
 }
@@ -80,15 +80,15 @@
 
   for (uint32_t i = 0; i < replicas; i++)
     {
-      struct wy_load_turn_options o = { .rank = i,
-                                        .replicas = replicas,
-                                        .model = model,
-                                        .models = models,
-                                        .version = version,
-                                        .lag = lag,
-                                        .load_ms = 1000 };
-
-      out[i] = wy_load_turn (&o).loads;
+      struct wy_weight_loading_options o = { .rank = i,
+                                             .replicas = replicas,
+                                             .model = model,
+                                             .models = models,
+                                             .version = version,
+                                             .lag = lag,
+                                             .load_ms = 1000 };
+
+      out[i] = wy_weight_loading (&o).loads;
       n += out[i];
     }
   return n;
@@ -140,13 +140,13 @@
 
   for (uint32_t i = 0; i < 45; i++)
     {
-      struct wy_load_turn_options o = { .rank = i,
-                                        .replicas = 45,
-                                        .models = 1,
-                                        .version = 2,
-                                        .lag = 1,
-                                        .load_ms = 1000 };
-      struct wy_load_turn t = wy_load_turn (&o);
+      struct wy_weight_loading_options o = { .rank = i,
+                                             .replicas = 45,
+                                             .models = 1,
+                                             .version = 2,
+                                             .lag = 1,
+                                             .load_ms = 1000 };
+      struct wy_weight_loading t = wy_weight_loading (&o);
 
       if (t.loads)
         at[t.delay_ms / 1000]++;
@@ -163,7 +163,7 @@
 };
 
 static void
-on_event (void *ctx, const struct wy_event *ev)
+on_event (void *ctx, const struct wy_sse_event *ev)
 {
   struct seen *s = ctx;
 
@@ -187,17 +187,17 @@
   for (size_t cut = 1; cut < sizeof stream - 1; cut++)
     {
       struct seen s = { g_string_new (NULL), -1, -1 };
-      struct wy_events e;
+      struct wy_sse_parser e;
 
-      wy_events_init (&e);
+      wy_sse_init (&e);
       for (size_t at = 0; at < sizeof stream - 1; at += cut)
-        wy_events_feed (&e, stream + at, MIN (cut, sizeof stream - 1 - at),
-                        on_event, &s);
+        wy_sse_feed (&e, stream + at, MIN (cut, sizeof stream - 1 - at),
+                     on_event, &s);
       cr_expect_str_eq (s.text->str, "a|b\nc|d|", "cut %zu", cut);
       cr_expect_eq (s.last, 3);
       cr_expect_eq (s.version, 7);
-      cr_expect (wy_events_in_midst (&e));
-      wy_events_clear (&e);
+      cr_expect (wy_sse_has_partial (&e));
+      wy_sse_clear (&e);
       g_string_free (s.text, TRUE);
     }
 }
--- a/tests/test_gate_targets.c
+++ b/tests/test_gate_targets.c
@@ -25,7 +25,7 @@
   return wy_targets_set (t, &r);
 }
 
-static const struct wy_pick any = { .service = "svc" };
+static const struct wy_target_criteria any = { .service = "svc" };
 
 /* A burst of requests arrives at once.  They must spread over the replicas,
    or the callers behind the busiest one wait while others idle.  */
@@ -35,7 +35,7 @@
   struct wy_target *g[3] = { add (t, "a"), add (t, "b"), add (t, "c") };
 
   for (int i = 0; i < 9; i++)
-    wy_target_started (wy_targets_pick (t, &any, 0));
+    wy_target_request_started (wy_targets_pick (t, &any, 0));
   for (int i = 0; i < 3; i++)
     cr_expect_eq (g[i]->in_flight, 3);
   wy_targets_free (t);
@@ -59,10 +59,10 @@
 
   b->info.address.sin_port = port;
   wy_targets_watch_idle (t, idle_to_b, &port);
-  wy_target_started (b);
+  wy_target_request_started (b);
   cr_expect_eq (wy_targets_pick (t, &any, 0), b);
-  wy_target_started (b);
-  wy_target_started (b);
+  wy_target_request_started (b);
+  wy_target_request_started (b);
   cr_expect_eq (wy_targets_pick (t, &any, 0), a);
   wy_targets_free (t);
 }
@@ -77,15 +77,15 @@
   struct wy_target *a = add (t, "a");
   struct wy_target *b = add (t, "b");
 
-  wy_target_paced (a, WY_WORK_REQUEST, 40, 0);
-  wy_target_paced (b, WY_WORK_REQUEST, 42, 0);
-  wy_target_paced (slow, WY_WORK_REQUEST, 160, 0);
+  wy_target_record_pace (a, WY_WORK_REQUEST, 40, 0);
+  wy_target_record_pace (b, WY_WORK_REQUEST, 42, 0);
+  wy_target_record_pace (slow, WY_WORK_REQUEST, 160, 0);
   for (int i = 0; i < 2 * SLOTS - 1; i++)
-    wy_target_started (wy_targets_pick (t, &any, 10));
+    wy_target_request_started (wy_targets_pick (t, &any, 10));
   cr_expect_eq (slow->in_flight, 0);
   cr_expect_gt (a->in_flight, 0);
   cr_expect_gt (b->in_flight, 0);
-  wy_target_ended (t, a, WY_TARGET_ANSWERED, 20);
+  wy_target_request_ended (t, a, WY_TARGET_ANSWERED, 20);
   /* Proof of its slowness is old by now.  */
   cr_expect_eq (wy_targets_pick (t, &any, 60000), slow);
   wy_targets_free (t);
@@ -99,18 +99,18 @@
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *g = add (t, "a");
   struct wy_replica restarted = g->info;
-  static const struct wy_pick text = {
+  static const struct wy_target_criteria text = {
     .service = "svc", .model = "m", .min_version = 2, .work = WY_WORK_EVENT
   };
 
-  wy_target_saw_version (g, "m", 2);
-  wy_target_paced (g, WY_WORK_EVENT, 900, 10);
-  wy_target_loaded (g, SLOTS, 10);
-  wy_target_started (g);
-  wy_target_started (g);
-  wy_target_ended (t, g, WY_TARGET_BROKEN, 10);
-  wy_target_started (g);
-  wy_target_ended (t, g, WY_TARGET_FULL, 10);
+  wy_target_record_version (g, "m", 2);
+  wy_target_record_pace (g, WY_WORK_EVENT, 900, 10);
+  wy_target_record_load (g, SLOTS, 10);
+  wy_target_request_started (g);
+  wy_target_request_started (g);
+  wy_target_request_ended (t, g, WY_TARGET_FAILED, 10);
+  wy_target_request_started (g);
+  wy_target_request_ended (t, g, WY_TARGET_REJECTED, 10);
   cr_assert_null (wy_targets_pick (t, &any, 20));
   restarted.started_ms = 5;
   cr_assert_eq (wy_targets_set (t, &restarted), g);
@@ -124,7 +124,7 @@
     cr_expect_eq (g->pace[k].ms, 0);
   /* The former process's request still counts until it ends.  */
   cr_expect_eq (g->in_flight, 1);
-  wy_target_ended (t, g, WY_TARGET_BROKEN, 30);
+  wy_target_request_ended (t, g, WY_TARGET_FAILED, 30);
   cr_expect_eq (g->in_flight, 0);
   wy_targets_free (t);
 }
@@ -137,12 +137,13 @@
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *a = add (t, "a");
   struct wy_target *b = add (t, "b");
-  struct wy_pick score = { .service = "svc", .work = WY_WORK_SCORE };
+  struct wy_target_criteria score
+      = { .service = "svc", .work = WY_WORK_SCORE };
 
-  wy_target_paced (a, WY_WORK_REQUEST, 25, 0);
-  wy_target_paced (b, WY_WORK_REQUEST, 30, 0);
-  wy_target_paced (a, WY_WORK_SCORE, 900, 0);
-  wy_target_paced (b, WY_WORK_SCORE, 200, 0);
+  wy_target_record_pace (a, WY_WORK_REQUEST, 25, 0);
+  wy_target_record_pace (b, WY_WORK_REQUEST, 30, 0);
+  wy_target_record_pace (a, WY_WORK_SCORE, 900, 0);
+  wy_target_record_pace (b, WY_WORK_SCORE, 200, 0);
   cr_expect_eq (wy_targets_pick (t, &any, 10), a);
   cr_expect_eq (wy_targets_pick (t, &score, 10), b);
   wy_targets_free (t);
@@ -155,24 +156,25 @@
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *a = add (t, "a");
-  struct wy_pick p
-      = { .service = "svc", .within_slots = true, .slots_left = 1 };
-  struct wy_pick half = {
-    .service = "svc", .within_slots = true, .slots_share = 0.5, .slots_left = 1
-  };
+  struct wy_target_criteria p
+      = { .service = "svc", .require_free_slot = true, .reserved_slots = 1 };
+  struct wy_target_criteria half = { .service = "svc",
+                                     .require_free_slot = true,
+                                     .slots_share = 0.5,
+                                     .reserved_slots = 1 };
 
   for (int k = 0; k < SLOTS - 1; k++)
     {
       cr_expect_eq (wy_targets_pick (t, &half, 0), k < SLOTS / 2 ? a : NULL);
       cr_expect_eq (wy_targets_pick (t, &p, 0), a);
-      wy_target_started (a);
+      wy_target_request_started (a);
     }
   cr_expect_null (wy_targets_pick (t, &p, 0));
-  p.slots_left = SLOTS;
-  wy_target_ended (t, a, WY_TARGET_ANSWERED, 0);
+  p.reserved_slots = SLOTS;
+  wy_target_request_ended (t, a, WY_TARGET_ANSWERED, 0);
   cr_expect_null (wy_targets_pick (t, &p, 0));
   while (a->in_flight)
-    wy_target_ended (t, a, WY_TARGET_ANSWERED, 0);
+    wy_target_request_ended (t, a, WY_TARGET_ANSWERED, 0);
   cr_expect_eq (wy_targets_pick (t, &p, 0), a);
   wy_targets_free (t);
 }
@@ -184,13 +186,13 @@
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *g = add (t, "a");
 
-  wy_target_started (g);
-  wy_target_ended (t, g, WY_TARGET_BROKEN, 0);
+  wy_target_request_started (g);
+  wy_target_request_ended (t, g, WY_TARGET_FAILED, 0);
   cr_expect_null (wy_targets_pick (t, &any, 10));
   cr_assert_eq (wy_targets_pick (t, &any, 5000), g);
-  wy_target_started (g);
+  wy_target_request_started (g);
   cr_expect_null (wy_targets_pick (t, &any, 5000));
-  wy_target_ended (t, g, WY_TARGET_ANSWERED, 5001);
+  wy_target_request_ended (t, g, WY_TARGET_ANSWERED, 5001);
   cr_expect_eq (wy_targets_pick (t, &any, 5002), g);
   wy_targets_free (t);
 }
@@ -202,13 +204,13 @@
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *g = add (t, "a");
 
-  wy_target_started (g);
-  wy_target_ended (t, g, WY_TARGET_FULL, 0);
+  wy_target_request_started (g);
+  wy_target_request_ended (t, g, WY_TARGET_REJECTED, 0);
   cr_expect_null (wy_targets_pick (t, &any, 10));
   cr_assert_eq (wy_targets_pick (t, &any, 100), g);
-  wy_target_started (g);
+  wy_target_request_started (g);
   cr_expect_null (wy_targets_pick (t, &any, 100));
-  wy_target_heard (g);
+  wy_target_response_started (g);
   cr_expect_eq (wy_targets_pick (t, &any, 100), g);
   wy_targets_free (t);
 }
@@ -221,14 +223,14 @@
   struct wy_target *g = add (t, "a");
   struct wy_replica leaving = g->info;
 
-  wy_target_started (g);
+  wy_target_request_started (g);
   leaving.draining = true;
   wy_targets_set (t, &leaving);
   cr_expect_null (wy_targets_pick (t, &any, 0));
-  cr_expect_eq (wy_targets_ready (t, "svc"), 0);
+  cr_expect_eq (wy_targets_count_ready (t, "svc"), 0);
   wy_targets_remove (t, "a");
   cr_assert_eq (wy_targets_find (t, "a"), g);
-  wy_target_ended (t, g, WY_TARGET_ANSWERED, 1);
+  wy_target_request_ended (t, g, WY_TARGET_ANSWERED, 1);
   cr_expect_null (wy_targets_find (t, "a"));
   wy_targets_free (t);
 }
@@ -242,17 +244,17 @@
   struct wy_target *old = add (t, "old");
   struct wy_target *mid = add (t, "mid");
   struct wy_target *fresh = add (t, "new");
-  struct wy_pick p = { .service = "svc",
-                       .model = "m",
-                       .min_version = 2,
-                       .newest_version = 3,
-                       .within_slots = true };
+  struct wy_target_criteria p = { .service = "svc",
+                                  .model = "m",
+                                  .min_version = 2,
+                                  .newest_version = 3,
+                                  .require_free_slot = true };
 
-  wy_target_saw_version (mid, "m", 2);
-  wy_target_saw_version (fresh, "m", 3);
+  wy_target_record_version (mid, "m", 2);
+  wy_target_record_version (fresh, "m", 3);
   cr_expect_eq (wy_targets_pick (t, &p, 0), fresh);
   for (int i = 0; i < SLOTS; i++)
-    wy_target_started (fresh);
+    wy_target_request_started (fresh);
   cr_expect_eq (wy_targets_pick (t, &p, 0), mid);
   cr_expect_eq (old->in_flight, 0);
   /* Entries lag: an older one does not undo what an answer has told.  */
@@ -274,16 +276,16 @@
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *mid = add (t, "mid");
   struct wy_target *fresh = add (t, "new");
-  struct wy_pick p = { .service = "svc",
-                       .model = "m",
-                       .min_version = 2,
-                       .newest_version = 3,
-                       .within_slots = true };
+  struct wy_target_criteria p = { .service = "svc",
+                                  .model = "m",
+                                  .min_version = 2,
+                                  .newest_version = 3,
+                                  .require_free_slot = true };
 
-  wy_target_saw_version (mid, "m", 2);
-  wy_target_saw_version (fresh, "m", 3);
+  wy_target_record_version (mid, "m", 2);
+  wy_target_record_version (fresh, "m", 3);
   for (int i = 0; i < SLOTS; i++)
-    wy_target_started (wy_targets_pick (t, &p, 0));
+    wy_target_request_started (wy_targets_pick (t, &p, 0));
   cr_expect_gt (fresh->in_flight, mid->in_flight);
   cr_expect_geq (mid->in_flight, SLOTS / 4);
   wy_targets_free (t);
@@ -296,13 +298,14 @@
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *a = add (t, "a");
   struct wy_target *b = add (t, "b");
-  struct wy_pick p = { .service = "svc", .within_slots = true };
+  struct wy_target_criteria p
+      = { .service = "svc", .require_free_slot = true };
 
-  wy_target_loaded (a, SLOTS, 1);
+  wy_target_record_load (a, SLOTS, 1);
   for (int i = 0; i < SLOTS; i++)
     {
       cr_assert_eq (wy_targets_pick (t, &p, 10), b);
-      wy_target_started (b);
+      wy_target_request_started (b);
     }
   cr_expect_null (wy_targets_pick (t, &p, 10));
   cr_expect_eq (wy_targets_pick (t, &p, 5000), a);
--- a/tests/test_h1.c
+++ b/tests/test_h1.c
@@ -114,7 +114,7 @@
 static struct platform_answer *
 start_call (uint16_t port)
 {
-  static const struct wy_h1_pair host = { "Host", "h" };
+  static const struct wy_h1_header host = { "Host", "h" };
 
   return platform_world_call (&w, port, "GET", "/", &host, 1, NULL);
 }
@@ -297,7 +297,7 @@
                                                 .body_bytes = 64,
                                                 .header_timeout_ms = 600,
                                                 .idle_timeout_ms = 5000,
-                                                .held_bytes = 100 },
+                                                .buffered_bytes = 100 },
                                     .on_request = on_request,
                                     .ctx = h };
 
@@ -317,7 +317,7 @@
 static int
 post (uint16_t port, const char *name, const char *value, const char *body)
 {
-  struct wy_h1_pair fields[] = { { "Host", "h" }, { name, value } };
+  struct wy_h1_header fields[] = { { "Host", "h" }, { name, value } };
   struct platform_answer *a = platform_world_call (&w, port, "POST", "/",
                                                    fields, name ? 2 : 1, body);
   int status;
@@ -352,7 +352,7 @@
 {
   struct handled h;
   uint16_t port = serve (&h);
-  struct wy_h1_pair host = { "Host", "h" };
+  struct wy_h1_header host = { "Host", "h" };
   char body[61];
   struct platform_answer *first;
 
@@ -376,7 +376,7 @@
 {
   struct handled h;
   uint16_t port = serve (&h);
-  struct wy_h1_pair host = { "Host", "h" };
+  struct wy_h1_header host = { "Host", "h" };
   struct platform_answer *a;
 
   h.hold = true;
@@ -412,7 +412,7 @@
 {
   struct sockaddr_in a = platform_loopback (0);
   socklen_t n = sizeof a;
-  struct wy_h1_pair host = { "Host", "h" };
+  struct wy_h1_header host = { "Host", "h" };
   struct platform_answer *call;
   char bytes[256];
   int listener = socket (AF_INET, SOCK_STREAM, 0);
--- a/tests/test_jobs.c
+++ b/tests/test_jobs.c
@@ -36,7 +36,7 @@
     }
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   job_world_check_all ("j1");
-  cr_expect_gt (*job_world.env.count.items_broken, 4);
+  cr_expect_gt (*job_world.env.count.item_runs_failed, 4);
   job_world_stop ();
 }
 
@@ -61,7 +61,7 @@
    be told "does not run", since the job does.  */
 Test (jobs, refused_attempt_of_a_kept_job)
 {
-  struct wy_h1_pair fields[] = { { "Host", "h" }, { "Attempt-Id", "j1" } };
+  struct wy_h1_header fields[] = { { "Host", "h" }, { "Attempt-Id", "j1" } };
   struct wy_platform_store_faults *f;
   struct platform_answer *first;
   char *body = job_world_body (1);
@@ -100,7 +100,7 @@
    away, at once.  The body that was sent late must not make the job run.  */
 Test (jobs, store_falls_silent)
 {
-  struct wy_h1_pair fields[] = { { "Host", "h" }, { "Attempt-Id", "j1" } };
+  struct wy_h1_header fields[] = { { "Host", "h" }, { "Attempt-Id", "j1" } };
   uint16_t port;
   char *body = job_world_body (1);
 
--- a/tests/test_jobs_holder.c
+++ b/tests/test_jobs_takeover.c
@@ -68,13 +68,13 @@
   wy_platform_replica_faults (job_world.replicas[0])->stalls = JOB_ITEMS;
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   record = wy_platform_store_value (job_world.store, WY_JOBS_TABLE, "j1",
-                                    WY_JOB_KEY);
+                                    WY_JOB_ROW_KEY);
   cr_assert_not_null (record);
   other = g_strdup (record);
   strstr (other, "n1/1")[1] = '9';
   wy_platform_store_put (job_world.store, WY_MEMBERS_TABLE, "0", "n9",
                          "{\"holder\":\"n9/1\",\"beat\":1}");
-  wy_platform_store_put (job_world.store, WY_JOBS_TABLE, "j1", WY_JOB_KEY,
+  wy_platform_store_put (job_world.store, WY_JOBS_TABLE, "j1", WY_JOB_ROW_KEY,
                          other);
   platform_world_run_ms (&job_world, 1200);
   cr_expect_eq (wy_jobs_running (job_entry.jobs), 0);
@@ -98,10 +98,10 @@
                          "\"cpu_share\":1000000,\"relayed\":true,"
                          "\"beat\":1}");
   platform_world_run_ms (&job_world, 500);
-  cr_expect_eq (wy_members_alive (job_entry.members), 2);
+  cr_expect_eq (wy_members_count_alive (job_entry.members), 2);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   record = wy_platform_store_value (job_world.store, WY_JOBS_TABLE, "j1",
-                                    WY_JOB_KEY);
+                                    WY_JOB_ROW_KEY);
   cr_assert_not_null (record);
   cr_expect_not_null (strstr (record, "n1/1"), "%s", record);
   g_free (record);
@@ -136,7 +136,7 @@
       put_entry (node, "0.2");
     }
   platform_world_run_ms (&job_world, 500);
-  cr_expect_eq (wy_members_alive (job_entry.members), 31);
+  cr_expect_eq (wy_members_count_alive (job_entry.members), 31);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   job_world_check_all ("j1");
   cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
@@ -159,7 +159,7 @@
       put_entry (node, "5");
     }
   platform_world_run_ms (&job_world, 500);
-  cr_expect_eq (wy_members_alive (job_entry.members), 11);
+  cr_expect_eq (wy_members_count_alive (job_entry.members), 11);
   cr_expect_geq (wy_members_rank (job_entry.members, "j1"), 10 * 10);
   job_world_stop ();
 }
@@ -184,16 +184,16 @@
   wy_platform_store_put (job_world.store, WY_MEMBERS_TABLE, "0", "n9",
                          "{\"holder\":\"n9/1\",\"beat\":1}");
   platform_world_run_ms (&job_world, 500);
-  cr_expect_eq (wy_members_alive (job_entry.members), 2);
+  cr_expect_eq (wy_members_count_alive (job_entry.members), 2);
   f->silent = true;
   platform_world_run_ms (&job_world, 2500);
   f->silent = false;
   cr_assert (platform_world_until (&job_world, hears_the_store, NULL));
   platform_world_run_ms (&job_world, 700);
-  cr_expect_eq (wy_members_alive (job_entry.members), 2);
+  cr_expect_eq (wy_members_count_alive (job_entry.members), 2);
   /* It is silent all the same, and known to be gone in the end.  */
   platform_world_run_ms (&job_world, 1600);
-  cr_expect_eq (wy_members_alive (job_entry.members), 1);
+  cr_expect_eq (wy_members_count_alive (job_entry.members), 1);
   job_world_stop ();
 }
 
@@ -222,7 +222,7 @@
   platform_world_run_ms (&job_world, 1500);
   cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
   cr_expect (strstr (wy_platform_store_value (job_world.store, WY_JOBS_TABLE,
-                                              "j1", WY_JOB_KEY),
+                                              "j1", WY_JOB_ROW_KEY),
                      "done"));
   job_world_stop ();
 }
@@ -259,14 +259,14 @@
   /* As if it had been accepted an hour ago.  */
   {
     char *value = wy_platform_store_value (job_world.store, WY_JOBS_TABLE,
-                                           "j1", WY_JOB_KEY);
+                                           "j1", WY_JOB_ROW_KEY);
     json_t *doc = json_loads (value, 0, NULL);
     char *old;
 
     json_object_set_new (doc, "accepted_ms", json_integer (1));
     old = json_dumps (doc, JSON_COMPACT);
-    wy_platform_store_put (job_world.store, WY_JOBS_TABLE, "j1", WY_JOB_KEY,
-                           old);
+    wy_platform_store_put (job_world.store, WY_JOBS_TABLE, "j1",
+                           WY_JOB_ROW_KEY, old);
     free (old);
     free (value);
     json_decref (doc);
--- a/tests/test_note.c
+++ b/tests/test_json_log.c
@@ -7,7 +7,7 @@
 #include <jansson.h>
 #include <uv.h>
 
-#include "trace/note.h"
+#include "trace/json_log.h"
 
 static int fds[2];
 static uv_loop_t loop;
@@ -18,7 +18,7 @@
   cr_assert_eq (pipe (fds), 0);
   cr_assert_geq (dup2 (fds[1], STDOUT_FILENO), 0);
   uv_loop_init (&loop);
-  wy_note_open (&loop, "p-1", "inc");
+  wy_json_log_open (&loop, "p-1", "inc");
 }
 
 /* Values from outside, such as an id with quotes, must not break the line
@@ -30,9 +30,9 @@
   json_t *doc;
 
   start ();
-  wy_note ("e.happened", "id=%s n=%d big=%s neg=%d", "a\"b\\\x01", 7,
-           "9876543210987654321", -3);
-  wy_note_flush ();
+  wy_json_log ("e.happened", "id=%s n=%d big=%s neg=%d", "a\"b\\\x01", 7,
+               "9876543210987654321", -3);
+  wy_json_log_flush ();
   n = read (fds[0], buffer, sizeof buffer - 1);
   cr_assert_gt (n, 0);
   buffer[n] = '\0';
@@ -46,7 +46,7 @@
   cr_expect_eq (json_integer_value (json_object_get (doc, "neg")), -3);
   cr_expect (json_is_string (json_object_get (doc, "big")));
   json_decref (doc);
-  wy_note_close ();
+  wy_json_log_close ();
 }
 
 /* The reader has stopped reading, and a flood of lines comes.  The process
@@ -65,8 +65,8 @@
 
   start ();
   for (int i = 0; i < FLOOD; i++)
-    wy_note ("flood", "i=%d", i);
-  cr_expect_gt (wy_note_dropped (), 0);
+    wy_json_log ("flood", "i=%d", i);
+  cr_expect_gt (wy_json_log_dropped (), 0);
   fcntl (fds[0], F_SETFL, O_NONBLOCK);
   /* The next second has a budget of its own.  */
   usleep (1100000);
@@ -74,13 +74,13 @@
     {
       while ((n = read (fds[0], buffer + size, sizeof buffer - 1 - size)) > 0)
         size += (size_t)n;
-      wy_note ("after", "round=%d", round);
-      wy_note_flush ();
+      wy_json_log ("after", "round=%d", round);
+      wy_json_log_flush ();
     }
   buffer[size] = '\0';
   cr_expect_not_null (strstr (buffer, "log.dropped"));
   cr_expect_lt (size, (size_t)FLOOD * 60);
-  wy_note_close ();
+  wy_json_log_close ();
 }
 
 /* A flood of lines on beliefs and items comes in the second in which a
@@ -100,18 +100,18 @@
   fcntl (fds[0], F_SETFL, O_NONBLOCK);
   for (int i = 0; i < FLOOD; i++)
     {
-      wy_note ("item.run_started", "i=%d", i);
-      wy_note_flush ();
+      wy_json_log ("item.run_started", "i=%d", i);
+      wy_json_log_flush ();
       while ((n = read (fds[0], buffer + size, sizeof buffer - 1 - size)) > 0)
         size += (size_t)n;
     }
-  wy_note ("request.ended", "id=%s", "the-one");
-  wy_note_flush ();
+  wy_json_log ("request.ended", "id=%s", "the-one");
+  wy_json_log_flush ();
   while ((n = read (fds[0], buffer + size, sizeof buffer - 1 - size)) > 0)
     size += (size_t)n;
   buffer[size] = '\0';
-  cr_expect_gt (wy_note_dropped (), 0);
+  cr_expect_gt (wy_json_log_dropped (), 0);
   cr_expect_not_null (strstr (buffer, "the-one"));
   cr_expect_not_null (strstr (buffer, "\"of_requests\":0}"));
-  wy_note_close ();
+  wy_json_log_close ();
 }
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -346,7 +346,7 @@
   cr_assert_eq (w.h[1].acquired, 0);
   wy_lease_release (w.h[0].lease);
   cr_assert (run_until (&w.loop, second_has, &w));
-  cr_assert_eq (wy_lease_fence (w.h[1].lease), 2);
+  cr_assert_eq (wy_lease_fencing_token (w.h[1].lease), 2);
   cr_assert_eq (w.h[0].lost, 0);
   world_free (&w);
 }
@@ -386,7 +386,7 @@
   int64_t fence;
 
   world_init (&w, 400);
-  fence = wy_lease_fence (w.h[0].lease);
+  fence = wy_lease_fencing_token (w.h[0].lease);
   w.table->down = true;
   run_for (&w.loop, 600);
   cr_assert_geq (w.h[0].lost, 1);
@@ -395,7 +395,8 @@
   while (!first_has (&w) && !second_has (&w))
     run_for (&w.loop, 10);
   cr_assert_neq (first_has (&w), second_has (&w));
-  cr_assert_gt (wy_lease_fence (w.h[first_has (&w) ? 0 : 1].lease), fence);
+  cr_assert_gt (wy_lease_fencing_token (w.h[first_has (&w) ? 0 : 1].lease),
+                fence);
   world_free (&w);
 }
 
--- a/tests/test_members_fleet.c
+++ b/tests/test_members_fleet.c
@@ -87,7 +87,7 @@
 {
   for (uint32_t i = 0; i < n_entries; i++)
     if (entries[i].members
-        && wy_members_alive (entries[i].members) != expected_alive)
+        && wy_members_count_alive (entries[i].members) != expected_alive)
       return false;
   return true;
 }
@@ -130,8 +130,8 @@
       struct wy_rows_stats s;
 
       wy_rows_stats (entries[i].env.rows, &s);
-      rows += wy_traffic_of (&s.traffic, WY_BEATS_TABLE)->rows_read
-              + wy_traffic_of (&s.traffic, WY_MEMBERS_TABLE)->rows_read;
+      rows += wy_traffic_counters (&s.traffic, WY_HEARTBEATS_TABLE)->rows_read
+              + wy_traffic_counters (&s.traffic, WY_MEMBERS_TABLE)->rows_read;
     }
   return rows;
 }
@@ -178,7 +178,7 @@
 static bool
 knows_holder (void *ctx)
 {
-  return !wy_members_is_gone (entries[0].members, entries[3].holder);
+  return !wy_members_holder_is_gone (entries[0].members, entries[3].holder);
 }
 
 /* Guards against failures and restarts that are seen only by the entries that
@@ -190,13 +190,13 @@
     kill_entry (&entries[i]);
   expected_alive = 28;
   cr_assert (platform_world_until (&w, all_agree, NULL));
-  cr_expect (wy_members_is_gone (entries[0].members, "e3/1"));
+  cr_expect (wy_members_holder_is_gone (entries[0].members, "e3/1"));
   for (int i = 3; i < 7; i++)
     start_entry (&entries[i], 2);
   expected_alive = 32;
   cr_assert (platform_world_until (&w, all_agree, NULL));
   cr_expect (platform_world_until (&w, knows_holder, NULL));
-  cr_expect (wy_members_is_gone (entries[0].members, "e3/1"));
+  cr_expect (wy_members_holder_is_gone (entries[0].members, "e3/1"));
   stop_fleet ();
 }
 
@@ -214,10 +214,10 @@
 /* Guards against a live entry that stays marked as failed.  */
 Test (members_fleet, wrongly_marked_entry_recovers)
 {
-  char part[WY_MEMBERS_PART_SIZE_BYTES];
+  char part[WY_MEMBERS_PARTITION_SIZE_BYTES];
 
   start_fleet (8, 1);
-  wy_members_part (entries[3].members->position, part);
+  wy_members_partition (entries[3].members->position, part);
   wy_platform_store_put (w.store, WY_MEMBERS_TABLE, part, entries[3].node,
                          "{\"holder\":\"e3/1\",\"failed\":true}");
   cr_assert (platform_world_until (&w, has_rewritten, part));
--- a/tests/test_members_time.c
+++ b/tests/test_members_time.c
@@ -35,13 +35,13 @@
             "\"busy\":{\"svc/z1\":%.2f}}",
             node, (long long)window, busy);
   wy_members_key (wy_hash64 (node, strlen (node), 0), key);
-  wy_platform_store_put (w.store, WY_BEATS_TABLE, "0", key, value);
+  wy_platform_store_put (w.store, WY_HEARTBEATS_TABLE, "0", key, value);
 }
 
 static bool
 knows_all (void *ctx)
 {
-  return wy_members_alive (members) > ENTRIES
+  return wy_members_count_alive (members) > ENTRIES
          && wy_members_epoch_ms (members) != 0;
 }
 
@@ -87,7 +87,7 @@
 Test (members_time, usage_complete)
 {
   start ();
-  wy_members_tell_usage (members, 9);
+  wy_members_publish_usage (members, 9);
   cr_expect_eq (wy_members_usage_complete (members), -1);
   wy_members_follow_load (members, true);
   for (int i = 0; i < ENTRIES; i++)
--- a/tests/test_metrics.c
+++ b/tests/test_metrics.c
@@ -27,14 +27,16 @@
 Test (metrics, one_description_a_name)
 {
   struct wy_metrics *m = wy_metrics_new ();
-  struct wy_family *c = wy_metrics_counters (m, "c_total", "Counts", 4);
-  struct wy_family *h = wy_metrics_histograms (m, "h_us", "Times", 4);
+  struct wy_metrics_family *c
+      = wy_metrics_counter_family (m, "c_total", "Counts", 4);
+  struct wy_metrics_family *h
+      = wy_metrics_histogram_family (m, "h_us", "Times", 4);
   char *text;
 
-  *wy_family_counter (c, "a=\"1\"") += 2;
-  *wy_family_counter (c, "a=\"2\"") += 1;
-  *wy_family_counter (c, "a=\"1\"") += 1;
-  wy_hist_add (wy_family_histogram (h, "a=\"1\""), 10);
+  *wy_metrics_family_counter (c, "a=\"1\"") += 2;
+  *wy_metrics_family_counter (c, "a=\"2\"") += 1;
+  *wy_metrics_family_counter (c, "a=\"1\"") += 1;
+  wy_hist_add (wy_metrics_family_histogram (h, "a=\"1\""), 10);
   text = print (m);
   cr_expect_eq (count (text, "# TYPE c_total counter\n"), 1);
   cr_expect_eq (count (text, "# TYPE h_us summary\n"), 1);
@@ -51,14 +53,15 @@
 Test (metrics, label_sets_are_bounded)
 {
   struct wy_metrics *m = wy_metrics_new ();
-  struct wy_family *c = wy_metrics_counters (m, "c_total", "Counts", 3);
+  struct wy_metrics_family *c
+      = wy_metrics_counter_family (m, "c_total", "Counts", 3);
   char label[32];
   char *text;
 
   for (int i = 0; i < 1000; i++)
     {
       snprintf (label, sizeof label, "route=\"r%d\"", i);
-      ++*wy_family_counter (c, label);
+      ++*wy_metrics_family_counter (c, label);
     }
   text = print (m);
   cr_expect_eq (count (text, "\nc_total{"), 4);
@@ -71,7 +74,7 @@
 /* A route's name holds a quote.  The page must stay readable.  */
 Test (metrics, values_are_escaped)
 {
-  char *label = wy_label ("route", "a\"b\\c\nd");
+  char *label = wy_metrics_label ("route", "a\"b\\c\nd");
 
   cr_expect_str_eq (label, "route=\"a\\\"b\\\\c d\"");
   g_free (label);
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -191,7 +191,7 @@
 {
   char metrics[32];
   struct platform_answer *a;
-  struct wy_h1_pair host = { "Host", "m" };
+  struct wy_h1_header host = { "Host", "m" };
 
   start ();
   wy_orderer_daemon_free (d);
@@ -282,7 +282,7 @@
   struct wy_rows_stats s;
 
   wy_rows_stats (d->rows, &s);
-  return wy_traffic_of (&s.traffic, WY_REPLICA_TABLE)->rows_read;
+  return wy_traffic_counters (&s.traffic, WY_REPLICA_TABLE)->rows_read;
 }
 
 /* Guards against reading the list of replicas for each version.  */
@@ -325,10 +325,10 @@
   for (uint64_t i = 0; i < ENTRIES; i++)
     {
       uint64_t position = wy_hash64 (&i, sizeof i, 0);
-      char part[WY_MEMBERS_PART_SIZE_BYTES];
+      char part[WY_MEMBERS_PARTITION_SIZE_BYTES];
       char key[WY_MEMBERS_KEY_SIZE_BYTES];
 
-      wy_members_part (position, part);
+      wy_members_partition (position, part);
       wy_members_key (position, key);
       wy_platform_store_put (w.store, WY_ADDRESSES_TABLE, part, key,
                              "127.0.0.1:9");
@@ -337,7 +337,8 @@
   cr_assert (platform_world_until (&w, has_relays, NULL));
   wy_rows_stats (d->rows, &s);
   cr_expect_geq (d->n_relays, 4);
-  cr_expect_leq (wy_traffic_of (&s.traffic, WY_ADDRESSES_TABLE)->rows_read,
-                 2 * (uint64_t)WY_ORDERER_RELAYS_MAX);
+  cr_expect_leq (
+      wy_traffic_counters (&s.traffic, WY_ADDRESSES_TABLE)->rows_read,
+      2 * (uint64_t)WY_ORDERER_RELAYS_MAX);
   stop ();
 }
--- a/tests/test_orgs.c
+++ b/tests/test_orgs.c
@@ -11,13 +11,13 @@
   static struct wy_h1_head h;
 
   wy_h1_head_init (&h);
-  wy_h1_head_url (&h, "/x", 2);
+  wy_h1_head_append_url (&h, "/x", 2);
   for (size_t i = 0; i < n; i++)
     {
-      wy_h1_head_name (&h, "authorization", 13);
-      wy_h1_head_value (&h, values[i], strlen (values[i]));
+      wy_h1_head_append_name (&h, "authorization", 13);
+      wy_h1_head_append_value (&h, values[i], strlen (values[i]));
     }
-  wy_request_read (&h, out);
+  wy_request_parse_head (&h, out);
 }
 
 Test (orgs, credentials)
@@ -35,7 +35,7 @@
     { { "Bearer " }, 1, WY_CREDENTIAL_MALFORMED, NULL },
     { { "Bearer" }, 1, WY_CREDENTIAL_MALFORMED, NULL },
     { { "Basic k1" }, 1, WY_CREDENTIAL_MALFORMED, NULL },
-    { { "Bearer k1", "Bearer k1" }, 2, WY_CREDENTIAL_SEVERAL, NULL },
+    { { "Bearer k1", "Bearer k1" }, 2, WY_CREDENTIAL_MULTIPLE, NULL },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (rows); i++)
@@ -69,29 +69,30 @@
     enum wy_access fresh;
     enum wy_access maybe_old;
   } rows[] = {
-    { NONE, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ADMIT, WY_ACCESS_ADMIT },
-    { MALFORMED, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ADMIT, WY_ACCESS_ADMIT },
-    { SEVERAL, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ADMIT, WY_ACCESS_ADMIT },
-    { UNKNOWN, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ADMIT, WY_ACCESS_ADMIT },
-    { KNOWN, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ADMIT, WY_ACCESS_ADMIT },
-    { NONE, WY_ROUTE_ACCESS_KEYED, WY_ACCESS_UNAUTHORIZED,
-      WY_ACCESS_NOT_SURE },
-    { MALFORMED, WY_ROUTE_ACCESS_KEYED, WY_ACCESS_UNAUTHORIZED,
-      WY_ACCESS_NOT_SURE },
-    { SEVERAL, WY_ROUTE_ACCESS_KEYED, WY_ACCESS_UNAUTHORIZED,
-      WY_ACCESS_NOT_SURE },
-    { UNKNOWN, WY_ROUTE_ACCESS_KEYED, WY_ACCESS_UNAUTHORIZED,
-      WY_ACCESS_NOT_SURE },
-    { KNOWN, WY_ROUTE_ACCESS_KEYED, WY_ACCESS_ADMIT, WY_ACCESS_ADMIT },
+    { NONE, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ALLOW, WY_ACCESS_ALLOW },
+    { MALFORMED, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ALLOW, WY_ACCESS_ALLOW },
+    { SEVERAL, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ALLOW, WY_ACCESS_ALLOW },
+    { UNKNOWN, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ALLOW, WY_ACCESS_ALLOW },
+    { KNOWN, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ALLOW, WY_ACCESS_ALLOW },
+    { NONE, WY_ROUTE_ACCESS_KEY_REQUIRED, WY_ACCESS_UNAUTHORIZED,
+      WY_ACCESS_CONFIG_STALE },
+    { MALFORMED, WY_ROUTE_ACCESS_KEY_REQUIRED, WY_ACCESS_UNAUTHORIZED,
+      WY_ACCESS_CONFIG_STALE },
+    { SEVERAL, WY_ROUTE_ACCESS_KEY_REQUIRED, WY_ACCESS_UNAUTHORIZED,
+      WY_ACCESS_CONFIG_STALE },
+    { UNKNOWN, WY_ROUTE_ACCESS_KEY_REQUIRED, WY_ACCESS_UNAUTHORIZED,
+      WY_ACCESS_CONFIG_STALE },
+    { KNOWN, WY_ROUTE_ACCESS_KEY_REQUIRED, WY_ACCESS_ALLOW, WY_ACCESS_ALLOW },
     { NONE, WY_ROUTE_ACCESS_UNKNOWN, WY_ACCESS_UNAUTHORIZED,
-      WY_ACCESS_NOT_SURE },
+      WY_ACCESS_CONFIG_STALE },
     { MALFORMED, WY_ROUTE_ACCESS_UNKNOWN, WY_ACCESS_UNAUTHORIZED,
-      WY_ACCESS_NOT_SURE },
+      WY_ACCESS_CONFIG_STALE },
     { SEVERAL, WY_ROUTE_ACCESS_UNKNOWN, WY_ACCESS_UNAUTHORIZED,
-      WY_ACCESS_NOT_SURE },
+      WY_ACCESS_CONFIG_STALE },
     { UNKNOWN, WY_ROUTE_ACCESS_UNKNOWN, WY_ACCESS_UNAUTHORIZED,
-      WY_ACCESS_NOT_SURE },
-    { KNOWN, WY_ROUTE_ACCESS_UNKNOWN, WY_ACCESS_NO_ROUTE, WY_ACCESS_NOT_SURE },
+      WY_ACCESS_CONFIG_STALE },
+    { KNOWN, WY_ROUTE_ACCESS_UNKNOWN, WY_ACCESS_NO_ROUTE,
+      WY_ACCESS_CONFIG_STALE },
   };
   struct wy_orgs *orgs = wy_orgs_new ();
   struct wy_org *acme = wy_orgs_add (orgs, "acme");
@@ -109,10 +110,10 @@
                      : key == UNKNOWN ? "bad"
                                       : NULL,
               .route = rows[i / 2].route,
-              .config_is_fresh = fresh };
+              .config_is_current = fresh };
       const struct wy_org *org;
 
-      cr_expect_eq (wy_access_decide (&q, &org),
+      cr_expect_eq (wy_access_check (&q, &org),
                     fresh ? rows[i / 2].fresh : rows[i / 2].maybe_old,
                     "row %zu", i / 2);
       cr_expect_eq (org, key == KNOWN ? acme : NULL, "row %zu", i / 2);
@@ -125,15 +126,15 @@
 {
   struct wy_access_query q = { .credential = WY_CREDENTIAL_KEY,
                                .key = "any",
-                               .route = WY_ROUTE_ACCESS_KEYED };
+                               .route = WY_ROUTE_ACCESS_KEY_REQUIRED };
   const struct wy_org *org;
 
-  cr_expect_eq (wy_access_decide (&q, &org), WY_ACCESS_ADMIT);
+  cr_expect_eq (wy_access_check (&q, &org), WY_ACCESS_ALLOW);
   cr_expect_null (org);
   q.route = WY_ROUTE_ACCESS_UNKNOWN;
-  cr_expect_eq (wy_access_decide (&q, &org), WY_ACCESS_NOT_SURE);
-  q.config_is_fresh = true;
-  cr_expect_eq (wy_access_decide (&q, &org), WY_ACCESS_NO_ROUTE);
+  cr_expect_eq (wy_access_check (&q, &org), WY_ACCESS_CONFIG_STALE);
+  q.config_is_current = true;
+  cr_expect_eq (wy_access_check (&q, &org), WY_ACCESS_NO_ROUTE);
 }
 
 static struct wy_routing *
@@ -181,24 +182,24 @@
    reaching a replica.  */
 Test (orgs, forwarded_fields)
 {
-  struct wy_h1_pair own[] = { { "tenant", "victim" },
-                              { "authorization", "Bearer secret" },
-                              { "X-Own", "1" } };
+  struct wy_h1_header own[] = { { "tenant", "victim" },
+                                { "authorization", "Bearer secret" },
+                                { "X-Own", "1" } };
   struct wy_forward_info f = { .time_left_ms = -1,
                                .after_event = -1,
                                .has_orgs = true,
                                .organisation = "acme" };
-  GArray *out = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
+  GArray *out = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
   GString *text = g_string_new (NULL);
 
-  wy_item_fields (own, G_N_ELEMENTS (own), &f, out);
-  wy_h1_write_fields (text, (const struct wy_h1_pair *)out->data, out->len);
+  wy_request_item_fields (own, G_N_ELEMENTS (own), &f, out);
+  wy_h1_write_fields (text, (const struct wy_h1_header *)out->data, out->len);
   cr_expect_str_eq (text->str, "X-Own: 1\r\nTenant: acme\r\n");
   f.organisation = NULL;
   g_array_set_size (out, 0);
   g_string_truncate (text, 0);
-  wy_item_fields (own, G_N_ELEMENTS (own), &f, out);
-  wy_h1_write_fields (text, (const struct wy_h1_pair *)out->data, out->len);
+  wy_request_item_fields (own, G_N_ELEMENTS (own), &f, out);
+  wy_h1_write_fields (text, (const struct wy_h1_header *)out->data, out->len);
   cr_expect_str_eq (text->str, "X-Own: 1\r\n");
   g_string_free (text, TRUE);
   g_array_free (out, TRUE);
--- a/tests/test_platform_wire.c
+++ b/tests/test_platform_wire.c
@@ -102,13 +102,13 @@
 
 Test (wire, named_versions)
 {
-  struct wy_named_version v;
+  struct wy_requested_version v;
   static const char good[] = "{\"model\":\"m\",\"version\":3}";
   static const char bad[] = "{\"model\":\"m\",\"version\":\"3\"}";
 
-  cr_expect (wy_named_version_decode (good, strlen (good), &v));
+  cr_expect (wy_requested_version_decode (good, strlen (good), &v));
   cr_expect_eq (v.version, 3);
-  cr_expect_not (wy_named_version_decode (bad, strlen (bad), &v));
+  cr_expect_not (wy_requested_version_decode (bad, strlen (bad), &v));
   cr_expect_eq (wy_operator_row_kind ("config"), WY_OPERATOR_CONFIG);
   cr_expect_eq (wy_operator_row_kind ("version/m"), WY_OPERATOR_VERSION);
   cr_expect_eq (wy_operator_row_kind ("other"), WY_OPERATOR_OTHER);
@@ -194,7 +194,7 @@
     enum wy_job_call_kind kind;
   } rows[] = {
     { "GET", "/api/lots/j?after=3", WY_JOB_CALL_RESULTS },
-    { "DELETE", "/api/lots/j", WY_JOB_CALL_END },
+    { "DELETE", "/api/lots/j", WY_JOB_CALL_DELETE },
     { "GET", "/api/items/j?id=i", WY_JOB_CALL_ITEM_BODY },
     { "GET", "/api/items/j", WY_JOB_CALL_NONE },
     { "POST", "/api/lots/j", WY_JOB_CALL_NONE },
@@ -207,10 +207,10 @@
   wy_h1_head_init (&head);
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++)
     {
-      wy_job_call_read (rows[i].method, rows[i].target, &head, &call);
+      wy_job_call_parse (rows[i].method, rows[i].target, &head, &call);
       cr_expect_eq (call.kind, rows[i].kind, "row %zu", i);
     }
-  wy_job_call_read ("GET", "/api/lots/j?after=12", &head, &call);
+  wy_job_call_parse ("GET", "/api/lots/j?after=12", &head, &call);
   cr_expect_eq (call.after, 12);
   wy_h1_head_clear (&head);
 }
@@ -218,8 +218,8 @@
 static void
 field (struct wy_h1_head *h, const char *name, const char *value)
 {
-  wy_h1_head_name (h, name, strlen (name));
-  wy_h1_head_value (h, value, strlen (value));
+  wy_h1_head_append_name (h, name, strlen (name));
+  wy_h1_head_append_value (h, value, strlen (value));
 }
 
 /* What concerns one connection stays on it; what the entry sets replaces what
@@ -229,11 +229,11 @@
   struct wy_h1_head h;
   struct wy_forward_info f
       = { .replica = "i-1", .time_left_ms = 40, .after_event = -1 };
-  GArray *out = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_pair));
+  GArray *out = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
   GString *text = g_string_new (NULL);
 
   wy_h1_head_init (&h);
-  wy_h1_head_url (&h, "/x", 2);
+  wy_h1_head_append_url (&h, "/x", 2);
   field (&h, "Host", "h");
   field (&h, "Attempt-Id", "a");
   field (&h, "Connection", "keep-alive");
@@ -241,8 +241,8 @@
   field (&h, "target-instance", "i-9");
   field (&h, "Deadline-Milliseconds", "900");
   field (&h, "X-Own", "1");
-  wy_forward_fields (&h, &f, out);
-  wy_h1_write_fields (text, (const struct wy_h1_pair *)out->data, out->len);
+  wy_request_forward_fields (&h, &f, out);
+  wy_h1_write_fields (text, (const struct wy_h1_header *)out->data, out->len);
   cr_expect_str_eq (text->str, "Host: h\r\nAttempt-Id: a\r\nX-Own: 1\r\n"
                                "Target-Instance: i-1\r\n"
                                "Deadline-Milliseconds: 40\r\n");
@@ -263,7 +263,7 @@
     { "{\"rows\":[],\"rowVersion\":3,\"nowMs\":9}", 200, 0 },
     { "garbage", 200, WY_ROWS_EMALFORMED },
     { "{\"rows\":[]}", 412, WY_ROWS_ECONFLICT },
-    { "", 410, WY_ROWS_EHISTORY },
+    { "", 410, WY_ROWS_ECOMPACTED },
     { "", 429, WY_ROWS_EREFUSED },
     { "", 503, WY_ROWS_EREFUSED },
     { "", 403, WY_ROWS_EREFUSED },
@@ -274,12 +274,12 @@
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++)
     {
       struct wy_rows_result r = { 0 };
-      struct wy_store_answer *a
-          = wy_store_decode (WY_STORE_TX, rows[i].status, rows[i].body,
-                             strlen (rows[i].body), &r);
+      struct wy_store_response *a
+          = wy_store_decode_response (WY_STORE_TX, rows[i].status,
+                                      rows[i].body, strlen (rows[i].body), &r);
 
       cr_expect_eq (r.err, rows[i].err, "row %zu: %d", i, r.err);
-      wy_store_answer_free (a);
+      wy_store_response_free (a);
     }
 }
 
@@ -291,12 +291,12 @@
         "{\"value\":1},7,{\"key\":\"b\",\"value\":\"!!\",\"rowVersion\":2}],"
         "\"morePages\":false,\"rowVersion\":2,\"nowMs\":1}";
   struct wy_rows_result r = { 0 };
-  struct wy_store_answer *a
-      = wy_store_decode (WY_STORE_GET, 200, body, strlen (body), &r);
+  struct wy_store_response *a
+      = wy_store_decode_response (WY_STORE_GET, 200, body, strlen (body), &r);
 
   cr_expect_eq (r.n, 2);
   cr_expect_str_eq (r.rows[0].key, "a");
   cr_expect_eq (memcmp (r.rows[0].value, "1", 1), 0);
   cr_expect_str_eq (r.rows[1].key, "b");
-  wy_store_answer_free (a);
+  wy_store_response_free (a);
 }
--- a/tests/test_proxy.c
+++ b/tests/test_proxy.c
@@ -41,9 +41,9 @@
 static struct platform_answer *
 send_request (const char *time_left)
 {
-  struct wy_h1_pair fields[] = { { "Host", "h" },
-                                 { "Attempt-Id", "a-1" },
-                                 { "Deadline-Milliseconds", time_left } };
+  struct wy_h1_header fields[] = { { "Host", "h" },
+                                   { "Attempt-Id", "a-1" },
+                                   { "Deadline-Milliseconds", time_left } };
 
   return platform_world_call (&w, wy_h1_server_port (server), "POST", "/p/x",
                               fields, 3, "hello");
--- a/tests/test_results.c
+++ b/tests/test_results.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "jobs/lag.h"
+#include "jobs/staleness.h"
 #include "jobs/result_rows.h"
 #include "support/platform_world.h"
 
@@ -71,7 +71,7 @@
         continue;
       if (n == page)
         {
-          r->more = true;
+          r->has_more = true;
           break;
         }
       out[n].key = row->key;
@@ -140,15 +140,15 @@
       = { { .key = "n1", .value = two, .size_bytes = sizeof two - 1 },
           { .key = "n2", .value = stale, .size_bytes = sizeof stale - 1 },
           { .key = "n3", .value = one, .size_bytes = sizeof one - 1 } };
-  struct wy_rows_result r = { .rows = rows, .n = 3, .now_ms = 110000 };
+  struct wy_rows_result r = { .rows = rows, .n = 3, .store_now_ms = 110000 };
 
-  cr_expect_eq (wy_lag_of (&r), 1);
+  cr_expect_eq (wy_staleness_allowed (&r), 1);
   r.n = 1;
-  cr_expect_eq (wy_lag_of (&r), 2);
-  r.now_ms = 10000000;
-  cr_expect_eq (wy_lag_of (&r), 0);
+  cr_expect_eq (wy_staleness_allowed (&r), 2);
+  r.store_now_ms = 10000000;
+  cr_expect_eq (wy_staleness_allowed (&r), 0);
   r.n = 0;
-  cr_expect_eq (wy_lag_of (&r), 0);
+  cr_expect_eq (wy_staleness_allowed (&r), 0);
 }
 
 /* Guards against a row for each entry, all of which every orderer would read
@@ -157,21 +157,21 @@
 {
   static struct platform_world w;
   char node[16];
-  struct wy_lags *lags[ENTRIES];
+  struct wy_staleness *lags[ENTRIES];
 
   platform_world_init (&w);
   platform_world_add_env (&w, node);
   for (int i = 0; i < ENTRIES; i++)
     {
       snprintf (node, sizeof node, "e%d", i);
-      lags[i] = wy_lags_new (&w.env);
-      wy_lags_named (lags[i], "m", 5);
-      wy_lags_accepted (lags[i], "m", 4);
+      lags[i] = wy_staleness_new (&w.env);
+      wy_staleness_version_announced (lags[i], "m", 5);
+      wy_staleness_job_accepted (lags[i], "m", 4);
       platform_world_run_ms (&w, 5);
     }
   platform_world_run_ms (&w, 100);
-  cr_expect_eq (wy_platform_store_count (w.store, WY_LAG_TABLE, "m"), 1);
+  cr_expect_eq (wy_platform_store_count (w.store, WY_STALENESS_TABLE, "m"), 1);
   for (int i = 0; i < ENTRIES; i++)
-    wy_lags_free (lags[i]);
+    wy_staleness_free (lags[i]);
   platform_world_free (&w);
 }
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -38,7 +38,7 @@
 {
   struct wy_row_ref condition = { "t", key, expected };
   struct wy_row_write write = { "t", key, value, strlen (value) };
-  struct wy_rows_tx tx = { .part = "",
+  struct wy_rows_tx tx = { .partition = "",
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &write,
@@ -138,7 +138,7 @@
 {
   struct wy_clock_manual clock;
   struct wy_row_write write = { "t", "a", "1", 1 };
-  struct wy_rows_tx tx = { .part = "", .writes = &write, .n_writes = 1 };
+  struct wy_rows_tx tx = { .partition = "", .writes = &write, .n_writes = 1 };
   struct result old = { 0 };
   struct result young = { 0 };
 
--- a/tests/test_scores.c
+++ b/tests/test_scores.c
@@ -108,7 +108,7 @@
   submit (SCORED);
   check_scores ();
   cr_expect_eq (runs (ENGINE), JOB_ITEMS);
-  cr_expect_geq (*job_world.env.count.scores_broken, 10);
+  cr_expect_geq (*job_world.env.count.score_calls_failed, 10);
   job_world_stop ();
 }
 
--- a/tests/test_trace.c
+++ b/tests/test_trace.c
@@ -79,14 +79,14 @@
 {
   struct wy_clock_manual m;
   struct wy_trace *t = new_trace (&m, 0);
-  uint64_t a = wy_trace_stamp (t);
+  uint64_t a = wy_trace_timestamp (t);
   uint64_t b;
 
   m.wall = wy_timespec_from_ms (10);
-  b = wy_trace_stamp (t);
+  b = wy_trace_timestamp (t);
   cr_assert_gt (b, a);
   wy_trace_observe (t, b + 1000000);
-  cr_assert_gt (wy_trace_stamp (t), b + 1000000);
+  cr_assert_gt (wy_trace_timestamp (t), b + 1000000);
 }
 
 Test (trace, memory_is_bounded)
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -27,7 +27,7 @@
 on_row (void *ctx, const struct wy_row *row)
 {
   struct followed *f = ctx;
-  char *key = g_strdup_printf ("%s/%s", row->part, row->key);
+  char *key = g_strdup_printf ("%s/%s", row->partition, row->key);
 
   if (row->deleted)
     g_hash_table_remove (f->rows, key);
@@ -68,7 +68,7 @@
                                 .clock = wy_clock_system (),
                                 .rows = w.env.rows,
                                 .table = "t",
-                                .all_parts = all_parts,
+                                .all_partitions = all_parts,
                                 .on_row = on_row,
                                 .on_synced = on_synced,
                                 .ctx = f };
