--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -1,4 +1,4 @@
-/* System clock, manual clock and conversions.  */
+/* System clock, manual clock and time conversions.  */
 #include "base/clock.h"
 
 static void
@@ -43,7 +43,8 @@
   *out = ((const struct wy_clock_manual *)clock)->wall;
 }
 
-/* Start M at monotonic zero and wall time WALL_MS since the epoch.  */
+/* Initialize M with monotonic time 0 and wall-clock time WALL_MS since the
+   epoch.  */
 void
 wy_clock_manual_init (struct wy_clock_manual *m, int64_t wall_ms)
 {
@@ -54,7 +55,7 @@
   m->wall = wy_timespec_from_ms (wall_ms);
 }
 
-/* Move both times of M on by MS milliseconds.  */
+/* Advance both times of M by MS milliseconds.  */
 void
 wy_clock_manual_advance (struct wy_clock_manual *m, int64_t ms)
 {
@@ -62,7 +63,7 @@
   m->wall = wy_timespec_from_ms (wy_timespec_ms (&m->wall) + ms);
 }
 
-/* Milliseconds of the monotonic time, from an arbitrary start.  */
+/* Monotonic time in milliseconds, from an arbitrary start.  */
 int64_t
 wy_clock_mono_ms (const struct wy_clock *clock)
 {
@@ -72,7 +73,7 @@
   return wy_timespec_ms (&ts);
 }
 
-/* Microseconds of the monotonic time, from an arbitrary start.  */
+/* Monotonic time in microseconds, from an arbitrary start.  */
 int64_t
 wy_clock_mono_us (const struct wy_clock *clock)
 {
@@ -83,8 +84,8 @@
          + ts.tv_nsec / WY_NS_PER_US;
 }
 
-/* Milliseconds from an arbitrary start, time in which the machine was
-   suspended included.  */
+/* Time in milliseconds from an arbitrary start, including the time while the
+   machine was suspended.  */
 int64_t
 wy_clock_boot_ms (const struct wy_clock *clock)
 {
@@ -94,7 +95,7 @@
   return wy_timespec_ms (&ts);
 }
 
-/* Milliseconds since the epoch.  */
+/* Wall-clock time in milliseconds since the epoch.  */
 int64_t
 wy_clock_wall_ms (const struct wy_clock *clock)
 {
@@ -111,7 +112,6 @@
   return (int64_t)ts->tv_sec * WY_MS_PER_S + ts->tv_nsec / WY_NS_PER_MS;
 }
 
-/* MS milliseconds as a timespec.  */
 struct timespec
 wy_timespec_from_ms (int64_t ms)
 {
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-/* Clock interface.  All time reaches the code through it, so that tests and
-   benches run in virtual time.  */
+/* Clock interface.  All code gets the time through it, so that tests and
+   benchmarks can use virtual time.  */
 #ifndef WY_BASE_CLOCK_H
 #define WY_BASE_CLOCK_H
 
@@ -16,11 +16,11 @@
 {
   void (*monotonic) (const struct wy_clock *clock, struct timespec *out);
   void (*wall) (const struct wy_clock *clock, struct timespec *out);
-  /* Like the monotonic time, but goes on while the machine is suspended.  */
+  /* Monotonic time that includes the time while the machine is suspended.  */
   void (*boottime) (const struct wy_clock *clock, struct timespec *out);
 };
 
-/* A clock that moves only when told to.  */
+/* A clock that only advances by wy_clock_manual_advance.  */
 struct wy_clock_manual
 {
   struct wy_clock clock; /* must stay first */
--- a/src/base/hist.c
+++ b/src/base/hist.c
@@ -25,7 +25,6 @@
   return ((sub + (1U << WY_HIST_SUB_BITS) + 1) << shift) - 1;
 }
 
-/* Count V once.  */
 void
 wy_hist_add (struct wy_hist *h, uint64_t v)
 {
@@ -36,7 +35,7 @@
   h->count[bucket_of (v)]++;
 }
 
-/* The value below which the share Q (0 to 1) lies; 0 when empty.  */
+/* The quantile Q, from 0 to 1; 0 if H is empty.  */
 uint64_t
 wy_hist_quantile (const struct wy_hist *h, double q)
 {
@@ -56,7 +55,7 @@
   return h->max;
 }
 
-/* Arithmetic mean; 0 when empty.  */
+/* Arithmetic mean; 0 if H is empty.  */
 double
 wy_hist_mean (const struct wy_hist *h)
 {
--- a/src/base/hist.h
+++ b/src/base/hist.h
@@ -1,4 +1,4 @@
-/* Log-linear histogram: fixed size, no allocation, 1/16 relative error.  */
+/* Log-linear histogram of fixed size with a relative error of 1/16.  */
 #ifndef WY_BASE_HIST_H
 #define WY_BASE_HIST_H
 
--- a/src/base/id.c
+++ b/src/base/id.c
@@ -1,4 +1,4 @@
-/* UUIDv7 identifiers and the hash used for placement.  */
+/* UUIDv7 identifiers and a 64-bit hash.  */
 #include "base/id.h"
 
 #include <ctype.h>
@@ -17,9 +17,9 @@
   UUID_VERSION_POS = 14
 };
 
-/* Write a fresh UUIDv7 stamped with the wall time of CLOCK into OUT.  Aborts
-   when the system has no randomness, since a repeated identifier would join
-   two requests.  */
+/* Write a new UUIDv7 with the wall-clock time of CLOCK to OUT.  Aborts if no
+   random bytes are available, since with a repeated identifier two requests
+   would be taken for one.  */
 void
 wy_id_new (const struct wy_clock *clock, char out[WY_ID_SIZE_BYTES])
 {
@@ -39,7 +39,7 @@
             b[11], b[12], b[13], b[14], b[15]);
 }
 
-/* Read the issue time out of ID.  False when ID is no UUIDv7.  */
+/* Store the issue time of ID in OUT_MS.  False if ID is not a UUIDv7.  */
 bool
 wy_id_issue_time_ms (const char *id, int64_t *out_ms)
 {
@@ -64,7 +64,7 @@
   return true;
 }
 
-/* 64-bit hash of the N bytes at P.  Every process must agree on it.  */
+/* 64-bit hash of the N bytes at P.  It must be the same in every process.  */
 uint64_t
 wy_hash64 (const void *p, uint64_t n, uint64_t seed)
 {
--- a/src/base/rng.c
+++ b/src/base/rng.c
@@ -1,7 +1,7 @@
 /* SplitMix64.  */
 #include "base/rng.h"
 
-/* Start R from SEED; the same seed gives the same sequence.  */
+/* The same SEED gives the same sequence.  */
 void
 wy_rng_seed (struct wy_rng *r, uint64_t seed)
 {
@@ -19,14 +19,14 @@
   return z ^ (z >> 31);
 }
 
-/* A number from 0 to N - 1; N must not be 0.  */
+/* A random number from 0 to N - 1; N must not be 0.  */
 uint32_t
 wy_rng_below (struct wy_rng *r, uint32_t n)
 {
   return (uint32_t)(((wy_rng_u64 (r) >> 32) * n) >> 32);
 }
 
-/* A number in [0, 1).  */
+/* A random number in [0, 1).  */
 double
 wy_rng_unit (struct wy_rng *r)
 {
--- a/src/base/rng.h
+++ b/src/base/rng.h
@@ -1,4 +1,5 @@
-/* Small seeded generator for jitter and sampling; not for keys.  */
+/* Seeded pseudorandom numbers for jitter and sampling; not cryptographically
+   secure.  */
 #ifndef WY_BASE_RNG_H
 #define WY_BASE_RNG_H
 
--- a/src/decide/attempt.c
+++ b/src/decide/attempt.c
@@ -1,9 +1,9 @@
 /* Whether an attempt may have run its request.
 
-   A caller repeats a non-idempotent request when told that it has not run, so
-   that answer must be certain.  It is certain only if nothing was sent, or if
-   the target says so in a complete answer to this request.  A lost connection,
-   a timeout or an answer to another request proves nothing.  */
+   A caller repeats a non-idempotent request if the response says that it has
+   not run, so that must be certain.  It is certain only if nothing was sent,
+   or if the target says so in a complete response to this request.  A lost
+   connection, a timeout or a response to another request proves nothing.  */
 #include "decide/attempt.h"
 
 enum
@@ -33,7 +33,7 @@
          || status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE;
 }
 
-/* Whether the answer of A must not be passed on: its status implies that the
+/* Whether the response of A must not be forwarded: its status implies that the
    request has not run, but the target does not confirm it.  */
 bool
 wy_attempt_is_unclear_refusal (const struct wy_attempt *a)
@@ -42,7 +42,8 @@
          && wy_attempt_status_implies_not_run (a->status);
 }
 
-/* Status for a request that is given up; LATE if at its time limit.  */
+/* The status to return for a request that is given up.  LATE is true if its
+   time limit has been reached.  */
 int
 wy_attempt_failure_status (bool may_have_run, bool late)
 {
--- a/src/decide/attempt.h
+++ b/src/decide/attempt.h
@@ -8,10 +8,11 @@
 struct wy_attempt
 {
   bool sent;       /* bytes of the request may have reached the target */
-  bool complete;   /* a complete answer was received */
-  bool mismatched; /* the answer is to another request or not the target's */
-  bool not_run;    /* the answer says that the request was not run */
-  int status;      /* of the answer; 0: none */
+  bool complete;   /* a complete response was received */
+  bool mismatched; /* the response is to another request or from another server
+                    */
+  bool not_run;    /* the response says that the request was not run */
+  int status;      /* of the response; 0: none */
 };
 
 bool wy_attempt_may_have_run (const struct wy_attempt *a);
--- a/src/decide/crash_tracker.c
+++ b/src/decide/crash_tracker.c
@@ -1,13 +1,13 @@
-/* Tells requests that crash their targets from those that merely lost a
+/* Tells requests that crash their targets from those that only lost a
    connection.
 
-   Seen from one caller a crash, a reset and a cut network look the same: the
-   answer does not come.  So a run that breaks off is only noted, and counts
-   against its request once the target leaves the list of targets or stands
-   there with a new start, soon after.  The load answered is one request that
-   comes again and again, or an item that is run until it has a result: without
-   this it would take down one replica after another, each with all that runs
-   there, for as long as it is sent.  */
+   To the client of a target, a crash, a connection reset and a network
+   partition look the same: there is no response.  So an interrupted run is
+   only recorded.  It counts as a crash if the target disappears from the list
+   of targets, or appears there with a new start time, shortly afterwards.
+   This protects against a request that is repeated by its caller, or an item
+   that is retried until it has a result: it would crash one replica after
+   another, together with everything else that runs there.  */
 #include "decide/crash_tracker.h"
 
 #include <string.h>
@@ -16,23 +16,24 @@
 
 enum
 {
-  /* A crashed target leaves the list after some missed heartbeats or comes
-     back within seconds; what broke off longer before has another cause.  */
+  /* A crashed target is removed from the list after a few missed heartbeats
+     or restarts within seconds; runs interrupted longer before that have
+     another cause.  */
   CONFIRM_MS = 10000,
-  /* Work that has broken off, unstarted, this often in a row waits before the
-     next run, twice as long each time.  Fewer are common without a crash:
-     kept connections that the target has dropped.  */
-  FREE_BREAKS = 3,
-  PAUSE_MIN_MS = 500,
-  PAUSE_MAX_DOUBLINGS = 7
+  /* Runs in a row that were interrupted before they produced anything, after
+     which the next one is delayed with exponential backoff.  Fewer are common
+     without a crash, when the target has closed an idle keep-alive connection.
+   */
+  BACKOFF_AFTER_RUNS = 3,
+  BACKOFF_MIN_MS = 500,
+  BACKOFF_DOUBLINGS_MAX = 7
 };
 
-/* Make W empty.  */
 void
-wy_crash_tracker_init (struct wy_crash_tracker *w)
+wy_crash_tracker_init (struct wy_crash_tracker *t)
 {
-  memset (w, 0, sizeof *w);
-  wy_suspects_init (&w->suspects);
+  memset (t, 0, sizeof *t);
+  wy_suspects_init (&t->suspects);
 }
 
 static uint64_t
@@ -41,82 +42,87 @@
   return wy_hash64 (target, strlen (target), 0);
 }
 
-/* The run of FINGERPRINT at TARGET broke off without an answer.  */
+/* Record that the run of the request with FINGERPRINT at TARGET was
+   interrupted without a response.  The oldest record is overwritten if all are
+   in use.  */
 void
-wy_crash_tracker_run_interrupted (struct wy_crash_tracker *w,
+wy_crash_tracker_run_interrupted (struct wy_crash_tracker *t,
                                   uint64_t fingerprint, const char *target,
                                   int64_t now_ms)
 {
-  struct wy_broken_run *b = &w->broken[w->next];
+  struct wy_interrupted_run *r = &t->run[t->next];
 
-  w->next = (w->next + 1) % WY_BROKEN_RUNS_MAX;
-  b->fingerprint = fingerprint;
-  b->target = hash_of (target);
-  b->at_ms = now_ms;
+  t->next = (t->next + 1) % WY_INTERRUPTED_RUNS_MAX;
+  r->fingerprint = fingerprint;
+  r->target = hash_of (target);
+  r->at_ms = now_ms;
 }
 
-/* TARGET has left the list or has started anew: what broke off there shortly
-   before counts.  Returns the number of requests that are held back from now
-   on.  */
+/* TARGET was removed from the list or has restarted: count a crash against
+   each request whose run there was interrupted shortly before.  Returns the
+   number of requests that are blocked from now on.  */
 uint32_t
-wy_crash_tracker_target_crashed (struct wy_crash_tracker *w,
+wy_crash_tracker_target_crashed (struct wy_crash_tracker *t,
                                  const char *target, int64_t now_ms)
 {
   uint64_t hash = hash_of (target);
   uint32_t running = 0;
-  uint32_t held = 0;
+  uint32_t blocked = 0;
 
-  for (uint32_t i = 0; i < WY_BROKEN_RUNS_MAX; i++)
-    running += w->broken[i].fingerprint && w->broken[i].target == hash;
-  for (uint32_t i = 0; i < WY_BROKEN_RUNS_MAX; i++)
+  for (uint32_t i = 0; i < WY_INTERRUPTED_RUNS_MAX; i++)
+    running += t->run[i].fingerprint && t->run[i].target == hash;
+  for (uint32_t i = 0; i < WY_INTERRUPTED_RUNS_MAX; i++)
     {
-      struct wy_broken_run *b = &w->broken[i];
+      struct wy_interrupted_run *r = &t->run[i];
 
-      if (b->fingerprint == 0 || b->target != hash)
+      if (r->fingerprint == 0 || r->target != hash)
         continue;
-      if (now_ms - b->at_ms <= CONFIRM_MS)
+      if (now_ms - r->at_ms <= CONFIRM_MS)
         {
-          wy_suspects_record_crash (&w->suspects, b->fingerprint, hash,
+          wy_suspects_record_crash (&t->suspects, r->fingerprint, hash,
                                     running, now_ms);
-          held += wy_crash_tracker_is_blocked (w, b->fingerprint, now_ms);
+          blocked += wy_crash_tracker_is_blocked (t, r->fingerprint, now_ms);
         }
-      b->fingerprint = 0;
+      r->fingerprint = 0;
     }
-  return held;
+  return blocked;
 }
 
-/* The request of FINGERPRINT has been answered.  */
+/* The request with FINGERPRINT got a response and is no longer suspect.  */
 void
-wy_crash_tracker_clear (struct wy_crash_tracker *w, uint64_t fingerprint)
+wy_crash_tracker_clear (struct wy_crash_tracker *t, uint64_t fingerprint)
 {
-  wy_suspects_clear (&w->suspects, fingerprint);
+  wy_suspects_clear (&t->suspects, fingerprint);
 }
 
-/* Whether there is any suspect, so that a fingerprint is worth computing.  */
+/* Whether there is any suspect.  If not, fingerprints needn't be
+   computed.  */
 bool
-wy_crash_tracker_has_suspects (const struct wy_crash_tracker *w)
+wy_crash_tracker_has_suspects (const struct wy_crash_tracker *t)
 {
-  return w->suspects.n > 0;
+  return t->suspects.n > 0;
 }
 
-/* Whether the request of FINGERPRINT must not run now.  */
+/* Whether the request with FINGERPRINT must not run now.  */
 bool
-wy_crash_tracker_is_blocked (struct wy_crash_tracker *w, uint64_t fingerprint,
+wy_crash_tracker_is_blocked (struct wy_crash_tracker *t, uint64_t fingerprint,
                              int64_t now_ms)
 {
-  return wy_suspects_check (&w->suspects, fingerprint, now_ms)
+  return wy_suspects_check (&t->suspects, fingerprint, now_ms)
          == WY_SUSPICION_REFUSE;
 }
 
-/* How long work waits that can't be refused and has broken off UNSTARTED
-   times in a row, each time before it gave a sign of life.  */
+/* Delay in milliseconds before the next run of work that can't be rejected and
+   whose last UNSTARTED runs were interrupted before they produced anything.
+   */
 int64_t
 wy_crash_tracker_backoff_ms (uint32_t unstarted)
 {
-  uint32_t n = unstarted < FREE_BREAKS ? 0 : unstarted - FREE_BREAKS;
+  uint32_t n
+      = unstarted < BACKOFF_AFTER_RUNS ? 0 : unstarted - BACKOFF_AFTER_RUNS;
 
-  if (unstarted < FREE_BREAKS)
+  if (unstarted < BACKOFF_AFTER_RUNS)
     return 0;
-  return (int64_t)PAUSE_MIN_MS
-         << (n < PAUSE_MAX_DOUBLINGS ? n : PAUSE_MAX_DOUBLINGS);
+  return (int64_t)BACKOFF_MIN_MS
+         << (n < BACKOFF_DOUBLINGS_MAX ? n : BACKOFF_DOUBLINGS_MAX);
 }
--- a/src/decide/crash_tracker.h
+++ b/src/decide/crash_tracker.h
@@ -1,5 +1,5 @@
-/* Requests under which targets crashed, where only the list of targets tells
-   of a crash.  */
+/* Detection of requests that crash their targets, from interrupted runs and
+   changes of the list of targets.  */
 #ifndef WY_DECIDE_CRASH_TRACKER_H
 #define WY_DECIDE_CRASH_TRACKER_H
 
@@ -9,33 +9,34 @@
 
 enum
 {
-  WY_BROKEN_RUNS_MAX = 64
+  WY_INTERRUPTED_RUNS_MAX = 64
 };
 
-/* A run that broke off unanswered; its target may have crashed.  */
-struct wy_broken_run
+/* A run whose connection was lost before the response; its target may have
+   crashed.  */
+struct wy_interrupted_run
 {
-  uint64_t fingerprint; /* 0: free */
-  uint64_t target;
+  uint64_t fingerprint; /* of the request; 0: free slot */
+  uint64_t target;      /* hash of its id */
   int64_t at_ms;
 };
 
 struct wy_crash_tracker
 {
   struct wy_suspects suspects;
-  struct wy_broken_run broken[WY_BROKEN_RUNS_MAX];
+  struct wy_interrupted_run run[WY_INTERRUPTED_RUNS_MAX]; /* ring buffer */
   uint32_t next;
 };
 
-void wy_crash_tracker_init (struct wy_crash_tracker *w);
-void wy_crash_tracker_run_interrupted (struct wy_crash_tracker *w,
+void wy_crash_tracker_init (struct wy_crash_tracker *t);
+void wy_crash_tracker_run_interrupted (struct wy_crash_tracker *t,
                                        uint64_t fingerprint,
                                        const char *target, int64_t now_ms);
-uint32_t wy_crash_tracker_target_crashed (struct wy_crash_tracker *w,
+uint32_t wy_crash_tracker_target_crashed (struct wy_crash_tracker *t,
                                           const char *target, int64_t now_ms);
-void wy_crash_tracker_clear (struct wy_crash_tracker *w, uint64_t fingerprint);
-bool wy_crash_tracker_has_suspects (const struct wy_crash_tracker *w);
-bool wy_crash_tracker_is_blocked (struct wy_crash_tracker *w,
+void wy_crash_tracker_clear (struct wy_crash_tracker *t, uint64_t fingerprint);
+bool wy_crash_tracker_has_suspects (const struct wy_crash_tracker *t);
+bool wy_crash_tracker_is_blocked (struct wy_crash_tracker *t,
                                   uint64_t fingerprint, int64_t now_ms);
 int64_t wy_crash_tracker_backoff_ms (uint32_t unstarted);
 
--- a/src/decide/item_list.c
+++ b/src/decide/item_list.c
@@ -1,4 +1,4 @@
-/* Doubly linked list of queue items.  */
+/* Intrusive doubly linked list of queue items.  */
 #include "decide/item_list.h"
 
 #include <stddef.h>
@@ -17,7 +17,7 @@
   l->n++;
 }
 
-/* Put IT before all others of L.  */
+/* Prepend IT to L.  */
 void
 wy_queue_item_push_front (struct wy_queue_item_list *l,
                           struct wy_queue_item *it)
@@ -32,7 +32,7 @@
   l->n++;
 }
 
-/* Take IT out of L, in which it must be.  */
+/* Remove IT from L, which must contain it.  */
 void
 wy_queue_item_unlink (struct wy_queue_item_list *l, struct wy_queue_item *it)
 {
--- a/src/decide/item_list.h
+++ b/src/decide/item_list.h
@@ -1,4 +1,4 @@
-/* Doubly linked list of queue items, no allocation.  */
+/* Intrusive doubly linked list of queue items.  */
 #ifndef WY_DECIDE_ITEM_LIST_H
 #define WY_DECIDE_ITEM_LIST_H
 
--- a/src/decide/item_slots.c
+++ b/src/decide/item_slots.c
@@ -1,35 +1,37 @@
-/* Which items leave slots free for others.
+/* Reservation of target slots for long items.
 
-   The load answered is a job of some hundred items, a tenth of them several
-   times as long as the rest, submitted every few seconds by each of several
-   trainers.  A step lasts as long as its longest items, which need nearly all
-   of the time it has: they must start at once, and each of their events takes
-   longer the more runs share their target.  Started together, the short items
-   fill all slots for a second or two, just when the next step's long ones
-   arrive.  So short ones leave part of the slots until they would be late
-   themselves.  */
+   Each of several trainers submits a job of some hundred items every few
+   seconds, a tenth of which take several times as long as the others.  A
+   training step lasts as long as its longest items, which need nearly all of
+   the time available: they must start immediately, and their time per event
+   grows with the number of runs on their target.  If all short items started
+   at once, they would occupy all slots for a second or two, during which the
+   long items of the next step arrive.  So short items leave part of the slots
+   free as long as they can still end in time.  */
 #include "decide/item_slots.h"
 
 enum
 {
-  /* One item in so many counts as long: what a submitter expects is right at
-     the median only, and this takes in nearly all of a longest tenth.  */
+  /* The longest 1 / LONG_DIVISOR of the items count as long.  Expected lengths
+     are right only at the median; this includes nearly all items of the
+     longest tenth.  */
   LONG_DIVISOR = 4,
-  /* Part of the time until results are due in which short items leave
-     slots.  A short one that turns out long can still be in time.  */
+  /* Short items leave slots free for the first 1 / WAIT_DIVISOR of the time
+     until results are due.  A short item that turns out to be long can still
+     end in time after that.  */
   WAIT_DIVISOR = 3
 };
 
-static const double short_share = 0.5;
+static const double short_occupancy_max = 0.5;
 
-/* The part of each target's slots that the item may find taken and still
-   start; 0: all of them.  One that was interrupted has lost time already, and
-   may well be longer than it was expected to be.  */
+/* The share of a target's slots up to which they may be occupied if the item
+   is to start there; 0: no limit.  An item that was interrupted has lost time
+   already and may be longer than expected, so it has no limit.  */
 double
 wy_item_slots_occupancy_max (const struct wy_item_slots_options *o)
 {
   if (o->has_partial_text || o->length_rank < o->items / LONG_DIVISOR
       || o->due_ms <= 0 || o->waited_ms >= o->due_ms / WAIT_DIVISOR)
     return 0;
-  return short_share;
+  return short_occupancy_max;
 }
--- a/src/decide/item_slots.h
+++ b/src/decide/item_slots.h
@@ -1,4 +1,4 @@
-/* How many of a target's slots an item of a job may take.  */
+/* Up to which occupancy of a target a job item may start there.  */
 #ifndef WY_DECIDE_ITEM_SLOTS_H
 #define WY_DECIDE_ITEM_SLOTS_H
 
@@ -7,12 +7,11 @@
 
 struct wy_item_slots_options
 {
-  uint32_t length_rank;  /* of the item, longest expected first */
+  uint32_t length_rank;  /* position by expected length, longest first */
   uint32_t items;        /* of the job */
-  bool has_partial_text; /* there is text of it, from a run that was
-                            interrupted */
-  int64_t waited_ms;
-  int64_t due_ms; /* all results are due so long after the start; 0: never */
+  bool has_partial_text; /* from an interrupted run */
+  int64_t waited_ms;     /* since this entry started the job */
+  int64_t due_ms; /* from that start until all results are due; 0: never */
 };
 
 double wy_item_slots_occupancy_max (const struct wy_item_slots_options *o);
--- a/src/decide/job_priority.c
+++ b/src/decide/job_priority.c
@@ -1,32 +1,33 @@
-/* Order of jobs when targets have fewer free slots than items wait.
+/* Order of jobs if more items wait than targets have free slots.
 
-   An organisation's priority goes before its route's; among equals the older
-   job is due sooner.  */
+   The priority of the organisation counts first, then that of the route; among
+   jobs of equal priority the oldest goes first, as it is due first.  */
 #include "decide/job_priority.h"
 
 static int
-by_number (int64_t a, int64_t b)
+compare_numbers (int64_t a, int64_t b)
 {
   return a < b ? -1 : a > b;
 }
 
-/* The priority that counts for T.  */
+/* The organisation's priority, or the route's if it has none.  */
 static uint32_t
-rank_of (const struct wy_job_priority *t)
+effective_priority (const struct wy_job_priority *t)
 {
   return t->organisation_priority != UINT32_MAX ? t->organisation_priority
                                                 : t->route_priority;
 }
 
-/* Less than 0 where A goes before B.  */
+/* Less than 0 if A goes before B, 0 if they are equal, greater than 0
+   otherwise.  */
 int
 wy_job_priority_compare (const struct wy_job_priority *a,
                          const struct wy_job_priority *b)
 {
-  int order = by_number (rank_of (a), rank_of (b));
+  int order = compare_numbers (effective_priority (a), effective_priority (b));
 
   if (order)
     return order;
-  order = by_number (a->route_priority, b->route_priority);
-  return order ? order : by_number (a->accepted_ms, b->accepted_ms);
+  order = compare_numbers (a->route_priority, b->route_priority);
+  return order ? order : compare_numbers (a->accepted_ms, b->accepted_ms);
 }
--- a/src/decide/job_priority.h
+++ b/src/decide/job_priority.h
@@ -1,4 +1,4 @@
-/* Whose items are started first, of the jobs that one entry runs.  */
+/* Order in which an entry starts the items of its jobs.  */
 #ifndef WY_DECIDE_JOB_PRIORITY_H
 #define WY_DECIDE_JOB_PRIORITY_H
 
@@ -6,7 +6,7 @@
 
 struct wy_job_priority
 {
-  uint32_t organisation_priority; /* 0 is the highest; UINT32_MAX: none */
+  uint32_t organisation_priority; /* 0 is the highest; UINT32_MAX: not set */
   uint32_t route_priority;        /* 0 is the highest */
   int64_t accepted_ms;
 };
--- a/src/decide/listing.c
+++ b/src/decide/listing.c
@@ -1,25 +1,27 @@
-/* When the results of a job are listed for its trainer.
+/* When the results of a job are listed for its trainer to read.
 
-   The load answered is the end of a step: some hundred items are done, and the
-   last dozen, the longest, end within a second or two.  A trainer goes on when
-   enough groups are whole, and asks for results about twice a second.  Listed
-   one by one, each of the last results answers a question with something that
-   the trainer can't go on with, and the one that it waits for comes in the
-   pause before the next question.  All trainers then idle for most of a second
-   in each step.  So the last results wait for each other: the question stays
-   open until enough groups are whole, and is answered with all of them.  */
+   A trainer goes on when enough groups of its step are complete, and polls for
+   results about twice a second with requests that stay open until there is a
+   result.  At the end of a step some hundred items are done, and the last
+   dozen, the longest, end within a second or two.  If they were listed one by
+   one, each would end a poll without letting the trainer go on, and the result
+   that it needs would arrive in the pause before the next poll: all trainers
+   would idle for most of a second in each step.  So the last results are
+   listed together, when enough groups are complete, and the poll stays open
+   until then.  */
 #include "decide/listing.h"
 
 enum
 {
-  /* The last one result in so many waits.  More of them, long as they are,
-     would not fit into one transaction, and the trainer would read them in two
-     answers; and they would all travel at the moment when it waits.  */
+  /* The last 1 / LAST_DIVISOR of the results are deferred.  More of them,
+     being the longest, would not fit into one transaction and the trainer
+     would need two polls to read them; and all would be transferred while it
+     waits.  */
   LAST_DIVISOR = 24
 };
 
-/* Whether results that are known wait for others.  They do not once they are
-   due: each group counts for itself then, and a late one is still of use.  */
+/* Whether known results are held back until more are known.  They aren't once
+   they are due: from then on each complete group is useful by itself.  */
 bool
 wy_listing_is_deferred (const struct wy_listing_options *o)
 {
--- a/src/decide/listing.h
+++ b/src/decide/listing.h
@@ -1,4 +1,4 @@
-/* When the results of a job are listed for its trainer.  */
+/* When the results of a job are listed for its trainer to read.  */
 #ifndef WY_DECIDE_LISTING_H
 #define WY_DECIDE_LISTING_H
 
@@ -10,10 +10,10 @@
   uint32_t items;           /* of the job */
   uint32_t results;         /* known, listed or not */
   uint32_t complete_groups; /* whose results are all known */
-  uint32_t wanted_groups;   /* with which the trainer goes on; 0: not told */
+  uint32_t wanted_groups;   /* that the trainer needs to go on; 0: not given */
   int64_t age_ms;           /* of the job */
   int64_t due_ms;           /* all results are due at this age; 0: never */
-  bool stopping;            /* another entry is about to run the job */
+  bool stopping;            /* the job is being handed off to another entry */
 };
 
 bool wy_listing_is_deferred (const struct wy_listing_options *o);
--- a/src/decide/liveness.h
+++ b/src/decide/liveness.h
@@ -9,7 +9,7 @@
 {
   /* Three heartbeat intervals, to tolerate a slow or lost write.  */
   WY_LIVENESS_FAILED_MS = 1600,
-  /* More than one heartbeat interval.  */
+  /* Longer than one heartbeat interval.  */
   WY_LIVENESS_LATE_MS = 700,
   /* A longer gap between successful reads means that the store was unreachable
      or the reader was paused.  */
@@ -19,9 +19,9 @@
 /* Zero-initialized before the first read.  */
 struct wy_liveness
 {
-  int64_t version; /* of the heartbeat's row; 0: no row */
-  int64_t read_ms; /* time of the last successful read; 0: none */
-  int64_t silent_ms;
+  int64_t version;   /* of the heartbeat's row; 0: no row */
+  int64_t read_ms;   /* time of the last successful read; 0: none */
+  int64_t silent_ms; /* without a new heartbeat */
 };
 
 void wy_liveness_observe (struct wy_liveness *l, int64_t now_ms,
--- a/src/decide/placement.c
+++ b/src/decide/placement.c
@@ -1,4 +1,4 @@
-/* Table of targets as one entry sees them.  */
+/* Table of the targets known to one entry.  */
 #include "decide/placement.h"
 
 #include <stdlib.h>
@@ -8,18 +8,18 @@
 #include "decide/placement_state.h"
 
 #define TARGETS_MAX 4096
-/* Two choices do most of the work of comparing all; more give little and all
-   entries would herd to the same target.  */
+/* Comparing two gains most of what comparing all would.  More gain little and
+   all entries would send to the same target at once.  */
 #define SAMPLES 2
-/* Agents report several times a second; what is older describes another
-   queue.  */
+/* Agents report several times a second; the queue has changed since an older
+   report.  */
 #define REPORT_STALE_MS 2000
-/* One way between zones and back costs about 2 ms; leaving the zone must pay
-   for that and for the shared links.  */
+/* A round trip between zones takes about 2 ms; another zone must gain more
+   than that, plus an allowance for the load on shared links.  */
 #define AZ_PENALTY_US 4000
 #define PREFILL_TOKEN_US 20
 #define TOKEN_BASE_US 8000
-#define TOKEN_STREAM_US 250
+#define TOKEN_PER_STREAM_US 250
 #define EJECT_MS 2000
 #define PREFIX_SLOTS 4096
 #define STREAMS_MAX 64
@@ -40,16 +40,17 @@
   p->o.az_penalty_us = or_default (o->az_penalty_us, AZ_PENALTY_US);
   p->o.prefill_token_us = or_default (o->prefill_token_us, PREFILL_TOKEN_US);
   p->o.token_base_us = or_default (o->token_base_us, TOKEN_BASE_US);
-  p->o.token_stream_us = or_default (o->token_stream_us, TOKEN_STREAM_US);
+  p->o.token_per_stream_us
+      = or_default (o->token_per_stream_us, TOKEN_PER_STREAM_US);
   p->o.shared_streams_max
-      = or_default (o->shared_streams_max, WY_SHARED_STREAMS);
+      = or_default (o->shared_streams_max, WY_SHARED_STREAMS_MAX);
   p->o.eject_ms = or_default (o->eject_ms, EJECT_MS);
   p->o.prefix_slots = or_default (o->prefix_slots, PREFIX_SLOTS);
   p->slowness = 1;
 }
 
-/* A table without targets, or NULL when memory or the options don't allow
-   it.  */
+/* A table without targets, or NULL if memory is exhausted or an option is out
+   of range.  */
 struct wy_placement *
 wy_placement_new (const struct wy_placement_options *o)
 {
@@ -64,8 +65,8 @@
   set_options (p, o);
   n = p->o.targets_max;
   p->target = calloc (n, sizeof *p->target);
-  p->prefix
-      = calloc ((size_t)p->o.prefix_slots * WY_PREFIX_WAYS, sizeof *p->prefix);
+  p->prefix = calloc ((size_t)p->o.prefix_slots * WY_PLACEMENT_PREFIX_WAYS,
+                      sizeof *p->prefix);
   p->all.slot
       = calloc ((size_t)n * (WY_PLACEMENT_AZS_MAX + 1), sizeof *p->all.slot);
   if (!p->target || !p->prefix || !p->all.slot)
@@ -78,7 +79,6 @@
   return p;
 }
 
-/* Free P; NULL is fine.  */
 void
 wy_placement_free (struct wy_placement *p)
 {
@@ -90,9 +90,10 @@
   free (p);
 }
 
-/* The first position in the order whose target ranks RANK or higher.  */
+/* The first index in the list of all candidates whose rank is at least RANK.
+ */
 static uint32_t
-position (const struct wy_placement *p, uint64_t rank)
+rank_position (const struct wy_placement *p, uint64_t rank)
 {
   uint32_t lo = 0;
   uint32_t hi = p->all.n;
@@ -109,64 +110,64 @@
   return lo;
 }
 
-/* All placeable targets are kept in an order that depends on their ids alone,
-   so that entries agree, without talking, on which targets callers go to
-   first.  Adding and removing cost a move of the list; both are rare.  */
+/* The list of candidates is sorted by a hash of their ids, so that all entries
+   agree, without communication, on the targets that callers go to first.
+   Insertion and removal move part of the list; both are rare.  */
 static void
-make_placeable (struct wy_placement *p, uint32_t slot)
+add_candidate (struct wy_placement *p, uint32_t slot)
 {
-  struct wy_target *t = &p->target[slot];
-  struct wy_slot_list *az = &p->az[t->o.az];
+  struct wy_placement_target *t = &p->target[slot];
+  struct wy_placement_slot_list *az = &p->az[t->o.az];
   uint32_t at;
 
-  if (t->placeable)
+  if (t->is_candidate)
     return;
-  t->placeable = true;
+  t->is_candidate = true;
   t->rank = wy_hash64 (&t->o.id, sizeof t->o.id, 0);
-  at = position (p, t->rank);
+  at = rank_position (p, t->rank);
   memmove (&p->all.slot[at + 1], &p->all.slot[at],
            (p->all.n - at) * sizeof p->all.slot[0]);
   p->all.slot[at] = slot;
   p->all.n++;
-  t->pos_az = az->n;
+  t->az_index = az->n;
   az->slot[az->n++] = slot;
 }
 
 static void
-make_unplaceable (struct wy_placement *p, uint32_t slot)
+remove_candidate (struct wy_placement *p, uint32_t slot)
 {
-  struct wy_target *t = &p->target[slot];
-  struct wy_slot_list *az = &p->az[t->o.az];
+  struct wy_placement_target *t = &p->target[slot];
+  struct wy_placement_slot_list *az = &p->az[t->o.az];
   uint32_t at;
   uint32_t moved;
 
-  if (!t->placeable)
+  if (!t->is_candidate)
     return;
-  t->placeable = false;
-  at = position (p, t->rank);
+  t->is_candidate = false;
+  at = rank_position (p, t->rank);
   while (p->all.slot[at] != slot)
     at++;
   p->all.n--;
   memmove (&p->all.slot[at], &p->all.slot[at + 1],
            (p->all.n - at) * sizeof p->all.slot[0]);
   moved = az->slot[--az->n];
-  az->slot[t->pos_az] = moved;
-  p->target[moved].pos_az = t->pos_az;
-  p->callers -= (int64_t)t->report.callers + t->callers_since;
+  az->slot[t->az_index] = moved;
+  p->target[moved].az_index = t->az_index;
+  p->callers -= (int64_t)t->report.callers + t->callers_delta;
   p->rollouts -= t->report.rollouts_running;
   t->report = (struct wy_load_report){ .streams_max = 0 };
-  t->callers_since = 0;
+  t->callers_delta = 0;
 }
 
-static struct wy_target *
-at (struct wy_placement *p, uint32_t slot)
+static struct wy_placement_target *
+target_at (struct wy_placement *p, uint32_t slot)
 {
   if (slot >= p->o.targets_max || !p->target[slot].used)
     return NULL;
   return &p->target[slot];
 }
 
-/* Add the target that O describes; its slot, or a negative error.  */
+/* Add the target described by O.  Returns its slot or a negative error.  */
 int
 wy_placement_add (struct wy_placement *p, const struct wy_target_options *o)
 {
@@ -175,75 +176,78 @@
   for (uint32_t i = 0; i < p->o.targets_max; i++)
     if (!p->target[i].used)
       {
-        struct wy_target *t = &p->target[i];
+        struct wy_placement_target *t = &p->target[i];
 
-        *t = (struct wy_target){ .o = *o, .used = true, .slowness = 1 };
+        *t = (struct wy_placement_target){ .o = *o,
+                                           .used = true,
+                                           .slowness = 1 };
         t->o.streams_max = or_default (o->streams_max, STREAMS_MAX);
         t->report_ms = INT64_MIN / 2;
-        make_placeable (p, i);
+        add_candidate (p, i);
         return (int)i;
       }
   return WY_DECIDE_EFULL;
 }
 
-/* Forget the target of SLOT.  */
+/* Remove the target of SLOT.  */
 void
 wy_placement_remove (struct wy_placement *p, uint32_t slot)
 {
-  struct wy_target *t = at (p, slot);
+  struct wy_placement_target *t = target_at (p, slot);
 
   if (!t)
     return;
-  make_unplaceable (p, slot);
+  remove_candidate (p, slot);
   if (t->ejected_until_ms)
     p->ejected--;
-  *t = (struct wy_target){ .used = false };
+  *t = (struct wy_placement_target){ .used = false };
 }
 
-/* The target of SLOT is leaving and gets no new work from now on.  */
+/* The target of SLOT is draining and gets no new work.  */
 void
 wy_placement_drain (struct wy_placement *p, uint32_t slot)
 {
-  if (at (p, slot))
-    make_unplaceable (p, slot);
+  if (target_at (p, slot))
+    remove_candidate (p, slot);
 }
 
-/* The target of SLOT came back as a new INCARNATION: nothing known of the
-   earlier one holds.  */
+/* The target of SLOT restarted as INCARNATION: discard the state of the
+   previous one.  */
 void
 wy_placement_restarted (struct wy_placement *p, uint32_t slot,
                         uint64_t incarnation)
 {
-  struct wy_target *t = at (p, slot);
+  struct wy_placement_target *t = target_at (p, slot);
   struct wy_target_options o;
 
   if (!t)
     return;
   o = t->o;
   o.incarnation = incarnation;
-  make_unplaceable (p, slot);
+  remove_candidate (p, slot);
   if (t->ejected_until_ms)
     p->ejected--;
-  *t = (struct wy_target){ .o = o, .used = true, .slowness = 1 };
+  *t = (struct wy_placement_target){ .o = o, .used = true, .slowness = 1 };
   t->report_ms = INT64_MIN / 2;
-  make_placeable (p, slot);
+  add_candidate (p, slot);
 }
 
-/* The target of SLOT serves weight VERSION from now on.  */
+/* The target of SLOT serves VERSION of the weights from now on.  */
 void
 wy_placement_set_version (struct wy_placement *p, uint32_t slot,
                           uint64_t version)
 {
-  struct wy_target *t = at (p, slot);
+  struct wy_placement_target *t = target_at (p, slot);
 
   if (t)
     t->o.version = version;
 }
 
-/* The pace that T's agent measured against what its streams should get.  */
+/* Compare the time per token reported by T's agent with that expected for its
+   number of streams.  */
 static void
-take_pace (struct wy_placement *p, struct wy_target *t,
-           const struct wy_load_report *r, int64_t now_ms)
+record_reported_latency (struct wy_placement *p, struct wy_placement_target *t,
+                         const struct wy_load_report *r, int64_t now_ms)
 {
   uint32_t streams = r->callers + r->rollouts_running;
 
@@ -251,107 +255,108 @@
     return;
   if (streams > t->o.streams_max)
     streams = t->o.streams_max;
-  wy_target_pace (
+  wy_placement_record_slowness (
       p, t,
       r->us_per_token
-          / (p->o.token_base_us + (double)p->o.token_stream_us * streams),
+          / (p->o.token_base_us + (double)p->o.token_per_stream_us * streams),
       now_ms);
 }
 
-/* Take in the load report R of SLOT, made AGE_MS ago.  An older one than the
-   last is ignored: reports pass each other on different connections.  */
+/* Record the load report R of SLOT, made AGE_MS ago.  A report older than the
+   last one is ignored: they may overtake each other on different
+   connections.  */
 void
 wy_placement_load_reported (struct wy_placement *p, uint32_t slot,
                             const struct wy_load_report *r, uint32_t age_ms,
                             int64_t now_ms)
 {
-  struct wy_target *t = at (p, slot);
+  struct wy_placement_target *t = target_at (p, slot);
 
   if (!t || now_ms - age_ms < t->report_ms)
     return;
-  if (t->placeable)
+  if (t->is_candidate)
     {
-      p->callers += (int64_t)r->callers - t->report.callers - t->callers_since;
+      p->callers += (int64_t)r->callers - t->report.callers - t->callers_delta;
       p->rollouts += (int64_t)r->rollouts_running - t->report.rollouts_running;
     }
   t->report = *r;
   t->report_ms = now_ms - age_ms;
-  t->callers_since = 0;
-  t->rollouts_since = 0;
+  t->callers_delta = 0;
+  t->rollouts_delta = 0;
   if (r->streams_max)
     t->o.streams_max = r->streams_max;
-  take_pace (p, t, r, now_ms);
+  record_reported_latency (p, t, r, now_ms);
   if (r->closing)
-    make_unplaceable (p, slot);
+    remove_candidate (p, slot);
 }
 
-/* A cache event of SLOT: the prefix is or is not in its cache.  */
+/* Record that the prefix was added to or removed from the cache of SLOT.  */
 void
 wy_placement_cache_event (struct wy_placement *p, uint32_t slot,
                           uint64_t prefix_hash, bool present, int64_t now_ms)
 {
-  if (!at (p, slot) || prefix_hash == 0)
+  if (!target_at (p, slot) || prefix_hash == 0)
     return;
   if (present)
-    wy_prefix_note (p, prefix_hash, slot, now_ms);
+    wy_placement_prefix_add (p, prefix_hash, slot, now_ms);
   else
-    wy_prefix_drop (p, prefix_hash, slot);
+    wy_placement_prefix_remove (p, prefix_hash, slot);
 }
 
-/* REQ was sent to SLOT.  */
+/* Count REQ, which was sent to SLOT.  */
 void
 wy_placement_request_started (struct wy_placement *p, uint32_t slot,
                               const struct wy_placement_request *req,
                               int64_t now_ms)
 {
-  struct wy_target *t = at (p, slot);
+  struct wy_placement_target *t = target_at (p, slot);
 
   if (!t)
     return;
   if (req->work_class == WY_CLASS_ROLLOUT)
     {
       t->rollouts++;
-      t->rollouts_since++;
+      t->rollouts_delta++;
     }
   else
     {
       t->callers++;
-      t->callers_since++;
-      p->callers += t->placeable;
+      t->callers_delta++;
+      p->callers += t->is_candidate;
     }
   if (req->prefix_hash)
-    wy_prefix_note (p, req->prefix_hash, slot, now_ms);
+    wy_placement_prefix_add (p, req->prefix_hash, slot, now_ms);
 }
 
 static void
-less_one (uint32_t *n, int32_t *since)
+count_ended (uint32_t *n, int32_t *delta)
 {
   if (*n > 0)
     --*n;
-  --*since;
+  --*delta;
 }
 
-/* A request on SLOT ended with OUTCOME.  */
+/* Record that a request on SLOT ended with OUTCOME.  */
 void
 wy_placement_request_ended (struct wy_placement *p, uint32_t slot,
                             enum wy_work_class work_class,
                             enum wy_outcome outcome, int64_t now_ms)
 {
-  struct wy_target *t = at (p, slot);
+  struct wy_placement_target *t = target_at (p, slot);
 
   if (!t)
     return;
   if (work_class == WY_CLASS_ROLLOUT)
-    less_one (&t->rollouts, &t->rollouts_since);
+    count_ended (&t->rollouts, &t->rollouts_delta);
   else
     {
-      less_one (&t->callers, &t->callers_since);
-      p->callers -= t->placeable;
+      count_ended (&t->callers, &t->callers_delta);
+      p->callers -= t->is_candidate;
     }
-  wy_target_outcome (p, t, outcome, now_ms);
+  wy_placement_record_outcome (p, t, outcome, now_ms);
 }
 
-/* Requests of this entry in flight on SLOT.  */
+/* The number of requests of this entry in flight on SLOT.  */
 uint32_t
 wy_placement_in_flight (const struct wy_placement *p, uint32_t slot)
 {
--- a/src/decide/placement.h
+++ b/src/decide/placement.h
@@ -1,4 +1,4 @@
-/* Placement of requests on targets, by one entry.  */
+/* Choice of a target for each request of one entry.  */
 #ifndef WY_DECIDE_PLACEMENT_H
 #define WY_DECIDE_PLACEMENT_H
 
@@ -15,26 +15,26 @@
 enum wy_outcome
 {
   WY_OUTCOME_OK,
-  WY_OUTCOME_SLOW,      /* answered, late */
-  WY_OUTCOME_FAILED,    /* error, crash or silence */
-  WY_OUTCOME_REFUSED,   /* "not run" from the target's queue */
-  WY_OUTCOME_CANCELLED, /* by the caller; says nothing about the target */
+  WY_OUTCOME_SLOW,      /* response was late */
+  WY_OUTCOME_FAILED,    /* error, crash or timeout */
+  WY_OUTCOME_REFUSED,   /* rejected as "not run" by the target's queue */
+  WY_OUTCOME_CANCELLED, /* by the caller; tells nothing about the target */
 };
 
-/* Zero means the default for every limit.  */
+/* Zero selects the default, except for the zone.  */
 struct wy_placement_options
 {
   uint32_t targets_max;
-  uint32_t az;               /* of this entry */
-  uint32_t samples;          /* targets looked at per pick */
-  uint32_t report_stale_ms;  /* a report older than this counts no more */
-  uint32_t az_penalty_us;    /* of a target in another AZ */
-  uint32_t prefill_token_us; /* of a prompt token that is not cached */
-  uint32_t token_base_us;    /* of a target nothing is known about */
-  uint32_t token_stream_us;
-  uint32_t shared_streams_max; /* the agents', while callers are present */
-  uint32_t eject_ms;           /* first ejection; doubles when repeated */
-  uint32_t prefix_slots;       /* size of the table of cached prefixes */
+  uint32_t az;                  /* of this entry */
+  uint32_t samples;             /* targets compared per choice */
+  uint32_t report_stale_ms;     /* older reports are ignored */
+  uint32_t az_penalty_us;       /* added for a target in another zone */
+  uint32_t prefill_token_us;    /* per uncached prompt token */
+  uint32_t token_base_us;       /* per output token */
+  uint32_t token_per_stream_us; /* added to it by each stream */
+  uint32_t shared_streams_max;  /* streams per target while it has callers */
+  uint32_t eject_ms;     /* first ejection; doubled for each repetition */
+  uint32_t prefix_slots; /* number of sets in the table of cached prefixes */
 };
 
 struct wy_target_options
@@ -42,7 +42,7 @@
   uint64_t id; /* stable, for rendezvous hashing */
   uint32_t az;
   uint64_t incarnation;
-  uint64_t version; /* weights it serves */
+  uint64_t version; /* of the weights that it serves */
   uint32_t streams_max;
 };
 
@@ -66,7 +66,7 @@
   uint32_t prompt_tokens;
   uint32_t predicted_tokens;
   uint64_t version;                       /* 0: any */
-  uint32_t tried[WY_PLACEMENT_TRIED_MAX]; /* slots that refused it */
+  uint32_t tried[WY_PLACEMENT_TRIED_MAX]; /* slots that rejected it */
   uint32_t n_tried;
 };
 
--- a/src/decide/placement_health.c
+++ b/src/decide/placement_health.c
@@ -1,39 +1,42 @@
-/* Slow and half-dead targets, found by their outcomes.
+/* Ejection of slow and failing targets.
 
-   A target can answer its heartbeats and report little load while its
-   requests fail or crawl; by load alone it even looks the emptiest and draws
-   the work of all.  One notices by failures and by the pace of its streams.
-   It is left out for a while, then let back a few requests at a time.  */
+   A target can answer heartbeats and report little load while its requests
+   fail or are very slow.  By load alone it would look idle and attract all
+   requests.  It is detected by failures and by the time per token of its
+   streams, ejected for a while, and then readmitted a few requests at a
+   time.  */
 #include "decide/placement_state.h"
 
-/* One failure happens to sound targets; three in a row hardly.  */
+/* Healthy targets may fail once, but hardly three times in a row.  */
 #define FAILURES_MAX 3
-/* A target at a third of the expected pace harms each caller on it; smaller
-   differences are left to the cost in wy_placement_pick.  */
+/* Smaller differences of speed are covered by the cost in wy_placement_pick;
+   beyond this each caller on the target suffers.  */
 #define SLOWNESS_MAX 3.0
-#define PACES_MIN 3
-#define PACE_SMOOTHING 0.3
-#define OVERALL_SMOOTHING 0.02
-/* More than this share ejected means that the cause is not in the targets:
-   leaving out more would only overload the rest.  */
-#define EJECTED_SHARE_MAX 3
+#define SLOWNESS_SAMPLES_MIN 3
+#define SLOWNESS_SMOOTHING 0.3
+#define MEAN_SMOOTHING 0.02
+/* At most 1 / EJECTED_DIVISOR of the targets are ejected.  If more appear
+   unhealthy the cause is elsewhere, and ejecting them would only overload the
+   others.  */
+#define EJECTED_DIVISOR 3
 #define EJECTIONS_MAX 5
-/* A target let back may take one request more per this time.  */
-#define RETURN_STEP_MS 200
-/* After this time without a new ejection it is sound again.  */
-#define SOUND_MS 10000
-/* Rollouts left on a target ejected for slowness: their pace shows when it
-   has recovered, and no caller serves as the probe.  */
+/* A readmitted target may have one more concurrent request per this time.  */
+#define RAMP_UP_STEP_MS 200
+/* A target that works this long after the end of its ejection is healthy
+   again.  */
+#define HEALTHY_AFTER_MS 10000
+/* Rollouts allowed on a target ejected for slowness: their speed shows when it
+   has recovered, so that no caller is used as a probe.  */
 #define ROLLOUT_PROBES 2
 
 static void
-eject (struct wy_placement *p, struct wy_target *t, int64_t now_ms)
+eject (struct wy_placement *p, struct wy_placement_target *t, int64_t now_ms)
 {
   if (t->ejected_until_ms > now_ms)
     return;
   if (t->ejected_until_ms == 0)
     {
-      if ((p->ejected + 1) * EJECTED_SHARE_MAX > p->all.n)
+      if ((p->ejected + 1) * EJECTED_DIVISOR > p->all.n)
         return;
       p->ejected++;
     }
@@ -41,11 +44,11 @@
   if (t->ejections < EJECTIONS_MAX)
     t->ejections++;
   t->failures = 0;
-  t->paces = 0;
+  t->slowness_samples = 0;
 }
 
 static void
-make_sound (struct wy_placement *p, struct wy_target *t)
+mark_healthy (struct wy_placement *p, struct wy_placement_target *t)
 {
   if (t->ejected_until_ms)
     p->ejected--;
@@ -53,17 +56,19 @@
   t->ejections = 0;
 }
 
-/* Learn from the OUTCOME of a request on T.  */
+/* Update the health of T from the OUTCOME of a request.  */
 void
-wy_target_outcome (struct wy_placement *p, struct wy_target *t,
-                   enum wy_outcome outcome, int64_t now_ms)
+wy_placement_record_outcome (struct wy_placement *p,
+                             struct wy_placement_target *t,
+                             enum wy_outcome outcome, int64_t now_ms)
 {
   switch (outcome)
     {
     case WY_OUTCOME_OK:
       t->failures = 0;
-      if (t->ejected_until_ms && now_ms > t->ejected_until_ms + SOUND_MS)
-        make_sound (p, t);
+      if (t->ejected_until_ms
+          && now_ms > t->ejected_until_ms + HEALTHY_AFTER_MS)
+        mark_healthy (p, t);
       return;
     case WY_OUTCOME_SLOW:
     case WY_OUTCOME_FAILED:
@@ -79,49 +84,54 @@
 }
 
 static double
-expected_us (const struct wy_placement *p, const struct wy_target *t,
+expected_us (const struct wy_placement *p, const struct wy_placement_target *t,
              int64_t now_ms)
 {
-  uint32_t streams
-      = wy_target_callers (p, t, now_ms) + wy_target_rollouts (p, t, now_ms);
+  uint32_t streams = wy_placement_target_callers (p, t, now_ms)
+                     + wy_placement_target_rollouts (p, t, now_ms);
 
   if (streams > t->o.streams_max)
     streams = t->o.streams_max;
-  return p->o.token_base_us + (double)p->o.token_stream_us * streams;
+  return p->o.token_base_us + (double)p->o.token_per_stream_us * streams;
 }
 
-/* T ran at RATIO times the expected time per token lately.  What counts is
-   how it compares with the others, whose engines may all be faster or slower
-   than the curve that was guessed.  */
+/* Record that T recently took RATIO times the expected time per token.  It is
+   compared with the mean of all targets, since all engines may be faster or
+   slower than the options say.  */
 void
-wy_target_pace (struct wy_placement *p, struct wy_target *t, double ratio,
-                int64_t now_ms)
+wy_placement_record_slowness (struct wy_placement *p,
+                              struct wy_placement_target *t, double ratio,
+                              int64_t now_ms)
 {
-  t->slowness += PACE_SMOOTHING * (ratio - t->slowness);
-  t->paces++;
-  p->slowness += OVERALL_SMOOTHING * (ratio - p->slowness);
-  if (t->paces >= PACES_MIN && t->slowness > SLOWNESS_MAX * p->slowness)
+  t->slowness += SLOWNESS_SMOOTHING * (ratio - t->slowness);
+  t->slowness_samples++;
+  p->slowness += MEAN_SMOOTHING * (ratio - p->slowness);
+  if (t->slowness_samples >= SLOWNESS_SAMPLES_MIN
+      && t->slowness > SLOWNESS_MAX * p->slowness)
     eject (p, t, now_ms);
 }
 
-/* A stream on SLOT ran at US_PER_TOKEN lately.  Waiting for whole answers
-   would show a slow target only after its slowest answers have ended.  */
+/* Record that a stream on SLOT recently took US_PER_TOKEN.  If only complete
+   responses counted, a slow target would be detected only after its slowest
+   responses have ended.  */
 void
 wy_placement_token_latency (struct wy_placement *p, uint32_t slot,
                             uint32_t us_per_token, int64_t now_ms)
 {
-  struct wy_target *t;
+  struct wy_placement_target *t;
 
   if (slot >= p->o.targets_max || !p->target[slot].used)
     return;
   t = &p->target[slot];
-  wy_target_pace (p, t, us_per_token / expected_us (p, t, now_ms), now_ms);
+  wy_placement_record_slowness (
+      p, t, us_per_token / expected_us (p, t, now_ms), now_ms);
 }
 
-/* Whether T may get work of WORK_CLASS as far as its health goes.  */
+/* Whether the health of T allows it new work of WORK_CLASS.  */
 bool
-wy_target_admits (const struct wy_placement *p, const struct wy_target *t,
-                  enum wy_work_class work_class, int64_t now_ms)
+wy_placement_target_admits (const struct wy_placement *p,
+                            const struct wy_placement_target *t,
+                            enum wy_work_class work_class, int64_t now_ms)
 {
   int64_t since_ms;
 
@@ -133,5 +143,5 @@
   if (since_ms < 0)
     return work_class == WY_CLASS_ROLLOUT && t->rollouts < ROLLOUT_PROBES
            && t->failures == 0;
-  return t->callers + t->rollouts <= (uint64_t)since_ms / RETURN_STEP_MS;
+  return t->callers + t->rollouts <= (uint64_t)since_ms / RAMP_UP_STEP_MS;
 }
--- a/src/decide/placement_rendezvous.c
+++ b/src/decide/placement_rendezvous.c
@@ -1,11 +1,11 @@
-/* Home of a key among the members of a list.  */
+/* Rendezvous hashing.  */
 #include "base/id.h"
 #include "decide/placement.h"
 
-/* The index of the member that is home to KEY, by highest random weight: two
-   entries with the same list agree without talking, and a change of the list
-   moves only the keys of the member that changed.  WY_DECIDE_ENONE for an
-   empty list.  */
+/* The index of the member in IDS, which has N elements, to which KEY is
+   assigned.  Entries with the same list, in whatever order, choose the same
+   member without communication, and adding or removing a member reassigns only
+   its keys.  WY_DECIDE_ENONE for an empty list.  */
 int
 wy_placement_rendezvous (uint64_t key, const uint64_t *ids, uint32_t n)
 {
--- a/src/decide/queue.h
+++ b/src/decide/queue.h
@@ -11,13 +11,13 @@
 
 enum wy_queue_kind
 {
-  WY_QUEUE_ENGINE,  /* streams of tokens, limited by KV memory and batch */
-  WY_QUEUE_SERVICE, /* whole calls, limited by concurrency */
+  WY_QUEUE_ENGINE,  /* token streams, limited by KV memory and batch size */
+  WY_QUEUE_SERVICE, /* plain calls, limited by concurrency */
 };
 
 enum wy_queue_item_state
 {
-  WY_QUEUE_ITEM_NOT_QUEUED, /* not in the queue */
+  WY_QUEUE_ITEM_NOT_QUEUED,
   WY_QUEUE_ITEM_WAITING,
   WY_QUEUE_ITEM_RUNNING,
   WY_QUEUE_ITEM_PAUSED, /* started, holds KV memory, not generating */
@@ -25,46 +25,46 @@
 
 enum wy_admission_kind
 {
-  WY_ADMISSION_RUN, /* running now; the caller starts it */
+  WY_ADMISSION_RUN, /* counts as running; its owner must start it */
   WY_ADMISSION_QUEUED,
-  WY_ADMISSION_REFUSED, /* not run, not kept */
+  WY_ADMISSION_REFUSED, /* not run, not queued */
 };
 
 enum wy_refusal
 {
   WY_REFUSAL_NONE,
   WY_REFUSAL_CLOSING,
-  WY_REFUSAL_DEADLINE,  /* could not be met from here */
-  WY_REFUSAL_FULL,      /* too many wait already */
-  WY_REFUSAL_TOO_LARGE, /* never fits into the target's memory */
+  WY_REFUSAL_DEADLINE,  /* can't be met */
+  WY_REFUSAL_FULL,      /* too many are waiting */
+  WY_REFUSAL_TOO_LARGE, /* exceeds the target's KV memory */
 };
 
-/* One request.  Its owner keeps it in place from the offer until it is out
-   again; a fresh one is all zero.  */
+/* One request.  Zero-initialized by its owner, who must not move or free it
+   while it is in the queue.  */
 struct wy_queue_item
 {
-  /* Set by the owner before the offer.  */
+  /* Set by the owner before wy_queue_offer.  */
   void *data;
   int64_t deadline_ms; /* 0: none */
   enum wy_work_class work_class;
-  uint32_t trainer; /* slot of the trainer; rollout only */
+  uint32_t trainer; /* slot of the trainer; rollouts only */
   uint32_t prompt_tokens;
-  uint32_t cached_tokens;    /* of the prompt, believed in the prefix cache */
+  uint32_t cached_tokens;    /* of the prompt, probably in the prefix cache */
   uint32_t predicted_tokens; /* output; 0 for a plain service */
-  bool suspect;              /* runs alone */
+  bool suspect;              /* may crash the target; must run alone */
 
-  /* Kept by the queue; the owner may read them.  */
-  bool started; /* has run before; the next run is a resume */
-  bool evicted; /* its KV memory was given up; resume from the prefix */
+  /* Maintained by the queue; readable by the owner.  */
+  bool started; /* has run before and will be resumed */
+  bool evicted; /* its KV memory was released; resume from the prefix */
   enum wy_queue_item_state state;
-  uint32_t tokens; /* output so far */
-  uint32_t kv_tokens;
-  uint32_t seen_tokens; /* at the last measurement of its pace */
+  uint32_t tokens;          /* output so far */
+  uint32_t kv_tokens;       /* KV memory charged to it */
+  uint32_t measured_tokens; /* value of tokens at the last measurement */
   int64_t arrived_ms;
-  int64_t start_by_ms; /* later it would miss its deadline */
-  int64_t seen_ms;     /* of the last measurement of its pace, 0: none */
-  int64_t run_ms;      /* start of the present run */
-  int64_t ran_ms;      /* sum of the earlier runs */
+  int64_t start_by_ms;     /* a later start would miss the deadline */
+  int64_t measured_ms;     /* time of the last measurement; 0: none */
+  int64_t run_started_ms;  /* start of the current run */
+  int64_t earlier_runs_ms; /* total duration of earlier runs */
   struct wy_queue_item *prev;
   struct wy_queue_item *next;
 };
@@ -76,27 +76,30 @@
   uint32_t n;
 };
 
-/* Zero means the default for every limit.  */
+/* Zero selects the default.  */
 struct wy_queue_options
 {
   enum wy_queue_kind kind;
-  uint32_t streams_max;        /* running at once */
+  uint32_t streams_max;        /* running concurrently */
   uint32_t shared_streams_max; /* the same while callers are present */
   uint32_t kv_tokens_max;
   uint32_t callers_waiting_max;
   uint32_t rollouts_waiting_max;
-  uint32_t ageing_ms;     /* a rollout waiting longer takes a turn */
-  uint32_t quiet_ms;      /* without callers before rollouts spread out */
-  uint32_t token_base_us; /* first guess of the engine's curve */
-  uint32_t token_stream_us;
+  /* A rollout that waits longer may start before callers.  */
+  uint32_t ageing_ms;
+  /* Time without callers after which rollouts may use all streams.  */
+  uint32_t caller_idle_ms;
+  /* Expected time per output token, and what each stream adds to it.  */
+  uint32_t token_base_us;
+  uint32_t token_per_stream_us;
   uint32_t prefill_token_us;
-  uint32_t service_ms; /* first guess of a call's duration */
+  uint32_t service_ms; /* expected duration of a call */
 };
 
 struct wy_queue_trainer
 {
-  double worth;  /* 0: free slot */
-  double served; /* tokens over worth */
+  double weight;       /* share of rollout tokens relative to other trainers */
+  double virtual_time; /* of weighted fair queuing: tokens / weight */
   struct wy_queue_item_list waiting;
   struct wy_queue_item_list paused;
 };
@@ -109,18 +112,19 @@
   struct wy_queue_item_list running_callers;
   struct wy_queue_item_list running_rollouts;
   struct wy_queue_trainer trainer[WY_QUEUE_TRAINERS_MAX];
-  struct wy_queue_item *alone; /* the suspect that runs now */
+  struct wy_queue_item *isolated; /* running suspect; nothing else may start */
   uint32_t rollouts_waiting;
   uint32_t rollouts_paused;
   uint64_t kv_used_tokens; /* running and paused */
   uint64_t kv_paused_tokens;
-  double caller_ms; /* measured: a caller's time on the target */
-  double pace;      /* measured over expected time of a run */
-  double served_floor;
-  uint32_t starts_since_aged;
-  uint32_t trainers; /* slots in use */
-  int64_t caller_seen_ms;
-  int64_t expire_ms; /* no caller that waits has to start earlier */
+  double caller_ms;          /* smoothed duration of a caller's run */
+  double slowness;           /* smoothed ratio of measured to expected time */
+  double virtual_time_floor; /* highest at the start of a rollout */
+  uint32_t
+      callers_since_rollout; /* started since the last start of a rollout */
+  uint32_t trainers;         /* slots in use */
+  int64_t last_caller_ms;
+  int64_t next_expiry_ms; /* no waiting caller has a lower start_by_ms */
   bool closing;
 };
 
@@ -128,13 +132,13 @@
 {
   enum wy_admission_kind kind;
   enum wy_refusal reason;
-  uint32_t retry_after_ms; /* refused: when to come back, 0: never */
+  uint32_t retry_after_ms; /* when rejected; 0: don't retry here */
 };
 
 enum wy_preempt_kind
 {
   WY_PREEMPT_NONE,
-  WY_PREEMPT_PAUSE, /* stop generating; KV memory stays */
+  WY_PREEMPT_PAUSE, /* stop generating; keep its KV memory */
   WY_PREEMPT_EVICT, /* export or drop its KV memory */
 };
 
@@ -144,22 +148,22 @@
   struct wy_queue_item *item;
 };
 
-/* What a load report carries.  */
+/* Content of a load report.  */
 struct wy_queue_load
 {
   uint32_t callers_running;
   uint32_t callers_waiting;
   uint32_t rollouts_running;
-  uint32_t rollouts_waiting; /* paused ones count */
+  uint32_t rollouts_waiting; /* including paused ones */
   uint32_t streams_max;
   uint32_t kv_free_tokens;
-  uint32_t caller_wait_ms; /* a caller arriving now */
-  uint32_t us_per_token;   /* at the present number of streams */
+  uint32_t caller_wait_ms; /* expected for a caller that arrives now */
+  uint32_t us_per_token;   /* at the current number of streams */
   bool closing;
 };
 
 void wy_queue_init (struct wy_queue *q, const struct wy_queue_options *o);
-int wy_queue_set_trainer (struct wy_queue *q, uint32_t slot, double worth);
+int wy_queue_set_trainer (struct wy_queue *q, uint32_t slot, double weight);
 struct wy_admission wy_queue_offer (struct wy_queue *q,
                                     struct wy_queue_item *it, int64_t now_ms);
 struct wy_queue_item *wy_queue_next (struct wy_queue *q, int64_t now_ms);
--- a/src/decide/queue_estimate.c
+++ b/src/decide/queue_estimate.c
@@ -1,4 +1,4 @@
-/* What the queue expects: how long a run takes, how long a caller waits.  */
+/* Expected duration of a run and expected wait of a caller.  */
 #include <stddef.h>
 
 #include "decide/queue.h"
@@ -6,36 +6,38 @@
 static uint32_t
 us_per_token (const struct wy_queue *q, uint32_t streams)
 {
-  return (uint32_t)(q->pace
+  return (uint32_t)(q->slowness
                     * (q->o.token_base_us
-                       + (double)q->o.token_stream_us * streams));
+                       + (double)q->o.token_per_stream_us * streams));
 }
 
-/* Expected milliseconds of a run of IT, once started, from here on.  */
+/* Expected milliseconds from now until IT ends if it runs without
+   interruption.  */
 uint32_t
 wy_queue_expected_run_ms (const struct wy_queue *q,
                           const struct wy_queue_item *it)
 {
   uint32_t streams = q->running_callers.n + q->running_rollouts.n + 1;
   uint64_t us;
-  uint32_t fresh;
+  uint32_t uncached;
 
   if (q->o.kind == WY_QUEUE_SERVICE)
-    return (uint32_t)(q->pace * q->o.service_ms);
+    return (uint32_t)(q->slowness * q->o.service_ms);
   if (streams > q->o.streams_max)
     streams = q->o.streams_max;
-  fresh = it->prompt_tokens > it->cached_tokens
-              ? it->prompt_tokens - it->cached_tokens
-              : 0;
-  us = (uint64_t)fresh * q->o.prefill_token_us;
+  uncached = it->prompt_tokens > it->cached_tokens
+                 ? it->prompt_tokens - it->cached_tokens
+                 : 0;
+  us = (uint64_t)uncached * q->o.prefill_token_us;
   if (it->predicted_tokens > it->tokens)
     us += (uint64_t)(it->predicted_tokens - it->tokens)
           * us_per_token (q, streams);
   return (uint32_t)(us / 1000);
 }
 
-/* Expected wait of a caller that arrives now.  Rollouts give way at once, so
-   only callers count; the rate at which they leave is measured.  */
+/* Expected wait in milliseconds of a caller that arrives now.  Rollouts are
+   paused immediately, so only callers count; the mean duration of their runs
+   is measured.  */
 uint32_t
 wy_queue_expected_wait_ms (const struct wy_queue *q, int64_t now_ms)
 {
@@ -43,13 +45,13 @@
   double each;
 
   (void)now_ms;
-  if (!q->alone && before == 0 && q->running_callers.n < q->o.streams_max)
+  if (!q->isolated && before == 0 && q->running_callers.n < q->o.streams_max)
     return 0;
   each = q->caller_ms > 0 ? q->caller_ms : q->o.service_ms;
   return (uint32_t)(each * (before + 1) / q->o.streams_max);
 }
 
-/* Fill OUT with what the target reports of its load.  */
+/* Store the load of the target in OUT.  */
 void
 wy_queue_load (const struct wy_queue *q, int64_t now_ms,
                struct wy_queue_load *out)
--- a/src/decide/queue_order.c
+++ b/src/decide/queue_order.c
@@ -1,16 +1,17 @@
-/* Order in which queued work starts, and who gives way.  */
+/* Order in which queued items start, and preemption.  */
 #include "decide/queue_order.h"
 
 #include <stddef.h>
 
 #include "decide/item_list.h"
 
-/* One start in this many goes to a rollout past its ageing time: rollouts
-   progress under callers without end, callers lose at most an eighth.  */
-#define AGED_EVERY 8
-/* A suspect that has waited this long stops new starts, or a busy target
-   would never be empty for it.  */
-#define ALONE_WAIT_MS 2000
+/* At most one rollout past its ageing time per this many callers is started
+   before waiting callers: rollouts progress under a permanent load of callers,
+   which lose at most an eighth.  */
+#define AGED_INTERVAL 8
+/* Nothing else starts once a suspect has waited this long; otherwise a busy
+   target would never become empty for it.  */
+#define ISOLATE_WAIT_MS 2000
 
 static struct wy_queue_item_list *
 waiting_list (struct wy_queue *q, const struct wy_queue_item *it)
@@ -28,7 +29,7 @@
   return it->work_class == WY_CLASS_ROLLOUT && !it->suspect;
 }
 
-/* Put IT among the waiting.  */
+/* Append IT to its wait queue.  */
 void
 wy_queue_enqueue (struct wy_queue *q, struct wy_queue_item *it)
 {
@@ -36,21 +37,23 @@
 
   it->state = WY_QUEUE_ITEM_WAITING;
   wy_queue_item_push (waiting_list (q, it), it);
-  if (it->start_by_ms < q->expire_ms && it->work_class != WY_CLASS_ROLLOUT)
-    q->expire_ms = it->start_by_ms;
+  if (it->start_by_ms < q->next_expiry_ms
+      && it->work_class != WY_CLASS_ROLLOUT)
+    q->next_expiry_ms = it->start_by_ms;
   if (!counts_as_rollout (it))
     return;
   if (it->trainer >= q->trainers)
     q->trainers = it->trainer + 1;
   q->rollouts_waiting++;
   t = &q->trainer[it->trainer];
-  /* A trainer that was away must not come back with a credit that shuts the
-     others out.  */
-  if (t->waiting.n == 1 && t->paused.n == 0 && t->served < q->served_floor)
-    t->served = q->served_floor;
+  /* A trainer that had nothing queued must not return with a low virtual time,
+     with which it would get all streams for a while.  */
+  if (t->waiting.n == 1 && t->paused.n == 0
+      && t->virtual_time < q->virtual_time_floor)
+    t->virtual_time = q->virtual_time_floor;
 }
 
-/* Take IT from among the waiting.  */
+/* Remove IT from its wait queue.  */
 void
 wy_queue_dequeue (struct wy_queue *q, struct wy_queue_item *it)
 {
@@ -69,12 +72,12 @@
 callers_present (const struct wy_queue *q, int64_t now_ms)
 {
   return q->running_callers.n + q->callers.n > 0
-         || now_ms - q->caller_seen_ms < (int64_t)q->o.quiet_ms;
+         || now_ms - q->last_caller_ms < (int64_t)q->o.caller_idle_ms;
 }
 
-/* How many streams may run if the next is a rollout.  */
+/* The number of streams that may run if the next one is a rollout.  */
 static uint32_t
-rollout_cap (const struct wy_queue *q, int64_t now_ms)
+rollout_streams_max (const struct wy_queue *q, int64_t now_ms)
 {
   return callers_present (q, now_ms) ? q->o.shared_streams_max
                                      : q->o.streams_max;
@@ -89,13 +92,13 @@
 }
 
 static struct wy_queue_item *
-first_of (const struct wy_queue_trainer *t)
+first_rollout (const struct wy_queue_trainer *t)
 {
   return t->paused.head ? t->paused.head : t->waiting.head;
 }
 
-/* The rollout whose turn it is: that of the trainer served least for its
-   worth; among its own, paused ones first, which hold memory.  */
+/* The next rollout by weighted fair queuing: of the trainer with the lowest
+   virtual time, paused ones first, as they occupy memory.  */
 static struct wy_queue_item *
 next_rollout (const struct wy_queue *q)
 {
@@ -107,10 +110,10 @@
     {
       const struct wy_queue_trainer *t = &q->trainer[i];
 
-      if (first_of (t) && (!best || t->served < best->served))
+      if (first_rollout (t) && (!best || t->virtual_time < best->virtual_time))
         best = t;
     }
-  return best ? first_of (best) : NULL;
+  return best ? first_rollout (best) : NULL;
 }
 
 static void
@@ -129,50 +132,50 @@
       wy_queue_dequeue (q, it);
       q->kv_used_tokens += it->kv_tokens;
     }
-  if (rollout && q->trainer[it->trainer].served > q->served_floor)
-    q->served_floor = q->trainer[it->trainer].served;
+  if (rollout && q->trainer[it->trainer].virtual_time > q->virtual_time_floor)
+    q->virtual_time_floor = q->trainer[it->trainer].virtual_time;
   if (it->suspect)
-    q->alone = it;
+    q->isolated = it;
   wy_queue_item_push (rollout ? &q->running_rollouts : &q->running_callers,
                       it);
   it->state = WY_QUEUE_ITEM_RUNNING;
-  it->run_ms = now_ms;
-  it->seen_ms = 0;
+  it->run_started_ms = now_ms;
+  it->measured_ms = 0;
 }
 
 static bool
-suspect_due (const struct wy_queue *q, int64_t now_ms)
+suspect_is_overdue (const struct wy_queue *q, int64_t now_ms)
 {
   return q->suspects.head
-         && now_ms - q->suspects.head->arrived_ms >= ALONE_WAIT_MS;
+         && now_ms - q->suspects.head->arrived_ms >= ISOLATE_WAIT_MS;
 }
 
 static bool
 rollout_may_start (const struct wy_queue *q, const struct wy_queue_item *it,
                    int64_t now_ms)
 {
-  return it && running (q) < rollout_cap (q, now_ms) && fits (q, it);
+  return it && running (q) < rollout_streams_max (q, now_ms) && fits (q, it);
 }
 
 static bool
 aged_turn (const struct wy_queue *q, const struct wy_queue_item *it,
            int64_t now_ms)
 {
-  return it && q->starts_since_aged >= AGED_EVERY
+  return it && q->callers_since_rollout >= AGED_INTERVAL
          && now_ms - it->arrived_ms >= (int64_t)q->o.ageing_ms;
 }
 
-/* The item that may start now, left where it is; NULL when there is none.  */
+/* The item that may start now, which is not removed; NULL if there is none. */
 static struct wy_queue_item *
 candidate (const struct wy_queue *q, int64_t now_ms)
 {
   struct wy_queue_item *r = next_rollout (q);
 
-  if (q->alone)
+  if (q->isolated)
     return NULL;
   if (q->suspects.head && running (q) == 0)
     return q->suspects.head;
-  if (suspect_due (q, now_ms))
+  if (suspect_is_overdue (q, now_ms))
     return NULL;
   if (running (q) >= q->o.streams_max)
     return NULL;
@@ -187,14 +190,14 @@
 count_start (struct wy_queue *q, const struct wy_queue_item *it)
 {
   if (it->work_class == WY_CLASS_ROLLOUT)
-    q->starts_since_aged = 0;
+    q->callers_since_rollout = 0;
   else
-    q->starts_since_aged++;
+    q->callers_since_rollout++;
 }
 
-/* The next item to start, or to resume when its `started' was set before the
-   call returned it earlier; it runs from now on.  NULL when nothing may
-   start.  */
+/* Remove the next item to run from its wait queue; it counts as running.  It
+   must be resumed if its `started' is set, otherwise started.  NULL if nothing
+   may start.  */
 struct wy_queue_item *
 wy_queue_next (struct wy_queue *q, int64_t now_ms)
 {
@@ -207,7 +210,7 @@
   return it;
 }
 
-/* Start IT, just queued, if it is the one whose turn it is.  */
+/* Start IT, which was just queued, if it is next.  */
 void
 wy_queue_start_if_first (struct wy_queue *q, struct wy_queue_item *it,
                          int64_t now_ms)
@@ -227,7 +230,7 @@
   if (!it)
     return p;
   wy_queue_item_unlink (&q->running_rollouts, it);
-  it->ran_ms += now_ms - it->run_ms;
+  it->earlier_runs_ms += now_ms - it->run_started_ms;
   it->started = true;
   it->state = WY_QUEUE_ITEM_PAUSED;
   wy_queue_item_push_front (&q->trainer[it->trainer].paused, it);
@@ -244,7 +247,7 @@
 
   for (uint32_t i = 0; i < q->trainers; i++)
     if (q->trainer[i].paused.n
-        && (!most || q->trainer[i].served > most->served))
+        && (!most || q->trainer[i].virtual_time > most->virtual_time))
       most = &q->trainer[i];
   if (!most)
     return p;
@@ -261,21 +264,21 @@
   return p;
 }
 
-/* Which rollout must give way now: callers wait for a place or for memory,
-   or run beside more streams than they should.  Call until it says none, then
-   call wy_queue_next.  The item is already paused (or waits again, evicted)
-   when the call returns it.  */
+/* Pause or evict a rollout if callers wait for a stream or for memory, or if
+   more streams run beside callers than allowed.  To be called until it returns
+   WY_PREEMPT_NONE, and then wy_queue_next.  The returned item counts as paused
+   already, or, if evicted, as waiting.  */
 struct wy_preempt
 wy_queue_preempt (struct wy_queue *q, int64_t now_ms)
 {
   struct wy_preempt none = { WY_PREEMPT_NONE, NULL };
   const struct wy_queue_item *head = q->callers.head;
-  bool alone = suspect_due (q, now_ms) && !q->alone;
+  bool isolate = suspect_is_overdue (q, now_ms) && !q->isolated;
 
-  if (q->alone)
+  if (q->isolated)
     return none;
   if (q->running_rollouts.n > 0
-      && (alone
+      && (isolate
           || (callers_present (q, now_ms)
               && running (q) + (head ? 1 : 0) > q->o.shared_streams_max)))
     return pause_last (q, now_ms);
--- a/src/decide/queue_order.h
+++ b/src/decide/queue_order.h
@@ -1,4 +1,4 @@
-/* Order in which queued work starts; inside the package only.  */
+/* Order in which queued items start; private to the queue modules.  */
 #ifndef WY_DECIDE_QUEUE_ORDER_H
 #define WY_DECIDE_QUEUE_ORDER_H
 
--- a/src/decide/retry.h
+++ b/src/decide/retry.h
@@ -1,4 +1,4 @@
-/* Retry budget over all requests of one entry.  */
+/* Retry budget shared by all requests of a client.  */
 #ifndef WY_DECIDE_RETRY_H
 #define WY_DECIDE_RETRY_H
 
@@ -7,14 +7,14 @@
 struct wy_retry_options
 {
   uint32_t percent; /* retries per 100 first attempts */
-  uint32_t burst;   /* retries that may be saved up */
+  uint32_t burst;   /* unused retries that may accumulate */
 };
 
 struct wy_retry_budget
 {
   uint32_t percent;
-  uint32_t cap_percent;
-  uint32_t saved_percent;
+  uint32_t cap_percent;       /* limit of available_percent */
+  uint32_t available_percent; /* 100 per retry */
   uint64_t requests;
   uint64_t retries;
   uint64_t denied;
--- a/src/decide/ring.c
+++ b/src/decide/ring.c
@@ -1,12 +1,12 @@
 /* Assignment of monitors on a ring of members.
 
-   If every member read the heartbeats of all others, the rows read would grow
-   with the square of the fleet.  On a ring each member reads those of a fixed
-   number of successors and is read by as many predecessors, so that a failure
-   is detected even if some of these fail at the same time.  When many members
-   fail at once, as with an availability zone, all predecessors of a failed
-   member may have failed as well; so a member extends its range beyond
-   successors that are late.  */
+   If every member read the heartbeats of all others, the number of rows read
+   would grow with the square of the number of members.  On a ring each member
+   reads those of a fixed number of successors and is read by as many
+   predecessors, so that a failure is detected even if some of these fail at
+   the same time.  When many members fail at once, as with an availability
+   zone, all predecessors of a failed member may have failed as well; so a
+   member extends its range beyond successors that are late.  */
 #include "decide/ring.h"
 
 enum
--- a/src/decide/ring.h
+++ b/src/decide/ring.h
@@ -1,5 +1,5 @@
 /* A ring of members, ordered by the hashes of their names, on which each
-   monitors its successors.  */
+   member monitors its successors.  */
 #ifndef WY_DECIDE_RING_H
 #define WY_DECIDE_RING_H
 
--- a/src/decide/run_progress.c
+++ b/src/decide/run_progress.c
@@ -1,33 +1,33 @@
-/* How a run gets on, against the usual time of an event.
+/* Progress of a run, compared with the typical time per event.
 
-   The load answered is a step that waits for its longest items, of some ninety
-   events each, while a fifth of the targets turn several times slower for some
-   seconds, load weights, or go dark.  A run that stays there for long ends
-   last and holds up its whole step.  */
+   A training step waits for its longest items, of about 90 events each.
+   Meanwhile a fifth of the targets may become several times slower for some
+   seconds, load weights, or become unreachable.  A run that stays on such a
+   target ends last and delays the whole step.  */
 #include "decide/run_progress.h"
 
 #include <glib.h>
 
 enum
 {
-  /* A run is moved to another target, which reads its prompt and text again
-     in some ten ms, when it has made no headway for this many events of the
-     usual pace.  A target that loads weights stands still for about a second;
-     one that has gone dark, for longer.  */
+  /* A run is stalled if it got no event for the typical time of this many.
+     Moving it costs some ten ms, in which the other target processes the
+     prompt and the partial text again.  A target that loads weights produces
+     nothing for about a second; an unreachable one, for longer.  */
   STALL_EVENTS = 5,
   STALL_MIN_MS = 150,
-  /* Before its first event a run may have to wait its turn.  */
+  /* Before its first event a run may be queued at the target.  */
   FIRST_STALL_EVENTS = 9,
   FIRST_STALL_MIN_MS = 300
 };
 
-/* Two events in a row this much slower than usual tell a slow target; one
-   alone may be chance, or a load of weights.  The pace over the whole run says
-   too little: one that was sound for some seconds would stay for as long again
-   where its target has turned slow.  */
+/* A target is slow if two consecutive events took this many times the typical
+   time; a single one may be chance or a load of weights.  The mean of the
+   whole run would react too late: after some seconds at normal speed, a run
+   would stay on a slow target for about as long again.  */
 static const double slow_factor = 1.7;
 
-/* How the run of O gets on; sound, while the usual time is not known.  */
+/* The progress of the run of O; normal while the typical time is unknown.  */
 enum wy_run_progress
 wy_run_progress_assess (const struct wy_run_progress_options *o)
 {
--- a/src/decide/run_progress.h
+++ b/src/decide/run_progress.h
@@ -1,4 +1,5 @@
-/* Whether a run of an item gets on, or is better off on another target.  */
+/* Whether a run of a job item makes normal progress or should be moved to
+   another target.  */
 #ifndef WY_DECIDE_RUN_PROGRESS_H
 #define WY_DECIDE_RUN_PROGRESS_H
 
@@ -8,20 +9,20 @@
 {
   WY_RUN_PROGRESS_NORMAL,
   WY_RUN_PROGRESS_STALLED, /* no event for too long */
-  WY_RUN_PROGRESS_SLOW     /* events come, but too slowly */
+  WY_RUN_PROGRESS_SLOW     /* events arrive, but too slowly */
 };
 
 struct wy_run_progress_options
 {
-  uint32_t n_events;
+  uint32_t n_events;        /* received */
   int64_t silent_ms;        /* since the last event, or the start */
-  double last_event_ms;     /* that the last event took; 0: not known */
-  double previous_event_ms; /* the same of the one before it */
-  double typical_event_ms;  /* of an event at most targets; 0: not known */
+  double last_event_ms;     /* time that the last event took; 0: unknown */
+  double previous_event_ms; /* the same for the event before it */
+  double typical_event_ms;  /* time per event at most targets; 0: unknown */
 };
 
-/* A target is sound enough to take a moved run over if its events take no
-   longer than this many usual ones.  */
+/* A run is moved only to a target whose time per event is at most this many
+   times the typical one.  */
 #define WY_RUN_PROGRESS_NORMAL_FACTOR 1.3
 
 enum wy_run_progress
--- a/src/decide/scaling.h
+++ b/src/decide/scaling.h
@@ -1,28 +1,28 @@
-/* How many replicas a service is to have in an availability zone.  */
+/* Number of replicas of a service in an availability zone.  */
 #ifndef WY_DECIDE_SCALING_H
 #define WY_DECIDE_SCALING_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What is known at one moment.  */
+/* Load and limits at one time.  */
 struct wy_scaling_load
 {
-  uint32_t minimum; /* bounds of the answer */
+  uint32_t minimum; /* limits of the number of replicas */
   uint32_t maximum;
-  uint32_t boot_ms;  /* from the order to the first request served */
-  uint32_t slots;    /* of one replica */
-  double busy_slots; /* slots in use, averaged over a second or so */
-  bool all_reported; /* all who send requests have told */
+  uint32_t boot_ms;  /* from starting a replica to its first request */
+  uint32_t slots;    /* per replica */
+  double busy_slots; /* averaged over about a second */
+  bool all_reported; /* all entries that send requests have reported */
 };
 
-/* The decision so far; desired is to be set to the replicas that there are. */
+/* Desired number of replicas.  Initialize desired with the current number.  */
 struct wy_scaling
 {
   uint32_t desired;
-  bool is_low; /* fewer would do, */
-  int64_t low_since_ms;
-  uint32_t low_peak; /* though so many were wanted meanwhile */
+  bool has_surplus; /* fewer replicas would suffice */
+  int64_t surplus_since_ms;
+  uint32_t surplus_replicas_max; /* most replicas needed since then */
 };
 
 uint32_t wy_scaling_next (struct wy_scaling *s,
--- a/src/decide/scoring.h
+++ b/src/decide/scoring.h
@@ -1,4 +1,4 @@
-/* When and where the texts of a job's items are scored.  */
+/* Scheduling of calls that score the texts of job items.  */
 #ifndef WY_DECIDE_SCORING_H
 #define WY_DECIDE_SCORING_H
 
@@ -7,17 +7,17 @@
 
 enum
 {
-  /* Slots of each target that calls for scores leave to people.  Their entries
-     do not know which target has a free one, so each needs it.  More do not
-     help them: what they leave is not used, and steps end later.  */
+  /* Slots of each target that score calls leave free for callers' requests.
+     Entries don't know which target has a free slot, so each target needs one.
+     More have no effect on those requests and delay steps.  */
   WY_SCORING_RESERVED_SLOTS = 1
 };
 
-/* A text that waits for its score.  */
+/* A text to be scored.  */
 struct wy_scoring_candidate
 {
   uint32_t group_missing; /* items of its group without a result */
-  int64_t since_ms;
+  int64_t since_ms;       /* start of its wait */
 };
 
 bool wy_scoring_precedes (const struct wy_scoring_candidate *a,
@@ -25,6 +25,6 @@
 int64_t wy_scoring_hedge_delay_ms (double typical_ms,
                                    uint32_t target_latency_ms);
 double wy_scoring_latency_limit_ms (double typical_ms);
-int64_t wy_scoring_backoff_ms (uint32_t broken);
+int64_t wy_scoring_backoff_ms (uint32_t failures);
 
 #endif
--- a/src/decide/steps.c
+++ b/src/decide/steps.c
@@ -1,23 +1,25 @@
-/* State of one training step's samples.  */
+/* State of the samples of one training step.  */
 #include "decide/steps.h"
 
 #include <stdlib.h>
 
 #include "decide/steps_state.h"
 
-/* Room per group for over-issued and replaced samples; a group that used
-   it up issues no more, and its trainer is told that the step fails.  */
+/* Limit of samples per group, including extra and replacement ones, as a
+   multiple of those needed.  When a group has reached it no more are started,
+   and the trainer gets a failure of the step.  */
 #define SPARE_FACTOR 3
-/* Past this many times the prediction a sample counts as overdue.  When a
-   trainer waits for the last samples of a step, a replacement is worth the
-   work it may cost; before, there is time to see whether the sample ends.  */
+/* A sample is overdue when longer than this many times its predicted length.
+   The limit is lower while the trainer waits only for the last samples of a
+   step, when a replacement is worth the extra work; earlier there is time to
+   wait for the sample.  */
 #define OVERDUE_LAST 2
 #define OVERDUE_EARLY 4
-/* The last samples are this part of the step.  */
-#define LAST_PART 16
+/* The last 1 / LAST_SAMPLES_DIVISOR of the samples of a step.  */
+#define LAST_SAMPLES_DIVISOR 16
 
-/* A step without predictions and nothing issued; NULL when memory or the
-   options don't allow it.  */
+/* A new step, without predictions and started samples.  NULL if memory is
+   exhausted or O has no groups or no samples per group.  */
 struct wy_step *
 wy_step_new (const struct wy_step_options *o)
 {
@@ -43,7 +45,6 @@
   return s;
 }
 
-/* Free S; NULL is fine.  */
 void
 wy_step_free (struct wy_step *s)
 {
@@ -55,7 +56,7 @@
   free (s);
 }
 
-/* Each sample of GROUP is expected to take PREDICTED_TOKENS.  */
+/* Set the expected length of the samples of GROUP.  */
 void
 wy_step_predict (struct wy_step *s, uint32_t group, uint32_t predicted_tokens)
 {
@@ -72,7 +73,7 @@
   return sample / s->per_group;
 }
 
-/* Sample numbers are below this.  */
+/* Upper limit (exclusive) of sample numbers.  */
 uint32_t
 wy_step_samples_max (const struct wy_step *s)
 {
@@ -87,19 +88,20 @@
   return &s->sample[sample];
 }
 
-/* Whether the trainer of S waits for no more than its last samples.  */
+/* Whether the trainer of S waits only for its last samples.  */
 static bool
-last_samples (const struct wy_step *s)
+awaits_last_samples (const struct wy_step *s)
 {
   uint32_t all = s->o.groups * s->o.group_samples;
 
-  return s->due && (uint64_t)(all - s->accepted) * LAST_PART <= all;
+  return s->version_is_active
+         && (uint64_t)(all - s->accepted) * LAST_SAMPLES_DIVISOR <= all;
 }
 
-/* SAMPLE has TOKENS by now and runs at US_PER_TOKEN, WY_STEP_STALLED_US when
-   it waits.  One that is well past its prediction no longer counts for its
-   group: another is issued beside it, and the first to end is taken.  Waiting
-   for it alone would hold the whole step for one sample in a hundred.  */
+/* Record that SAMPLE has produced TOKENS so far and takes US_PER_TOKEN, or
+   WY_STEP_STALLED_US while it waits.  An overdue sample no longer counts for
+   its group: another one is started in addition, and the first to end is
+   accepted.  Otherwise one sample in a hundred would delay the whole step.  */
 void
 wy_step_progress (struct wy_step *s, uint32_t sample, uint32_t tokens,
                   uint32_t us_per_token)
@@ -114,7 +116,7 @@
   m->us_per_token = us_per_token;
   g = &s->group[wy_step_group_of (s, sample)];
   limit = (uint64_t)g->predicted_tokens
-          * (last_samples (s) ? OVERDUE_LAST : OVERDUE_EARLY);
+          * (awaits_last_samples (s) ? OVERDUE_LAST : OVERDUE_EARLY);
   if (m->overdue || tokens <= limit)
     return;
   m->overdue = true;
@@ -123,7 +125,7 @@
 }
 
 static void
-stops_running (struct wy_step_group *g, const struct wy_step_sample *m)
+count_stopped (struct wy_step_group *g, const struct wy_step_sample *m)
 {
   g->running--;
   if (m->overdue)
@@ -136,11 +138,12 @@
   struct wy_step_group *g = &s->group[wy_step_group_of (s, sample)];
 
   s->sample[sample].state = WY_SAMPLE_DROPPED;
-  stops_running (g, &s->sample[sample]);
+  count_stopped (g, &s->sample[sample]);
   s->cursor = 0;
 }
 
-/* SAMPLE ended; its oldest segment is of OLDEST_VERSION.  */
+/* SAMPLE ended with TOKENS; its oldest segment is of OLDEST_VERSION of the
+   weights.  Returns whether it is accepted.  */
 enum wy_step_verdict
 wy_step_done (struct wy_step *s, uint32_t sample, uint64_t oldest_version,
               uint32_t tokens)
@@ -164,13 +167,13 @@
       return WY_STEP_VERDICT_SURPLUS;
     }
   m->state = WY_SAMPLE_ACCEPTED;
-  stops_running (g, m);
+  count_stopped (g, m);
   g->accepted++;
   s->accepted++;
   return WY_STEP_VERDICT_ACCEPT;
 }
 
-/* SAMPLE was lost or can't be proven; another is issued in its place.  */
+/* SAMPLE was lost or can't be verified: it will be replaced.  */
 void
 wy_step_failed (struct wy_step *s, uint32_t sample)
 {
@@ -180,7 +183,7 @@
     drop (s, sample);
 }
 
-/* SAMPLE was moved; it is not moved again.  */
+/* SAMPLE was moved; it won't be moved again.  */
 void
 wy_step_moved (struct wy_step *s, uint32_t sample)
 {
@@ -190,21 +193,22 @@
     m->moved = true;
 }
 
-/* Whether every group has its samples.  */
+/* Whether all groups are complete.  */
 bool
 wy_step_is_complete (const struct wy_step *s)
 {
   return s->accepted == s->o.groups * s->o.group_samples;
 }
 
-/* How many samples are accepted.  */
+/* The number of accepted samples.  */
 uint32_t
 wy_step_accepted (const struct wy_step *s)
 {
   return s->accepted;
 }
 
-/* Fill OUT with the accepted samples, by group; how many.  */
+/* Store the accepted samples in OUT, by group, OUT_MAX at most.  Returns their
+   number.  */
 uint32_t
 wy_step_batch (const struct wy_step *s, uint32_t *out, uint32_t out_max)
 {
@@ -217,8 +221,8 @@
 }
 
 /* Whether a sample whose oldest segment is of OLDEST_VERSION may be used by a
-   trainer at TRAINER_VERSION.  Asked when a batch is fixed and again when it
-   is handed out, for the trainer may have moved on in between.  */
+   trainer at TRAINER_VERSION.  To be checked when a batch is fixed and again
+   when the trainer gets it, as its version may have changed in between.  */
 bool
 wy_sample_eligible (uint64_t oldest_version, uint64_t trainer_version,
                     uint32_t staleness_max)
@@ -227,8 +231,9 @@
          || trainer_version - oldest_version <= staleness_max;
 }
 
-/* The trainer takes the batch at TRAINER_VERSION: drop the accepted samples
-   that are too old for it; how many.  They are issued anew.  */
+/* The trainer will take the batch at TRAINER_VERSION: drop the accepted
+   samples that are too old for it, so that they are replaced.  Returns their
+   number.  */
 uint32_t
 wy_step_drop_stale (struct wy_step *s, uint64_t trainer_version)
 {
--- a/src/decide/steps.h
+++ b/src/decide/steps.h
@@ -1,5 +1,4 @@
-/* One training step: which sample to issue when, and when to give up on
-   one.  */
+/* One training step: which samples to start when, and which to abandon.  */
 #ifndef WY_DECIDE_STEPS_H
 #define WY_DECIDE_STEPS_H
 
@@ -13,29 +12,28 @@
   WY_SAMPLE_PLANNED,
   WY_SAMPLE_RUNNING,
   WY_SAMPLE_ACCEPTED,
-  WY_SAMPLE_DROPPED, /* stale, surplus or given up */
+  WY_SAMPLE_DROPPED, /* stale, surplus, or failed */
 };
 
 enum wy_step_verdict
 {
   WY_STEP_VERDICT_ACCEPT,
-  WY_STEP_VERDICT_STALE,   /* older than the bound; the place is open again */
-  WY_STEP_VERDICT_SURPLUS, /* its group is whole without it */
+  WY_STEP_VERDICT_STALE,   /* its weights are too old; it has to be replaced */
+  WY_STEP_VERDICT_SURPLUS, /* its group is complete without it */
 };
 
-/* Pace of a sample that waits or is paused.  */
+/* Time per token of a sample that waits or is paused.  */
 #define WY_STEP_STALLED_US UINT32_MAX
 
 enum wy_straggler_action
 {
   WY_STRAGGLER_NONE,
-  WY_STRAGGLER_MOVE,   /* to an emptier replica, by KV export and import */
-  WY_STRAGGLER_DROP,   /* stop it; wy_step_issue gives a replacement */
+  WY_STRAGGLER_MOVE,   /* to a less loaded replica, by KV export and import */
+  WY_STRAGGLER_DROP,   /* stop it; wy_step_issue starts a replacement */
   WY_STRAGGLER_CANCEL, /* stop it; nothing replaces it */
 };
 
-/* The one set of knobs of a yard.  Only the proportion of the weights
-   counts.  */
+/* Cost of stale samples and of idle engines.  Only the ratio matters.  */
 struct wy_step_cost_weights
 {
   double staleness;
@@ -45,39 +43,36 @@
 struct wy_step_options
 {
   uint64_t step;
-  uint64_t version; /* the trainer's when it takes the batch */
+  uint64_t version; /* that the trainer will have when it takes the batch */
   uint32_t groups;
-  uint32_t group_samples; /* that make a group whole */
-  uint32_t staleness_max; /* versions */
+  uint32_t group_samples; /* per complete group */
+  uint32_t staleness_max; /* in versions */
   struct wy_step_cost_weights weights;
 };
 
-/* What the yard knows at the time of a decision.  */
+/* State of the engines at the time of a decision.  */
 struct wy_step_inputs
 {
   int64_t now_ms;
-  uint64_t version;        /* that engines generate with */
-  int64_t next_version_ms; /* expected activation, 0: unknown */
+  uint64_t version;        /* of the weights that the engines use */
+  int64_t next_version_ms; /* expected next activation; 0: unknown */
   uint32_t version_period_ms;
-  uint32_t us_per_token;      /* that a new stream would see */
-  uint32_t best_us_per_token; /* on the emptiest replica */
+  uint32_t us_per_token;      /* expected for a new stream */
+  uint32_t best_us_per_token; /* on the least loaded replica */
   uint32_t free_streams;
-  bool may_over_issue; /* they would stay empty: over-issue is welcome */
+  bool may_over_issue; /* free streams would stay idle otherwise */
 };
 
 struct wy_step_issuance
 {
   bool is_issued;
-  bool extra; /* over-issued */
+  bool extra; /* in excess of the group's samples */
   uint32_t group;
   uint32_t sample;
 };
 
 struct wy_straggler
 {
-  /* Pace of a sample that waits or is paused.  */
-#define WY_STEP_STALLED_US UINT32_MAX
-
   enum wy_straggler_action action;
   uint32_t sample;
 };
--- a/src/decide/steps_issue.c
+++ b/src/decide/steps_issue.c
@@ -1,19 +1,19 @@
-/* Which sample to issue next, and what to do with stragglers.  */
+/* Choice of the next sample to start, and handling of stragglers.  */
 #include <stddef.h>
 
 #include "decide/steps_state.h"
 
-/* Over-issued samples per group: one straggler in a group no longer holds the
-   step.  One in eight costs an eighth of the engines' work at most, and only
-   when streams are free.  */
-#define EXTRA_SHARE 8
-/* Moving a stream must at least halve what is left of it to be worth the
+/* One extra sample per group for each EXTRA_DIVISOR needed or part of it, so
+   that a single straggler doesn't delay the step.  They cost at most an eighth
+   of the engines' work, and are started only if streams are free.  */
+#define EXTRA_DIVISOR 8
+/* Moving a stream must at least halve its remaining time to be worth the
    export and import.  */
 #define MOVE_GAIN 2
 
-/* Longest first; a long sample begun last ends the step late with all other
-   streams empty.  An insertion sort keeps equal groups in order; it runs once
-   per step.  */
+/* Sort the groups, longest first: a long sample started last would end long
+   after all others, with the other streams idle.  An insertion sort is stable,
+   and runs only once per step.  */
 static void
 sort_groups (struct wy_step *s)
 {
@@ -35,11 +35,11 @@
   s->cursor = 0;
 }
 
-/* How many samples of a step may be issued AHEAD versions before the one its
-   trainer will have.  Each is that much older when used, so they weigh on
-   staleness; without them the engines run empty while the last samples of the
-   step before end, so they save idle time.  With both weighed alike all may
-   be a version ahead, none two.  */
+/* The number of samples of a step that may be started with weights AHEAD
+   versions older than those its trainer will have.  They increase staleness,
+   but without them engines would be idle while the last samples of the
+   previous step end.  With equal cost weights, all samples may be one version
+   ahead and none two.  */
 uint32_t
 wy_step_ahead_max (const struct wy_step_options *o, uint64_t ahead)
 {
@@ -58,15 +58,15 @@
 }
 
 static bool
-may_go_ahead (const struct wy_step *s, const struct wy_step_inputs *now)
+may_issue_ahead (const struct wy_step *s, const struct wy_step_inputs *now)
 {
   if (now->version >= s->o.version)
     return true;
   return s->ahead < wy_step_ahead_max (&s->o, s->o.version - now->version);
 }
 
-/* Whether a sample of GROUP that starts now ends within the bound.  One that
-   can't is work thrown away, and its streams are missing elsewhere.  */
+/* Whether a sample of G that starts now will end before it is too stale.  If
+   not, it would be discarded and only use streams that others need.  */
 static bool
 ends_within_bound (const struct wy_step *s, const struct wy_step_group *g,
                    const struct wy_step_inputs *now)
@@ -87,7 +87,7 @@
 }
 
 static uint32_t
-lacking (const struct wy_step *s, const struct wy_step_group *g)
+missing_samples (const struct wy_step *s, const struct wy_step_group *g)
 {
   uint32_t have = g->accepted + g->running - g->overdue;
 
@@ -129,7 +129,7 @@
 static uint32_t
 extras_per_group (const struct wy_step *s)
 {
-  return (s->o.group_samples + EXTRA_SHARE - 1) / EXTRA_SHARE;
+  return (s->o.group_samples + EXTRA_DIVISOR - 1) / EXTRA_DIVISOR;
 }
 
 static struct wy_step_issuance
@@ -150,33 +150,33 @@
   return none;
 }
 
-/* The next sample to start, if any should start now.  Call it while streams
-   are free.  */
+/* The next sample to start, if any should start now.  To be called repeatedly
+   while streams are free.  */
 struct wy_step_issuance
 wy_step_issue (struct wy_step *s, const struct wy_step_inputs *now)
 {
   struct wy_step_issuance none = { 0 };
 
-  s->due = now->version >= s->o.version;
+  s->version_is_active = now->version >= s->o.version;
   if (now->free_streams == 0)
     return none;
-  if (!may_go_ahead (s, now))
+  if (!may_issue_ahead (s, now))
     return none;
   if (!s->sorted)
     sort_groups (s);
   while (s->cursor < s->o.groups
-         && lacking (s, &s->group[s->order[s->cursor]]) == 0)
+         && missing_samples (s, &s->group[s->order[s->cursor]]) == 0)
     s->cursor++;
   for (uint32_t i = s->cursor; i < s->o.groups; i++)
-    if (lacking (s, &s->group[s->order[i]]) > 0
+    if (missing_samples (s, &s->group[s->order[i]]) > 0
         && may_issue (s, s->order[i], now))
       return issue (s, s->order[i], false, now);
   return now->may_over_issue ? issue_extra (s, now) : none;
 }
 
 static enum wy_straggler_action
-judge (const struct wy_step *s, uint32_t sample,
-       const struct wy_step_inputs *now)
+action_for (const struct wy_step *s, uint32_t sample,
+            const struct wy_step_inputs *now)
 {
   const struct wy_step_sample *m = &s->sample[sample];
   const struct wy_step_group *g = &s->group[wy_step_group_of (s, sample)];
@@ -193,10 +193,10 @@
   return WY_STRAGGLER_NONE;
 }
 
-/* A running sample that needs something done, and what.  A sample to drop or
-   cancel is out of the step when the call returns; one to move is reported
-   by wy_step_moved.  Call until it says none, which ends one pass over all
-   samples.  */
+/* The next running sample that needs an action, and which.  A sample to be
+   dropped or cancelled has already left the step when the call returns; for
+   one that is moved, wy_step_moved must be called.  To be called until the
+   action is WY_STRAGGLER_NONE, which ends one pass over all samples.  */
 struct wy_straggler
 wy_step_straggler (struct wy_step *s, const struct wy_step_inputs *now)
 {
@@ -208,7 +208,7 @@
 
       if (s->sample[i].state != WY_SAMPLE_RUNNING)
         continue;
-      r.action = judge (s, i, now);
+      r.action = action_for (s, i, now);
       r.sample = i;
       if (r.action == WY_STRAGGLER_NONE)
         continue;
--- a/src/decide/suspect.c
+++ b/src/decide/suspect.c
@@ -1,10 +1,10 @@
 /* Requests that crash the targets that run them.
 
-   Now and then one request crashes each target that runs it, and its caller
-   sends it again; unchecked it walks through all replicas.  One notices by
-   crashes that follow the same key or body.  What ran during a crash is
-   suspect, runs alone from then on, and is refused once two targets crashed
-   under it.  */
+   A request that crashes each target that runs it would, repeated by its
+   caller, crash one replica after another.  It is identified by its key or
+   body.  All requests that were running on a target that crashed are suspect:
+   they run in isolation from then on, and are rejected once two targets
+   crashed while running them.  */
 #include "decide/suspect.h"
 
 #include <stddef.h>
@@ -12,12 +12,12 @@
 
 #include "base/id.h"
 
-/* Callers give up sending the same request well within this time; a wrong
-   suspicion ends by itself.  */
+/* Callers stop repeating a request well within this time.  It also ends a
+   wrong suspicion.  */
 #define TTL_MS INT64_C (1800000)
 
-/* The fingerprint of a request: of its KEY when it has one, else of its body;
-   never 0.  */
+/* The fingerprint of a request: a hash of its KEY, or of its body if KEY is
+   NULL or empty; never 0.  */
 uint64_t
 wy_fingerprint (const char *key, const void *body, uint64_t size_bytes)
 {
@@ -27,7 +27,6 @@
   return h ? h : 1;
 }
 
-/* Make S empty.  */
 void
 wy_suspects_init (struct wy_suspects *s)
 {
@@ -52,12 +51,12 @@
   return NULL;
 }
 
-/* A slot for a new suspect; the oldest gives way when all are taken, those
-   proven by two crashes last.  */
+/* A slot for a new suspect.  If all are used, the one with the fewest crashes
+   is replaced, and among these the oldest.  */
 static struct wy_suspect *
-claim (struct wy_suspects *s)
+take_slot (struct wy_suspects *s)
 {
-  struct wy_suspect *old = &s->slot[0];
+  struct wy_suspect *victim = &s->slot[0];
 
   for (uint32_t i = 0; i < WY_SUSPECTS_MAX; i++)
     {
@@ -65,16 +64,16 @@
 
       if (e->fingerprint == 0)
         {
-          old = e;
+          victim = e;
           s->n++;
           break;
         }
-      if (e->crashes < old->crashes
-          || (e->crashes == old->crashes && e->seen_ms < old->seen_ms))
-        old = e;
+      if (e->crashes < victim->crashes
+          || (e->crashes == victim->crashes && e->seen_ms < victim->seen_ms))
+        victim = e;
     }
-  memset (old, 0, sizeof *old);
-  return old;
+  memset (victim, 0, sizeof *victim);
+  return victim;
 }
 
 static void
@@ -87,8 +86,8 @@
     e->target[e->crashes++] = target;
 }
 
-/* TARGET crashed while the request of FINGERPRINT ran on it, one of RUNNING
-   requests.  */
+/* Record that TARGET crashed while the request with FINGERPRINT was running on
+   it, as one of RUNNING requests.  */
 void
 wy_suspects_record_crash (struct wy_suspects *s, uint64_t fingerprint,
                           uint64_t target, uint32_t running, int64_t now_ms)
@@ -97,17 +96,18 @@
 
   if (!e)
     {
-      e = claim (s);
+      e = take_slot (s);
       e->fingerprint = fingerprint;
     }
   add_target (e, target);
   e->is_remote = false;
   if (running == 1)
-    e->alone_crashes++;
+    e->isolated_crashes++;
   e->seen_ms = now_ms;
 }
 
-/* The request of FINGERPRINT ended in good order; it is no suspect.  */
+/* The request with FINGERPRINT ended without a crash and is no longer
+   suspect.  */
 void
 wy_suspects_clear (struct wy_suspects *s, uint64_t fingerprint)
 {
@@ -120,7 +120,7 @@
       }
 }
 
-/* How to treat a request of FINGERPRINT.  */
+/* How to treat a request with FINGERPRINT.  */
 enum wy_suspicion
 wy_suspects_check (struct wy_suspects *s, uint64_t fingerprint, int64_t now_ms)
 {
@@ -133,8 +133,9 @@
   return WY_SUSPICION_ISOLATE;
 }
 
-/* Take in what another entry knows.  What this one saw itself is not kept
-   longer for it, or entries that tell each other would never forget.  */
+/* Merge a suspect received from another entry.  It doesn't extend the lifetime
+   of one that this entry has observed itself: otherwise suspects that entries
+   send to each other would never expire.  */
 void
 wy_suspects_merge (struct wy_suspects *s, const struct wy_suspect *other,
                    int64_t now_ms)
@@ -145,14 +146,14 @@
     return;
   if (!e)
     {
-      e = claim (s);
+      e = take_slot (s);
       e->fingerprint = other->fingerprint;
       e->is_remote = true;
     }
   for (uint32_t i = 0; i < other->crashes; i++)
     add_target (e, other->target[i]);
-  if (other->alone_crashes > e->alone_crashes)
-    e->alone_crashes = other->alone_crashes;
+  if (other->isolated_crashes > e->isolated_crashes)
+    e->isolated_crashes = other->isolated_crashes;
   if (e->is_remote)
     e->seen_ms = now_ms;
 }
--- a/src/decide/suspect.h
+++ b/src/decide/suspect.h
@@ -11,18 +11,18 @@
 enum wy_suspicion
 {
   WY_SUSPICION_NONE,
-  WY_SUSPICION_ISOLATE, /* run with nothing beside it */
-  WY_SUSPICION_REFUSE,  /* two targets crashed under it */
+  WY_SUSPICION_ISOLATE, /* run it only while nothing else runs on the target */
+  WY_SUSPICION_REFUSE,  /* two targets crashed while they ran it */
 };
 
 struct wy_suspect
 {
-  uint64_t fingerprint; /* 0: free */
+  uint64_t fingerprint; /* 0: free slot */
   uint64_t target[WY_SUSPECT_CRASHES_MAX];
-  uint32_t crashes; /* of different targets */
-  uint32_t alone_crashes;
-  int64_t seen_ms;
-  bool is_remote; /* from another entry alone */
+  uint32_t crashes;          /* number of different targets */
+  uint32_t isolated_crashes; /* when nothing else was running */
+  int64_t seen_ms;           /* last crash or last report by another entry */
+  bool is_remote;            /* known only from another entry */
 };
 
 struct wy_suspects
--- a/src/decide/weight_loading.c
+++ b/src/decide/weight_loading.c
@@ -1,36 +1,38 @@
-/* Whose turn it is to load a new version of a model's weights.
+/* Which replicas load a new version of a model's weights, and when.
 
-   Made for trainers that name a version every few seconds while its
-   predecessor may still be used.  The store of weights feeds few loads at a
-   time: beyond about a fifth of the replicas each takes longer in proportion,
-   so that loading every version on every replica falls behind for good, and
-   a replica that loads runs nothing.  Each replica knows its turn from its
-   place in the list alone, with nobody to coordinate them.  */
+   Trainers announce a version every few seconds, while the one before it may
+   still be used.  The weight store can serve only a few loads at a time: if
+   more than about a fifth of the replicas load at once, the duration of each
+   grows in proportion.  Loading every version on every replica would never
+   catch up, and a replica that loads runs nothing else.  Each replica derives
+   its schedule from its position in the list of replicas, so there is no
+   coordinator.  */
 #include "decide/weight_loading.h"
 
 #include <glib.h>
 
 enum
 {
-  /* Loads at a time, one for this many replicas: what the engines' store of
-     weights feeds at full speed.  */
-  LOADING_DIVISOR = 5,
-  /* Replicas of a model beyond its share, as the share times the period over
-     this.  With more, loads queue at the store of weights.  */
+  /* One concurrent load per this many replicas, which the weight store can
+     serve at full speed.  */
+  CONCURRENT_LOADS_DIVISOR = 5,
+  /* A model gets period / SPREAD_DIVISOR times its share of the replicas.
+     With more, loads would queue at the weight store.  */
   SPREAD_DIVISOR = 2
 };
 
 static uint32_t
-at_once (uint32_t replicas)
+concurrent_loads (uint32_t replicas)
 {
-  uint32_t n = (replicas + LOADING_DIVISOR / 2) / LOADING_DIVISOR;
+  uint32_t n
+      = (replicas + CONCURRENT_LOADS_DIVISOR / 2) / CONCURRENT_LOADS_DIVISOR;
 
   return n ? n : 1;
 }
 
-/* Replicas that hold a model: its share of them, and where a replica loads
-   few of the versions a larger one, so that models can use each other's idle
-   slots.  More than this and loads would queue at the store of weights.  */
+/* The number of replicas that hold a model: its share of all replicas, or more
+   if each of them loads only one version in PERIOD, so that models can use
+   each other's idle slots.  */
 static uint32_t
 group_size (const struct wy_weight_loading_options *o, uint32_t models,
             uint32_t period)
@@ -41,13 +43,13 @@
   return MIN (MAX (n, share), o->replicas);
 }
 
-/* The turn of one replica.  Where trainers have a model each, replicas are
-   dealt out between the models, since each load is wasted on a replica that
-   the model's samples do not reach.  Where jobs may lie LAG versions behind,
-   a replica needs only each LAG + 1st version to be always of use; so with a
-   lag of one, half of the replicas load the even versions and half the odd
-   ones, and the half that does not load serves a step from the moment it is
-   asked for.  */
+/* Whether and when one replica loads a version.  If there are several models,
+   the replicas are divided among them, since a load is wasted on a replica
+   that gets no samples of the model.  If jobs accept weights that are LAG
+   versions old, a replica is always of use if it loads one version in LAG + 1.
+   With a lag of one, half of the replicas load the even versions and half the
+   odd ones, and the half that doesn't load can run a step as soon as it is
+   submitted.  */
 struct wy_weight_loading
 wy_weight_loading (const struct wy_weight_loading_options *o)
 {
@@ -56,19 +58,19 @@
   uint32_t period = o->lag + 1;
   uint32_t group = group_size (o, models, period);
   uint32_t first = o->model * o->replicas / models;
-  uint32_t place;
+  uint32_t index;
 
   if (o->replicas == 0)
     return t;
-  place = (o->rank + o->replicas - first) % o->replicas;
-  if (place >= group)
+  index = (o->rank + o->replicas - first) % o->replicas;
+  if (index >= group)
     return t;
-  /* With fewer replicas than turns, each loads all.  */
+  /* With fewer replicas than PERIOD, each loads one version in GROUP.  */
   if (period > group)
     period = group;
-  if (place % period != (uint64_t)o->version % period)
+  if (index % period != (uint64_t)o->version % period)
     return t;
   t.loads = true;
-  t.delay_ms = place / period / at_once (o->replicas) * o->load_ms;
+  t.delay_ms = index / period / concurrent_loads (o->replicas) * o->load_ms;
   return t;
 }
--- a/src/decide/weight_loading.h
+++ b/src/decide/weight_loading.h
@@ -1,4 +1,4 @@
-/* Whose turn it is to load a new version of a model's weights.  */
+/* Which replicas load a new version of a model's weights, and when.  */
 #ifndef WY_DECIDE_WEIGHT_LOADING_H
 #define WY_DECIDE_WEIGHT_LOADING_H
 
@@ -8,18 +8,18 @@
 struct wy_weight_loading_options
 {
   uint32_t rank;     /* of this replica among those of the service */
-  uint32_t replicas; /* of the service, that take work */
-  uint32_t model;    /* position of the model among the service's */
+  uint32_t replicas; /* of the service that accept work */
+  uint32_t model;    /* index among the models of the service */
   uint32_t models;
   int64_t version;
-  uint32_t lag;     /* jobs take weights that are so many versions older */
-  uint32_t load_ms; /* that one load takes */
+  uint32_t lag;     /* jobs accept weights up to so many versions older */
+  uint32_t load_ms; /* duration of one load */
 };
 
 struct wy_weight_loading
 {
-  bool loads;        /* this replica is to load the version */
-  uint32_t delay_ms; /* after the version was named */
+  bool loads;        /* whether this replica loads the version */
+  uint32_t delay_ms; /* after the version was announced */
 };
 
 struct wy_weight_loading
--- a/src/decide/work_class.h
+++ b/src/decide/work_class.h
@@ -1,12 +1,12 @@
-/* Kinds of work that the decisions tell apart.  */
+/* Classes of requests.  */
 #ifndef WY_DECIDE_WORK_CLASS_H
 #define WY_DECIDE_WORK_CLASS_H
 
-/* Streams on an engine beside which a caller still gets its tokens at an
-   acceptable pace: (8 + 0.25 * 9) ms a token are 1.22 times what it gets
-   alone.  Agents hold rollouts to it while callers are present; entries know
-   by it how much of a target callers take from rollouts.  */
-#define WY_SHARED_STREAMS 9
+/* Number of streams on an engine with which a caller still gets its tokens
+   fast enough: (8 + 0.25 * 9) ms per token is 1.22 times the time alone.
+   Agents limit rollouts to it while callers are present; entries use it to
+   estimate how many rollouts a caller displaces.  */
+#define WY_SHARED_STREAMS_MAX 9
 
 enum wy_work_class
 {
--- a/tests/test_base.c
+++ b/tests/test_base.c
@@ -6,7 +6,7 @@
 #include "base/id.h"
 #include "base/rng.h"
 
-Test (clock, manual_moves_only_when_told)
+Test (clock, manual_clock_advances_on_request_only)
 {
   struct wy_clock_manual m;
 
--- a/tests/test_decide_attempt.c
+++ b/tests/test_decide_attempt.c
@@ -21,26 +21,26 @@
     false,
     502,
     504 },
-  { "no answer in time", { .sent = true }, true, false, 502, 504 },
-  { "refusal truncated",
+  { "no response in time", { .sent = true }, true, false, 502, 504 },
+  { "rejection truncated",
     { .sent = true, .not_run = true, .status = 503 },
     true,
     false,
     502,
     504 },
-  { "refused, full",
+  { "rejected, overloaded",
     { .sent = true, .complete = true, .not_run = true, .status = 503 },
     false,
     false,
     503,
     503 },
-  { "refused, another target's address",
+  { "rejected, request for another target",
     { .sent = true, .complete = true, .not_run = true, .status = 421 },
     false,
     false,
     503,
     503 },
-  { "refusal of another request",
+  { "rejection of another request",
     { .sent = true,
       .complete = true,
       .not_run = true,
@@ -74,7 +74,7 @@
     true,
     502,
     504 },
-  { "answered",
+  { "response received",
     { .sent = true, .complete = true, .status = 200 },
     true,
     false,
@@ -82,9 +82,9 @@
     504 },
 };
 
-/* Callers repeat a request that was refused as not run.  A request that has
-   run or may still run must not be refused so.  */
-Test (attempt, refusal_only_if_not_run)
+/* Callers repeat a request that was rejected as not run, so one that has run
+   or may still run must not be rejected in that way.  */
+Test (attempt, rejection_only_if_not_run)
 {
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++)
     {
--- a/tests/test_decide_item_slots.c
+++ b/tests/test_decide_item_slots.c
@@ -1,4 +1,4 @@
-/* Which items of a job start first, and which leave slots to others.  */
+/* Reservation of slots for long items, in a simulation of two jobs.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -11,12 +11,12 @@
   ITEMS = 256,
   LONG_ITEMS = 26,
   JOBS = 2,
-  APART_MS = 300,
+  JOB_INTERVAL_MS = 300,
   DUE_MS = 7500,
   SHORT_MS = 700,
   LONG_MS = 7000,
   STEP_MS = 10,
-  DAY_MS = 30000
+  END_MS = 30000
 };
 
 struct run
@@ -28,12 +28,12 @@
 struct job
 {
   int64_t at_ms;
-  int64_t started_ms[ITEMS]; /* -1: not yet */
+  int64_t started_ms[ITEMS]; /* -1: not yet started */
   struct run run[ITEMS];
 };
 
 static struct job jobs[JOBS];
-static uint32_t load[TARGETS];
+static uint32_t occupied[TARGETS];
 
 /* The least loaded target with less than SHARE of its slots taken, or -1.  */
 static int
@@ -43,20 +43,20 @@
   int best = -1;
 
   for (int t = 0; t < TARGETS; t++)
-    if (load[t] < limit && (best < 0 || load[t] < load[best]))
+    if (occupied[t] < limit && (best < 0 || occupied[t] < occupied[best]))
       best = t;
   return best;
 }
 
 static double
-share_of (bool leave, uint32_t place, int64_t waited_ms)
+occupancy_max (bool reserve, uint32_t length_rank, int64_t waited_ms)
 {
-  struct wy_item_slots_options o = { .length_rank = place,
+  struct wy_item_slots_options o = { .length_rank = length_rank,
                                      .items = ITEMS,
                                      .waited_ms = waited_ms,
                                      .due_ms = DUE_MS };
 
-  return leave ? wy_item_slots_occupancy_max (&o) : 0;
+  return reserve ? wy_item_slots_occupancy_max (&o) : 0;
 }
 
 static void
@@ -65,13 +65,13 @@
   for (int i = 0; i < ITEMS; i++)
     if (j->run[i].target >= 0 && now_ms >= j->run[i].ends_ms)
       {
-        load[j->run[i].target]--;
+        occupied[j->run[i].target]--;
         j->run[i].target = -1;
       }
 }
 
 static void
-start_runs (struct job *j, int64_t now_ms, bool leave)
+start_runs (struct job *j, int64_t now_ms, bool reserve)
 {
   for (int i = 0; i < ITEMS; i++)
     {
@@ -79,38 +79,39 @@
 
       if (j->started_ms[i] >= 0)
         continue;
-      t = pick (share_of (leave, (uint32_t)i, now_ms - j->at_ms));
+      t = pick (occupancy_max (reserve, (uint32_t)i, now_ms - j->at_ms));
       if (t < 0)
         return;
       j->started_ms[i] = now_ms;
       j->run[i].target = t;
       j->run[i].ends_ms = now_ms + (i < LONG_ITEMS ? LONG_MS : SHORT_MS);
-      load[t]++;
+      occupied[t]++;
     }
 }
 
-/* Play the jobs; store the time of each job's last long start and last end
-   after its submission.  */
+/* Simulate the jobs; RESERVE is false to start items without the policy.
+   Stores when the last long item of each job started and when its last item
+   ended, since its submission.  */
 static void
-play (bool leave, int64_t long_start_ms[JOBS], int64_t end_ms[JOBS])
+simulate (bool reserve, int64_t long_start_ms[JOBS], int64_t end_ms[JOBS])
 {
-  memset (load, 0, sizeof load);
+  memset (occupied, 0, sizeof occupied);
   for (int k = 0; k < JOBS; k++)
     {
-      jobs[k].at_ms = (int64_t)k * APART_MS;
+      jobs[k].at_ms = (int64_t)k * JOB_INTERVAL_MS;
       for (int i = 0; i < ITEMS; i++)
         {
           jobs[k].started_ms[i] = -1;
           jobs[k].run[i].target = -1;
         }
     }
-  for (int64_t now_ms = 0; now_ms < DAY_MS; now_ms += STEP_MS)
+  for (int64_t now_ms = 0; now_ms < END_MS; now_ms += STEP_MS)
     {
       for (int k = 0; k < JOBS; k++)
         end_runs (&jobs[k], now_ms);
       for (int k = 0; k < JOBS; k++)
         if (now_ms >= jobs[k].at_ms)
-          start_runs (&jobs[k], now_ms, leave);
+          start_runs (&jobs[k], now_ms, reserve);
     }
   for (int k = 0; k < JOBS; k++)
     {
@@ -129,19 +130,18 @@
     }
 }
 
-/* Two steps arrive close together, as after an outage.  The long items of the
-   second must find a slot at once though the first has more short ones than
-   there are slots; without slots left for them they wait for the short ones,
-   and the whole step is late by that time.  The short ones are still in
-   time.  */
-Test (items, short_ones_leave_slots)
+/* Two steps are submitted within a short time, as after an outage, and the
+   first has more short items than there are slots.  If short items used all
+   slots, the long items of the second step would wait for them and delay the
+   step. They must start immediately, and all items must end in time.  */
+Test (item_slots, short_items_leave_slots_free)
 {
   int64_t long_start_ms[JOBS];
   int64_t end_ms[JOBS];
 
-  play (false, long_start_ms, end_ms);
-  cr_expect_gt (long_start_ms[1], APART_MS);
-  play (true, long_start_ms, end_ms);
+  simulate (false, long_start_ms, end_ms);
+  cr_expect_gt (long_start_ms[1], JOB_INTERVAL_MS);
+  simulate (true, long_start_ms, end_ms);
   for (int k = 0; k < JOBS; k++)
     {
       cr_expect_eq (long_start_ms[k], 0, "job %d: %lld", k,
@@ -150,9 +150,9 @@
     }
 }
 
-/* Short items leave slots only until they would be late, and only in a job
-   whose results are due.  */
-Test (items, none_left_when_time_runs_out)
+/* Short items leave slots free only as long as they can end in time, and only
+   in a job whose results are due at some time.  */
+Test (item_slots, no_reservation_when_time_runs_out)
 {
   struct wy_item_slots_options o
       = { .length_rank = ITEMS - 1, .items = ITEMS, .due_ms = DUE_MS };
@@ -168,9 +168,9 @@
   cr_expect_eq (wy_item_slots_occupancy_max (&o), 0);
 }
 
-/* A replica dies under an item that was expected to be short and has run for
-   seconds.  It must go on at once; the step waits for it.  */
-Test (items, interrupted_takes_any_slot)
+/* The replica of an item fails that was expected to be short and has run for
+   seconds.  It must be resumed immediately, as the step waits for it.  */
+Test (item_slots, interrupted_item_uses_any_slot)
 {
   struct wy_item_slots_options o = { .length_rank = ITEMS - 1,
                                      .items = ITEMS,
--- a/tests/test_decide_job_priority.c
+++ b/tests/test_decide_job_priority.c
@@ -1,23 +1,23 @@
-/* Whose items are started first.  */
+/* Order of jobs.  */
 #include <criterion/criterion.h>
 
 #include "decide/job_priority.h"
 
-Test (job_turn, order)
+Test (job_priority, order)
 {
   static const struct
   {
     struct wy_job_priority first;
     struct wy_job_priority second;
   } rows[] = {
-    /* The organisation's priority goes before the route's, and before age. */
+    /* The organisation's priority counts before the route's and the age.  */
     { { 0, 5, 200 }, { 1, 0, 100 } },
-    /* Without one the route's counts.  */
+    /* Without one, the route's counts.  */
     { { UINT32_MAX, 1, 200 }, { UINT32_MAX, 2, 100 } },
     { { UINT32_MAX, 0, 200 }, { 1, 0, 100 } },
-    /* Among equal organisations the route's decides.  */
+    /* With equal priorities of organisations, the route's counts.  */
     { { 1, 1, 200 }, { 1, 2, 100 } },
-    /* Among equals the older job.  */
+    /* With equal priorities, the older job is first.  */
     { { 1, 1, 100 }, { 1, 1, 200 } },
   };
 
--- a/tests/test_decide_listing.c
+++ b/tests/test_decide_listing.c
@@ -1,4 +1,4 @@
-/* When results are listed, seen from the trainer that waits for them.  */
+/* Listing of results, with a simulated trainer that polls for them.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -8,7 +8,7 @@
 enum
 {
   /* A step: groups of items, of which the trainer waits for nine tenths.  One
-     item in ten is long, up to a most that several of each step reach.  */
+     item in ten is long, up to a maximum that several of each step reach.  */
   GROUPS = 24,
   GROUP_SIZE = 8,
   ITEMS = GROUPS * GROUP_SIZE,
@@ -18,14 +18,14 @@
   LONG_MAX_MS = 7000,
   SPREAD_MS = 250,
   DUE_MS = 7500,
-  /* The trainer asks twice a second; a question without a result stays open
-     for a second.  */
-  QUESTION_MS = 500,
-  OPEN_MS = 1000,
+  /* The trainer polls twice a second; a poll without a result stays open for a
+     second.  */
+  POLL_INTERVAL_MS = 500,
+  POLL_OPEN_MS = 1000,
   WRITE_MS = 20,
   STEPS = 300,
-  DAY_MS = 12000,
-  LAST_QUESTION_MS = 2 * DAY_MS
+  END_MS = 12000,
+  LAST_POLL_MS = 2 * END_MS
 };
 
 struct step
@@ -44,7 +44,7 @@
 
       if (wy_rng_below (&s->rng, 10) == 0)
         {
-          /* A third of the long ones are cut at the most.  */
+          /* A third of the long ones are cut at the maximum.  */
           ms = LONG_MIN_MS
                + wy_rng_below (&s->rng, (LONG_MAX_MS - LONG_MIN_MS) * 3 / 2);
           if (ms > LONG_MAX_MS)
@@ -56,40 +56,40 @@
 }
 
 static uint32_t
-whole_groups (const int64_t *at_ms, int64_t now_ms)
+count_complete_groups (const int64_t *at_ms, int64_t now_ms)
 {
   uint32_t n = 0;
 
   for (int g = 0; g < GROUPS; g++)
     {
-      bool whole = true;
+      bool complete = true;
 
       for (int k = 0; k < GROUP_SIZE; k++)
         {
           int64_t ms = at_ms[g * GROUP_SIZE + k];
 
-          whole = whole && ms >= 0 && ms <= now_ms;
+          complete = complete && ms >= 0 && ms <= now_ms;
         }
-      n += whole;
+      n += complete;
     }
   return n;
 }
 
-/* List the results of S as the policy has it, or with EACH as they come.
-   Returns the time at which enough groups are whole.  */
+/* List the results of S by the policy, or, with EACH, as they become known.
+   Returns the time at which enough groups are complete.  */
 static int64_t
 list_step (struct step *s, bool each)
 {
   int64_t enough_ms = -1;
 
-  for (int64_t now_ms = 0; now_ms < DAY_MS; now_ms += 5)
+  for (int64_t now_ms = 0; now_ms < END_MS; now_ms += 5)
     {
       struct wy_listing_options o = { .items = ITEMS,
                                       .wanted_groups = WANTED,
                                       .age_ms = now_ms,
                                       .due_ms = DUE_MS };
 
-      o.complete_groups = whole_groups (s->done_ms, now_ms);
+      o.complete_groups = count_complete_groups (s->done_ms, now_ms);
       for (int k = 0; k < ITEMS; k++)
         o.results += s->done_ms[k] <= now_ms;
       if (enough_ms < 0 && o.complete_groups >= WANTED)
@@ -111,25 +111,28 @@
   return n;
 }
 
-/* When the trainer goes on, asking from ASKED_MS on.  */
+/* The time at which the trainer goes on if it polls from POLL_AT_MS on.  */
 static int64_t
-trainer_goes_on (const struct step *s, int64_t asked_ms)
+trainer_goes_on (const struct step *s, int64_t poll_at_ms)
 {
   uint32_t read = 0;
 
-  while (asked_ms < LAST_QUESTION_MS)
+  while (poll_at_ms < LAST_POLL_MS)
     {
-      int64_t at_ms = asked_ms;
+      int64_t at_ms = poll_at_ms;
 
-      while (at_ms < asked_ms + OPEN_MS && listed_by (s, at_ms) == read)
+      while (at_ms < poll_at_ms + POLL_OPEN_MS && listed_by (s, at_ms) == read)
         at_ms += 5;
       read = listed_by (s, at_ms);
-      if (whole_groups (s->listed_ms, at_ms) >= WANTED)
-        return at_ms > asked_ms + QUESTION_MS ? at_ms : asked_ms + QUESTION_MS;
-      asked_ms
-          = at_ms > asked_ms + QUESTION_MS ? at_ms : asked_ms + QUESTION_MS;
+      if (count_complete_groups (s->listed_ms, at_ms) >= WANTED)
+        return at_ms > poll_at_ms + POLL_INTERVAL_MS
+                   ? at_ms
+                   : poll_at_ms + POLL_INTERVAL_MS;
+      poll_at_ms = at_ms > poll_at_ms + POLL_INTERVAL_MS
+                       ? at_ms
+                       : poll_at_ms + POLL_INTERVAL_MS;
     }
-  return asked_ms;
+  return poll_at_ms;
 }
 
 static int64_t
@@ -145,31 +148,31 @@
 
       make_step (&s);
       enough_ms = list_step (&s, each);
-      sum_ms += trainer_goes_on (&s, wy_rng_below (&s.rng, QUESTION_MS))
+      sum_ms += trainer_goes_on (&s, wy_rng_below (&s.rng, POLL_INTERVAL_MS))
                 - enough_ms;
     }
   return sum_ms / STEPS;
 }
 
-/* A step lasts as long as its longest items, and several of those end within a
-   quarter of a second.  Each result that is listed by itself answers the
-   trainer's question with something it can't go on with, and the trainer
-   pauses just when the last one comes.  Its idle time must stay under one
-   pause on average, and be less than with each result listed as it comes.  */
-Test (listing, a_trainer_idles_less_than_a_pause)
+/* Several of the longest items of a step end within a quarter of a second.  If
+   each result were listed by itself it would end a poll without letting the
+   trainer go on, and the last one would arrive in the pause before the next
+   poll.  The mean idle time must be less than one pause, and less than with
+   each result listed when it is known.  */
+Test (listing, trainer_idles_less_than_one_pause)
 {
   int64_t idle_ms = mean_idle_ms (false);
   int64_t each_ms = mean_idle_ms (true);
 
-  cr_expect_lt (idle_ms, QUESTION_MS, "%lld ms", (long long)idle_ms);
+  cr_expect_lt (idle_ms, POLL_INTERVAL_MS, "%lld ms", (long long)idle_ms);
   cr_expect_lt (idle_ms, each_ms, "%lld ms and %lld ms", (long long)idle_ms,
                 (long long)each_ms);
 }
 
-/* Results that are due count for themselves; so do those of a job whose
-   trainer does not say how many groups it wants, and of one that another entry
-   is about to run.  */
-Test (listing, nothing_waits_without_a_reason)
+/* Results are listed immediately when they are due, if the trainer does not
+   say how many groups it wants, and if the job is handed off to another entry.
+ */
+Test (listing, not_deferred_without_reason)
 {
   struct wy_listing_options last = { .items = ITEMS,
                                      .results = ITEMS - 4,
--- a/tests/test_decide_load.c
+++ b/tests/test_decide_load.c
@@ -1,5 +1,5 @@
-/* Outcomes for callers when whole yards are under load, in virtual time, and
-   the model of the engine against the stand-in.  */
+/* Latency for callers in simulated systems under load, in virtual time, and
+   comparison of the simulated engine with the stand-in engine.  */
 #include <criterion/criterion.h>
 
 #include <string.h>
@@ -10,11 +10,11 @@
 #define ENGINES 9
 #define SEED 7
 
-static const struct wb_policy ours
+static const struct wb_policy waxwing_policy
     = { "waxwing", WB_QUEUE_PRIORITY, WB_PLACE_TABLE, WB_STRAGGLER_STEPS };
 
 static struct wb_case
-yard (void)
+base_case (void)
 {
   struct wb_case c = { .name = "yard",
                        .engines = ENGINES,
@@ -32,7 +32,7 @@
 static double
 p99_ms (const struct wb_case *c)
 {
-  struct wb_world *w = wb_run (c, &ours, SEED);
+  struct wb_world *w = wb_run (c, &waxwing_policy, SEED);
   double v = wb_values_quantile (&wb_world_figures (w)->latency_ms, 0.99);
 
   wb_world_free (w);
@@ -42,7 +42,7 @@
 static void
 expect_all_in_time (const struct wb_case *c)
 {
-  struct wb_world *w = wb_run (c, &ours, SEED);
+  struct wb_world *w = wb_run (c, &waxwing_policy, SEED);
   const struct wb_figures *f = wb_world_figures (w);
 
   cr_assert_gt (f->offered, 300U);
@@ -50,22 +50,22 @@
   wb_world_free (w);
 }
 
-/* Rollouts fill every engine while callers come.  Without priorities a caller
-   waits behind hundreds of streams and hears nothing for seconds.  */
-Test (load, callers_beside_saturating_rollouts)
+/* Rollouts occupy all engines while callers arrive.  Without priorities a
+   caller would wait for hundreds of streams and get nothing for seconds.  */
+Test (load, callers_with_rollout_backlog)
 {
-  struct wb_case c = yard ();
+  struct wb_case c = base_case ();
   struct wb_case alone = c;
 
   alone.rollouts = 0;
   cr_assert_leq (p99_ms (&c), 1.25 * p99_ms (&alone));
 }
 
-/* Ten times the callers come for five seconds.  Each must still be answered
-   in time, from targets that ran only rollouts a moment ago.  */
+/* Ten times as many callers arrive for five seconds.  All must get a response
+   in time, from targets that were running only rollouts.  */
 Test (load, burst)
 {
-  struct wb_case c = yard ();
+  struct wb_case c = base_case ();
 
   c.burst_at_ms = 15000;
   c.burst_ms = 5000;
@@ -73,82 +73,82 @@
   expect_all_in_time (&c);
 }
 
-/* Half of the callers share one long prompt prefix.  The targets that hold it
-   draw them all, and without a limit to that they alone are overloaded.  */
+/* Half of the callers share one long prompt prefix.  Without a limit they
+   would all be sent to the targets that have it cached and overload these.  */
 Test (load, skewed_prefix)
 {
-  struct wb_case c = yard ();
+  struct wb_case c = base_case ();
 
   c.prefix_tokens = 4000;
   c.prefix_skew = 0.5;
   expect_all_in_time (&c);
 }
 
-/* One target falls to a tenth of its speed and still answers heartbeats.
-   Callers placed on it wait ten times as long; two seconds later none should
-   notice.  */
+/* One target becomes ten times slower but still answers heartbeats.  Two
+   seconds later callers must no longer be affected.  */
 Test (load, slow_target)
 {
-  struct wb_case c = yard ();
-  struct wb_case sound;
+  struct wb_case c = base_case ();
+  struct wb_case normal;
 
   c.count_from_ms = 12000;
-  sound = c;
+  normal = c;
   c.slow_at_ms = 10000;
-  cr_assert_leq (p99_ms (&c), 1.3 * p99_ms (&sound));
+  cr_assert_leq (p99_ms (&c), 1.3 * p99_ms (&normal));
 }
 
-/* One rollout in a hundred runs twenty times as long as the others.  Such
-   streams pile up on engines and take the memory that callers need.  */
+/* One rollout in a hundred is twenty times as long as the others.  Such
+   streams accumulate on engines and use memory that callers need.  */
 Test (load, long_with_short)
 {
-  struct wb_case c = yard ();
+  struct wb_case c = base_case ();
 
   c.stragglers = true;
   expect_all_in_time (&c);
 }
 
-/* A zone is lost with a third of the engines and all that runs there.  Its
-   callers must be answered from what is left.  */
-Test (load, zone_lost)
+/* An availability zone fails with a third of the engines and everything that
+   runs there.  Callers must still get responses in time.  */
+Test (load, zone_failed)
 {
-  struct wb_case c = yard ();
+  struct wb_case c = base_case ();
 
   c.az_lost_at_ms = 20000;
   expect_all_in_time (&c);
 }
 
-/* Twice as many callers come as all engines can answer.  If all are admitted
-   all are answered too late; those who can't be answered must hear so at
-   once, and retries must not add to the load.  */
-Test (load, saturation)
+/* Twice as many callers arrive as the engines can handle.  If all were
+   admitted, all responses would be late.  The excess must be rejected
+   immediately, and retries must not add to the load.  */
+Test (load, overload)
 {
-  struct wb_case c = yard ();
+  struct wb_case c = base_case ();
   struct wb_figures *f;
   struct wb_world *w;
-  double can;
+  double capacity;
 
   c.callers_per_s = 77;
-  w = wb_run (&c, &ours, SEED);
+  w = wb_run (&c, &waxwing_policy, SEED);
   f = wb_world_figures (w);
-  /* No callers come in the last 4 s; 69 tokens and 200 of prompt each.  */
-  can = ENGINES * (c.duration_ms - c.count_from_ms - 4000)
-        * wb_capacity_tokens_per_ms () * 69 * 24 / (69 * 24 + 4);
-  cr_assert_geq (f->in_time_tokens, 0.95 * can);
+  /* Each caller has 200 prompt tokens and 69 output tokens; none arrive in the
+     last 4 s.  */
+  capacity = ENGINES * (c.duration_ms - c.count_from_ms - 4000)
+             * wb_capacity_tokens_per_ms () * 69 * 24 / (69 * 24 + 4);
+  cr_assert_geq (f->in_time_tokens, 0.95 * capacity);
   cr_assert_leq (wb_values_quantile (&f->refusal_ms, 0.99), 10);
   cr_assert_leq ((double)f->hops, 0.101 * (double)f->offered);
   wb_world_free (w);
 }
 
-/* Weights change on all replicas while callers come.  */
-Test (load, weight_swap)
+/* All replicas activate new weights while callers arrive.  */
+Test (load, weight_activation)
 {
-  struct wb_case c = yard ();
+  struct wb_case c = base_case ();
   struct wb_world *w;
 
   c.swap_at_ms = 12000;
   expect_all_in_time (&c);
-  w = wb_run (&c, &ours, SEED);
+  w = wb_run (&c, &waxwing_policy, SEED);
   cr_assert_gt (wb_world_figures (w)->swap_ms, 0);
   cr_assert_leq (wb_world_figures (w)->swap_ms, 6000);
   wb_world_free (w);
@@ -177,7 +177,7 @@
   wy_engine_stream_free (s);
 }
 
-/* Ends of N streams of 10, 20, 30... tokens on the stand-in engine.  */
+/* End times of N streams of 10, 20, 30... tokens on the stand-in engine.  */
 static void
 run_standin (uint32_t n, struct ends *e)
 {
@@ -212,9 +212,9 @@
   while (e->n < n && e->now_us > 0);
 }
 
-/* The benches stand on a model of the engine.  If its curve drifted from the
-   stand-in's, their figures would say nothing about the daemons.  */
-Test (model, same_slope_as_stand_in)
+/* The benchmarks use a simulated engine.  It must have the same speed as the
+   stand-in engine, or their results would not apply to the daemons.  */
+Test (engine_model, same_speed_as_stand_in)
 {
   for (uint32_t n = 1; n <= WB_STREAMS_MAX; n *= 4)
     {
--- a/tests/test_decide_members.c
+++ b/tests/test_decide_members.c
@@ -1,4 +1,4 @@
-/* Failure detection among the members of a fleet, in virtual time.  */
+/* Failure detection among members, in virtual time.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -11,11 +11,11 @@
 enum
 {
   POLL_MS = 250,
-  BEAT_MS = 500
+  HEARTBEAT_MS = 500
 };
 
-/* Guards against missing a peer whose heartbeats stop while the store answers.
- */
+/* Guards against missing a peer whose heartbeats stop while the store is
+   reachable.  */
 Test (liveness, silent_peer_fails)
 {
   struct wy_liveness l = { 0 };
@@ -104,7 +104,7 @@
 {
   bool is_running;
   bool reaches_store;
-  int64_t beat_version;
+  int64_t heartbeat_version;
   int64_t row_version;
   bool failed; /* according to its row */
   uint32_t n_successors;
@@ -116,7 +116,7 @@
   int64_t mark_version;
 };
 
-struct fleet_model
+struct members_model
 {
   struct peer peer[MEMBERS];
   uint64_t positions[MEMBERS];
@@ -127,7 +127,7 @@
 };
 
 static void
-rebuild_ring (struct fleet_model *m)
+rebuild_ring (struct members_model *m)
 {
   uint64_t positions[MEMBERS];
   size_t member[MEMBERS];
@@ -159,7 +159,7 @@
 }
 
 static void
-set_failed (struct fleet_model *m, size_t i, bool failed)
+set_failed (struct members_model *m, size_t i, bool failed)
 {
   m->peer[i].failed = failed;
   m->peer[i].row_version = ++m->version;
@@ -167,17 +167,17 @@
 }
 
 static void
-beat (struct fleet_model *m, size_t i)
+write_heartbeat (struct members_model *m, size_t i)
 {
   struct peer *p = &m->peer[i];
 
-  p->beat_version = ++m->version;
+  p->heartbeat_version = ++m->version;
   if (p->failed && !m->omissions.no_rewrite_after_mark)
     set_failed (m, i, false);
 }
 
 static void
-poll (struct fleet_model *m, size_t i)
+poll (struct members_model *m, size_t i)
 {
   struct peer *p = &m->peer[i];
   size_t n = m->omissions.no_extension_for_late
@@ -188,7 +188,8 @@
     {
       struct peer *other = &m->peer[p->successor[k]];
 
-      wy_liveness_observe (&p->liveness[k], m->now_ms, other->beat_version);
+      wy_liveness_observe (&p->liveness[k], m->now_ms,
+                           other->heartbeat_version);
       if (!wy_liveness_has_failed (&p->liveness[k]) || other->failed
           || p->mark_in_steps)
         continue;
@@ -201,7 +202,7 @@
 }
 
 static void
-perform_mark (struct fleet_model *m, struct peer *p)
+perform_mark (struct members_model *m, struct peer *p)
 {
   if (!p->mark_in_steps || --p->mark_in_steps)
     return;
@@ -210,7 +211,7 @@
 }
 
 static void
-inject_fault (struct fleet_model *m)
+inject_fault (struct members_model *m)
 {
   struct peer *p = &m->peer[wy_rng_below (&m->rng, MEMBERS)];
 
@@ -234,7 +235,7 @@
 }
 
 static void
-step (struct fleet_model *m)
+step (struct members_model *m)
 {
   m->now_ms += STEP_MS;
   for (size_t i = 0; i < MEMBERS; i++)
@@ -244,8 +245,8 @@
       perform_mark (m, p);
       if (!p->is_running || !p->reaches_store)
         continue;
-      if (m->now_ms % BEAT_MS == (int64_t)(i * STEP_MS) % BEAT_MS)
-        beat (m, i);
+      if (m->now_ms % HEARTBEAT_MS == (int64_t)(i * STEP_MS) % HEARTBEAT_MS)
+        write_heartbeat (m, i);
       if (m->now_ms % POLL_MS == (int64_t)(i * STEP_MS) % POLL_MS)
         poll (m, i);
     }
@@ -255,7 +256,7 @@
 static uint32_t
 count_wrong (uint64_t seed, const struct omissions *omissions)
 {
-  static struct fleet_model m;
+  static struct members_model m;
   uint32_t wrong = 0;
 
   memset (&m, 0, sizeof m);
--- a/tests/test_decide_placement.c
+++ b/tests/test_decide_placement.c
@@ -1,4 +1,4 @@
-/* Outcomes for callers of placement.  */
+/* Placement, retry budget and suspects, as seen by callers.  */
 #include <criterion/criterion.h>
 
 #include "decide/placement.h"
@@ -20,9 +20,9 @@
   return p;
 }
 
-/* A target is leaving while the list still shows it.  It must get nothing
-   more, though it looks the emptiest of all.  */
-Test (place, leaving_target_gets_nothing)
+/* A draining target that is still in the list must get no more requests,
+   though it has the least load.  */
+Test (placement, draining_target_gets_nothing)
 {
   struct wy_placement *p = table (3, 1);
   struct wy_placement_request req = { .predicted_tokens = 50 };
@@ -43,9 +43,9 @@
   wy_placement_free (p);
 }
 
-/* A target fails all that it is given, at once, and so looks idle.  Callers
-   would be sent to it again and again.  */
-Test (place, failing_target_is_left_out_and_let_back)
+/* A target fails all requests immediately and therefore looks idle.  It must
+   be ejected, or it would attract all callers, and be readmitted later.  */
+Test (placement, failing_target_is_ejected_and_readmitted)
 {
   struct wy_placement *p = table (6, 1);
   struct wy_placement_request req = { .predicted_tokens = 50 };
@@ -80,9 +80,9 @@
   wy_placement_free (p);
 }
 
-/* Two entries hold the same list in a different order.  The same filing sent
-   to both must reach one agent.  */
-Test (home, same_member_whatever_the_order)
+/* Two entries have the same list in a different order.  The same request sent
+   to both must reach the same agent.  */
+Test (rendezvous, independent_of_list_order)
 {
   uint64_t a[] = { 11, 22, 33, 44 };
   uint64_t b[] = { 44, 11, 33, 22 };
@@ -93,9 +93,9 @@
   cr_assert_eq (wy_placement_rendezvous (1, a, 0), WY_DECIDE_ENONE);
 }
 
-/* All targets refuse.  Trying each refused request again elsewhere would
-   multiply the load that made them refuse.  */
-Test (retry, budget_bounds_retries_at_saturation)
+/* All targets reject requests.  Retrying each rejected request elsewhere would
+   multiply the load that caused the rejections.  */
+Test (retry, budget_limits_retries_under_overload)
 {
   struct wy_retry_options o = { 0 };
   struct wy_retry_budget b;
@@ -112,9 +112,9 @@
   cr_assert_geq (retries, 1000U);
 }
 
-/* One request crashes each target that runs it, and its caller sends it
-   again.  It must not walk through all replicas.  */
-Test (suspect, refused_after_two_targets_crashed)
+/* A request crashes each target that runs it, and its caller repeats it.  It
+   must not crash one replica after another.  */
+Test (suspect, rejected_after_two_crashes)
 {
   static struct wy_suspects s;
   uint64_t fp = wy_fingerprint ("filing-7", NULL, 0);
--- a/tests/test_decide_queue.c
+++ b/tests/test_decide_queue.c
@@ -1,4 +1,4 @@
-/* Outcomes for callers of the admission queue.  */
+/* The admission queue, as seen by callers and trainers.  */
 #include <criterion/criterion.h>
 
 #include "decide/queue.h"
@@ -37,10 +37,10 @@
   return it;
 }
 
-/* Rollouts fill an engine when a caller comes.  The caller must not wait for
-   a rollout to end, and the rollouts that gave way must go on where they
-   were, not from the start.  */
-Test (queue, caller_runs_at_once_beside_saturating_rollouts)
+/* A caller arrives while rollouts occupy all streams.  It must not wait for a
+   rollout to end, and the rollouts paused for it must be resumed, not
+   restarted.  */
+Test (queue, caller_preempts_rollouts)
 {
   static struct wy_queue_item r[8];
   struct wy_queue_item c = caller (2000);
@@ -73,12 +73,12 @@
     }
 }
 
-/* Twice as many callers come as the engine can answer.  Those who can't be
-   answered in time hear so when they ask, not when their time is up.  */
-Test (queue, refuses_early_what_cannot_be_answered_in_time)
+/* Twice as many callers arrive as the engine can handle.  Those that can't
+   meet their deadline must be rejected on arrival, not at their deadline.  */
+Test (queue, rejects_on_arrival_if_deadline_cannot_be_met)
 {
   static struct wy_queue_item c[64];
-  uint32_t refused = 0;
+  uint32_t rejected = 0;
 
   engine (4, 4);
   for (int i = 0; i < 64; i++)
@@ -92,14 +92,14 @@
       cr_assert_eq (v.reason, WY_REFUSAL_DEADLINE);
       cr_assert_gt (v.retry_after_ms, 0U);
       cr_assert_eq (c[i].state, WY_QUEUE_ITEM_NOT_QUEUED);
-      refused++;
+      rejected++;
     }
-  cr_assert_gt (refused, 0U);
-  cr_assert_lt (refused, 64U);
+  cr_assert_gt (rejected, 0U);
+  cr_assert_lt (rejected, 64U);
 }
 
-/* A request crashed a target and is tried once more.  Nothing may run beside
-   it that would be lost with it.  */
+/* A request that crashed a target is run again.  Nothing else may run at the
+   same time, as it would be lost in another crash.  */
 Test (queue, suspect_runs_alone)
 {
   struct wy_queue_item r = rollout (0);
@@ -121,9 +121,9 @@
   cr_assert_not_null (wy_queue_next (&q, 9000));
 }
 
-/* An engine falls to a tenth of its speed with callers on it.  Its agent must
-   say so in its reports and refuse what it can no longer answer in time.  */
-Test (queue, slow_engine_shows_in_reports_and_refusals)
+/* An engine becomes ten times slower.  The queue must report this and reject
+   requests that can no longer meet their deadline.  */
+Test (queue, slow_engine_is_reported_and_rejects)
 {
   struct wy_queue_item r = rollout (0);
   struct wy_queue_item c = caller (3000);
@@ -140,48 +140,47 @@
   cr_assert_eq (wy_queue_offer (&q, &c, now_ms).reason, WY_REFUSAL_DEADLINE);
 }
 
-/* A plain service gets more calls than it runs at once, behind a few that may
-   not be repeated.  All that can be answered in time are, in the order they
-   came, and one that can't hears so at once.  */
-Test (queue, service_calls_in_order_and_refused_early)
+/* A plain service gets more calls than it can run concurrently, some of them
+   not idempotent.  All that are admitted must end in time, in order of
+   arrival; the others must be rejected on arrival.  */
+Test (queue, service_calls_run_in_order_or_are_rejected)
 {
   struct wy_queue_options o
       = { .kind = WY_QUEUE_SERVICE, .streams_max = 2, .service_ms = 100 };
   static struct wy_queue_item c[20];
-  uint32_t taken = 0;
-  uint32_t answered = 0;
+  uint32_t admitted = 0;
+  uint32_t completed = 0;
 
   wy_queue_init (&q, &o);
   for (uint32_t i = 0; i < 20; i++)
     {
       c[i].work_class = i % 3 ? WY_CLASS_INTERACTIVE : WY_CLASS_NON_IDEMPOTENT;
       c[i].deadline_ms = 600;
-      taken += wy_queue_offer (&q, &c[i], 0).kind != WY_ADMISSION_REFUSED;
+      admitted += wy_queue_offer (&q, &c[i], 0).kind != WY_ADMISSION_REFUSED;
     }
-  cr_assert_gt (taken, 4U);
-  cr_assert_lt (taken, 12U);
-  for (uint32_t i = 0; i < taken; i += 2)
+  cr_assert_gt (admitted, 4U);
+  cr_assert_lt (admitted, 12U);
+  for (uint32_t i = 0; i < admitted; i += 2)
     {
       int64_t now_ms = 50 * ((int64_t)i + 2);
 
-      for (uint32_t k = i; k < i + 2 && k < taken; k++)
+      for (uint32_t k = i; k < i + 2 && k < admitted; k++)
         {
           cr_assert_eq (c[k].state, WY_QUEUE_ITEM_RUNNING);
           cr_assert_leq (now_ms, 600);
           wy_queue_done (&q, &c[k], 0, now_ms);
-          answered++;
+          completed++;
         }
       cr_assert_null (wy_queue_expire (&q, now_ms));
       while (wy_queue_next (&q, now_ms))
         ;
     }
-  cr_assert_eq (answered, taken);
+  cr_assert_eq (completed, admitted);
   cr_assert (wy_queue_empty (&q));
 }
 
-/* A target is told to leave.  What it has goes on to its end; nothing new
-   starts there.  */
-Test (queue, closing_takes_no_new_work_and_ends_the_rest)
+/* A draining target completes its requests and rejects new ones.  */
+Test (queue, closing_rejects_new_work_and_completes_the_rest)
 {
   struct wy_queue_item r = rollout (0);
   struct wy_queue_item c = caller (0);
@@ -198,12 +197,12 @@
   cr_assert (wy_queue_empty (&q));
 }
 
-/* Two trainers share an engine, one worth three times the other.  The lesser
-   must get its quarter, not nothing, and not half.  */
-Test (queue, trainers_share_by_worth)
+/* Two trainers share an engine, with weights of three and one.  The second
+   must get a quarter of it.  */
+Test (queue, trainers_share_by_weight)
 {
   static struct wy_queue_item it[400];
-  uint32_t got[2] = { 0 };
+  uint32_t ended[2] = { 0 };
   int64_t now_ms = 0;
 
   engine (4, 4);
@@ -218,11 +217,11 @@
     {
       struct wy_queue_item *first = q.running_rollouts.head;
 
-      got[first->trainer]++;
+      ended[first->trainer]++;
       wy_queue_done (&q, first, 400, now_ms += 1000);
       while (wy_queue_next (&q, now_ms))
         ;
     }
-  cr_assert_geq (got[1], 40U);
-  cr_assert_leq (got[1], 60U);
+  cr_assert_geq (ended[1], 40U);
+  cr_assert_leq (ended[1], 60U);
 }
--- a/tests/test_decide_scaling.c
+++ b/tests/test_decide_scaling.c
@@ -1,4 +1,4 @@
-/* Scaling under patterns of load, in virtual time.  */
+/* Scaling under various load patterns, in virtual time.  */
 #include <criterion/criterion.h>
 
 #include "decide/scaling.h"
@@ -12,7 +12,7 @@
 static struct wy_scaling s;
 static struct wy_scaling_load load;
 static int64_t now_ms;
-static uint32_t orders; /* changes of the number */
+static uint32_t changes; /* of the number of replicas */
 
 static void
 start (uint32_t replicas)
@@ -24,7 +24,7 @@
                                    .slots = SLOTS,
                                    .all_reported = true };
   now_ms = 0;
-  orders = 0;
+  changes = 0;
 }
 
 static uint32_t
@@ -37,21 +37,21 @@
     {
       uint32_t next = wy_scaling_next (&s, &load, now_ms);
 
-      orders += next != n;
+      changes += next != n;
       n = next;
     }
   return n;
 }
 
-/* A steady load needs no orders.  */
+/* A steady load causes no change.  */
 Test (scaling, steady)
 {
   start (1);
   cr_expect_eq (run (2, 60000), 1);
-  cr_expect_eq (orders, 0);
+  cr_expect_eq (changes, 0);
 }
 
-/* A load that grows threefold is answered with the next look at it.  */
+/* An increase of the load is followed at the next evaluation.  */
 Test (scaling, step_up)
 {
   start (1);
@@ -61,17 +61,18 @@
   cr_expect_eq (run (60, TICK_MS), 4);
 }
 
-/* A load that falls costs one order, after a while.  */
+/* A decrease of the load causes a single change, after some time.  */
 Test (scaling, step_down)
 {
   start (4);
   cr_expect_eq (run (2, 9000), 4);
   cr_expect_eq (run (2, 4000), 1);
-  cr_expect_eq (orders, 1);
+  cr_expect_eq (changes, 1);
 }
 
-/* A load that swings faster than replicas are taken away keeps them.  */
-Test (scaling, swings)
+/* Replicas are kept if the load fluctuates faster than replicas are
+   removed.  */
+Test (scaling, fluctuations)
 {
   start (1);
   for (int i = 0; i < 10; i++)
@@ -79,12 +80,12 @@
       run (7, 4000);
       run (2, 4000);
     }
-  cr_expect_eq (orders, 1);
+  cr_expect_eq (changes, 1);
   cr_expect_eq (s.desired, 2);
 }
 
-/* Some entries have not told of their load, as while the store is away: that
-   it seems low is no reason to take replicas away.  */
+/* Some entries have not reported their load, for example while the store is
+   unreachable.  The incomplete sum must not cause replicas to be removed.  */
 Test (scaling, reports_missing)
 {
   start (3);
@@ -93,26 +94,26 @@
   cr_expect_eq (run (20, TICK_MS), 4);
 }
 
-/* Replicas of another zone are lost, and this one has their load as well.  */
-Test (scaling, other_zone_lost)
+/* Another availability zone fails, and this one gets its load as well.  */
+Test (scaling, other_zone_failed)
 {
   start (2);
   run (6, 20000);
   cr_expect_eq (run (12, TICK_MS), 4);
 }
 
-/* While replicas start, the load is that of the ones there are; no more are
-   ordered for it.  */
+/* While replicas start, the load on the running ones must not cause more to be
+   started.  */
 Test (scaling, starting)
 {
   start (1);
   cr_expect_eq (run (6, TICK_MS), 2);
   cr_expect_eq (run (6, 3000), 2);
-  cr_expect_eq (orders, 1);
+  cr_expect_eq (changes, 1);
 }
 
-/* The bounds change with the configuration, and hold at once.  */
-Test (scaling, bounds)
+/* Changed limits are applied immediately.  */
+Test (scaling, limits)
 {
   start (2);
   load.minimum = 3;
--- a/tests/test_decide_steps.c
+++ b/tests/test_decide_steps.c
@@ -1,4 +1,4 @@
-/* Outcomes for trainers of the decisions about a step.  */
+/* Scheduling of the samples of a step, as seen by trainers.  */
 #include <criterion/criterion.h>
 
 #include "decide/steps.h"
@@ -47,8 +47,8 @@
     }
 }
 
-/* A long sample begun last ends the step late, with all other streams
-   empty.  */
+/* A long sample started last would end long after all others, with the other
+   streams idle.  */
 Test (steps, long_groups_first)
 {
   struct wy_step *s = step_of (3, 1);
@@ -61,14 +61,14 @@
   wy_step_free (s);
 }
 
-/* One sample runs on and on.  Its trainer would wait for it alone, with the
-   rest of the batch ready.  */
+/* A sample is much longer than predicted.  The trainer must not wait for it
+   alone when the rest of the batch is ready.  */
 Test (steps, straggler_is_replaced_and_then_cancelled)
 {
   struct wy_step *s = step_of (1, 1);
   struct wy_step_inputs now = at_version (5);
   uint32_t sample[SAMPLES] = { 0 };
-  struct wy_straggler gone;
+  struct wy_straggler straggler;
   struct wy_step_issuance more;
 
   cr_assert_eq (issue_all (s, &now, sample), (uint32_t)SAMPLES);
@@ -81,16 +81,16 @@
   cr_assert_not (wy_step_is_complete (s));
   cr_assert_eq (wy_step_done (s, more.sample, 5, 100), WY_STEP_VERDICT_ACCEPT);
   cr_assert (wy_step_is_complete (s));
-  gone = wy_step_straggler (s, &now);
-  cr_assert_eq (gone.action, WY_STRAGGLER_CANCEL);
-  cr_assert_eq (gone.sample, sample[0]);
+  straggler = wy_step_straggler (s, &now);
+  cr_assert_eq (straggler.action, WY_STRAGGLER_CANCEL);
+  cr_assert_eq (straggler.sample, sample[0]);
   cr_assert_eq (wy_step_done (s, sample[0], 5, 2000), WY_STEP_VERDICT_SURPLUS);
   wy_step_free (s);
 }
 
-/* Weights change every few seconds and a group runs for longer than the bound
-   allows.  Its samples would be thrown away when they end.  */
-Test (steps, never_starts_what_cannot_end_within_the_bound)
+/* New weights are activated during a sample, which would be too stale when it
+   ends and be discarded.  It must not be started.  */
+Test (steps, does_not_start_samples_that_would_be_stale)
 {
   struct wy_step *s = step_of (1, 1);
   struct wy_step_inputs now = at_version (5);
@@ -108,9 +108,9 @@
   wy_step_free (s);
 }
 
-/* A batch was whole in time, but its trainer comes for it two versions later.
-   Samples that were fresh when they ended are too old by now.  */
-Test (steps, stale_at_hand_out_is_dropped_and_issued_anew)
+/* A batch is complete, but the trainer takes it at a later version.  Samples
+   that were not stale when they ended may be too old then.  */
+Test (steps, stale_samples_of_a_batch_are_replaced)
 {
   struct wy_step *s = step_of (1, 1);
   struct wy_step_inputs now = at_version (5);
@@ -128,9 +128,9 @@
   wy_step_free (s);
 }
 
-/* Samples issued ahead save idle time and are older when used.  A yard that
-   weighs staleness must get fewer of them than one that weighs idle time.  */
-Test (steps, weights_decide_how_much_goes_ahead)
+/* Samples started ahead of the trainer's version reduce idle time but are
+   older when used.  The cost weights must determine their number.  */
+Test (steps, cost_weights_limit_samples_ahead)
 {
   struct wy_step_options o = { .groups = 10,
                                .group_samples = SAMPLES,
@@ -146,8 +146,8 @@
   cr_assert_eq (wy_step_ahead_max (&o, 3), 0);
 }
 
-/* Callers took over the engine on which a sample waits.  There it may wait
-   for minutes while other engines have room.  */
+/* A sample is paused for callers on its engine, where it might wait for
+   minutes.  It must be moved to an engine with free streams.  */
 Test (steps, stalled_sample_is_moved)
 {
   struct wy_step *s = step_of (1, 1);
--- a/tests/test_decide_waves.c
+++ b/tests/test_decide_waves.c
@@ -1,26 +1,26 @@
-/* Weight activation.  */
+/* Activation and distribution of weights.  */
 #include <criterion/criterion.h>
 
 #include "decide/waves.h"
 
 #define REPLICAS 12
 
-/* Weights change while callers keep the engines busy.  Too many replicas
-   swapping at once leave the callers without engines.  */
+/* Weights are activated while callers use the engines.  Too many replicas at
+   the same time would leave too little capacity for callers.  */
 Test (waves, callers_keep_their_capacity)
 {
-  struct wy_wave_options calm = { .swap_ms = 500, .load_share = 0.1 };
+  struct wy_wave_options idle = { .swap_ms = 500, .load_share = 0.1 };
   struct wy_wave_options busy = { .swap_ms = 500, .load_share = 0.75 };
 
-  cr_assert_eq (wy_wave_size (&calm, REPLICAS), 1);
-  cr_assert_eq (wy_wave_size (&calm, 3200), 267);
+  cr_assert_eq (wy_wave_size (&idle, REPLICAS), 1);
+  cr_assert_eq (wy_wave_size (&idle, 3200), 267);
   cr_assert_leq (wy_wave_size (&busy, 3200), 200);
   cr_assert_eq (wy_wave_size (&busy, 2), 1);
 }
 
-/* A swap failed on one replica.  It keeps the old version and must not be
-   ordered to swap for ever, nor hold up the others.  */
-Test (waves, all_but_failed_and_unstaged_get_their_turn)
+/* Activation failed on one replica, which keeps the old version.  It must not
+   be retried forever, nor delay the others.  */
+Test (waves, all_but_failed_and_unstaged_are_activated)
 {
   struct wy_wave_options o = { .swap_ms = 500 };
   struct wy_wave_replica r[REPLICAS] = { { 0 } };
@@ -33,7 +33,7 @@
       r[i].failed = i == 7;
       r[i].callers = i % 3;
     }
-  for (uint32_t turn = 0; turn < REPLICAS - 2; turn++)
+  for (uint32_t i = 0; i < REPLICAS - 2; i++)
     {
       cr_assert_eq (wy_wave_next (&o, r, REPLICAS, 0, out, REPLICAS), 1U);
       cr_assert (out[0] != 3 && out[0] != 7);
@@ -46,8 +46,8 @@
   cr_assert_eq (wy_wave_next (&o, r, REPLICAS, 0, out, REPLICAS), 0);
 }
 
-/* Thousands of replicas want the same weights at the same time.  Each must
-   get them from exactly one other, and only a few from the store.  */
+/* Thousands of replicas need the same weights at the same time.  Each must get
+   them from exactly one other replica, and only a few from the store.  */
 Test (relay, tree_reaches_each_replica_once)
 {
   uint32_t from_store = 0;
@@ -67,9 +67,9 @@
   cr_assert_eq (children, 3198U);
 }
 
-/* The weight store limits its readers.  Reading faster gets errors for all of
-   them.  */
-Test (pace, keeps_to_the_store_budget)
+/* The weight store has a rate limit, and reading faster causes errors for all
+   readers.  */
+Test (token_bucket, keeps_the_rate)
 {
   struct wy_token_bucket p;
   int64_t now_ms = 0;
