--- a/src/h1/client.c
+++ b/src/h1/client.c
@@ -1,12 +1,13 @@
-/* HTTP/1.1 client: kept connections by address, one call at a time on each. */
+/* HTTP/1.1 client: pool of persistent connections by address, without
+   pipelining.  */
 #include "h1/client_state.h"
 
 enum
 {
-  /* How often connections being opened are looked at: a target that has gone
-     dark costs a call this much more than the time to connect.  */
+  /* Interval of checks on connections being opened: a call to an unreachable
+     target takes up to this much longer than the connect timeout.  */
   SWEEP_MS = 100,
-  /* Sweeps between two looks at idle connections.  */
+  /* Sweeps between two checks of idle connections.  */
   IDLE_SWEEPS = 5
 };
 
@@ -17,7 +18,7 @@
 }
 
 static struct wy_h1_peer *
-peer_of (const struct wy_h1_client *c, const struct sockaddr_in *a)
+find_peer (const struct wy_h1_client *c, const struct sockaddr_in *a)
 {
   uint64_t key = key_of (a);
 
@@ -25,9 +26,9 @@
 }
 
 static struct wy_h1_peer *
-peer_for (struct wy_h1_client *c, const struct sockaddr_in *a)
+get_peer (struct wy_h1_client *c, const struct sockaddr_in *a)
 {
-  struct wy_h1_peer *p = peer_of (c, a);
+  struct wy_h1_peer *p = find_peer (c, a);
   uint64_t *key;
 
   if (p)
@@ -44,15 +45,16 @@
 static void
 build_request (struct wy_h1_call *k, const struct wy_h1_call_options *o)
 {
-  k->out = g_string_sized_new (512 + o->body_size_bytes);
-  g_string_append_printf (k->out, "%s %s HTTP/1.1\r\n", o->method, o->target);
-  wy_h1_write_fields (k->out, o->fields, o->n_fields);
+  k->request = g_string_sized_new (512 + o->body_size_bytes);
+  g_string_append_printf (k->request, "%s %s HTTP/1.1\r\n", o->method,
+                          o->target);
+  wy_h1_write_fields (k->request, o->fields, o->n_fields);
   if (o->has_body || o->body_size_bytes)
-    g_string_append_printf (k->out, "Content-Length: %zu\r\n",
+    g_string_append_printf (k->request, "Content-Length: %zu\r\n",
                             o->body_size_bytes);
-  g_string_append (k->out, "\r\n");
+  g_string_append (k->request, "\r\n");
   if (o->body_size_bytes)
-    g_string_append_len (k->out, o->body, (gssize)o->body_size_bytes);
+    g_string_append_len (k->request, o->body, (gssize)o->body_size_bytes);
 }
 
 static struct wy_h1_call *
@@ -70,7 +72,7 @@
 }
 
 static struct wy_h1_call *
-open_conn (struct wy_h1_client *c, struct wy_h1_peer *p)
+new_connection_to (struct wy_h1_client *c, struct wy_h1_peer *p)
 {
   struct wy_h1_call *k = g_new0 (struct wy_h1_call, 1);
 
@@ -85,27 +87,27 @@
   return k;
 }
 
-/* Start the call O.  The bytes that O points to are copied, but for the
-   method, which must be static.  A failure is told through on_end on a later
-   turn of the loop.  */
+/* Start a call with the options O.  All that O points to is copied, except the
+   method, which must be static.  A failure is reported through on_end on a
+   later turn of the loop.  */
 struct wy_h1_call *
 wy_h1_call_start (struct wy_h1_client *c, const struct wy_h1_call_options *o)
 {
-  struct wy_h1_peer *p = peer_for (c, &o->address);
+  struct wy_h1_peer *p = get_peer (c, &o->address);
   struct wy_h1_call *k = o->new_connection ? NULL : take_idle (c, p);
 
   if (!k)
-    k = open_conn (c, p);
+    k = new_connection_to (c, p);
   k->o = *o;
   k->active = true;
   k->sent = false;
   k->complete = false;
-  k->framed = false;
-  k->headed = false;
-  k->keep_ms = 0;
+  k->self_delimited = false;
+  k->head_complete = false;
+  k->keep_alive_ms = 0;
   k->sweeps = 0;
   k->link.data = k;
-  g_queue_push_tail_link (&c->connecting, &k->link);
+  g_queue_push_tail_link (&c->active_calls, &k->link);
   wy_h1_head_reset (&k->head);
   http_parser_init (&k->parser, HTTP_RESPONSE);
   k->parser.data = k;
@@ -119,7 +121,7 @@
   return k;
 }
 
-/* Stop the call: its connection closes, and no callback comes any more.  */
+/* Cancel the call and close its connection; no callback follows.  */
 void
 wy_h1_call_cancel (struct wy_h1_call *call)
 {
@@ -129,8 +131,8 @@
   wy_h1_call_close (call);
 }
 
-/* Whether bytes of the request may have reached the peer.  Valid until
-   on_end returns.  */
+/* Whether bytes of the request may have reached the peer.  Valid until on_end
+   returns.  */
 bool
 wy_h1_call_sent (const struct wy_h1_call *call)
 {
@@ -155,15 +157,15 @@
 /* Fail the calls whose connections have not opened in time.  The time is
    counted in sweeps, between which the loop polls the sockets, and not by the
    clock: after a stall of this process the clock has advanced, but the loop
-   has not yet seen which connections opened meanwhile.  */
+   has not seen yet which connections opened meanwhile.  */
 static void
 sweep_connecting (struct wy_h1_client *c)
 {
   GList *l;
 
-  for (l = c->connecting.head; l; l = l->next)
+  for (l = c->active_calls.head; l; l = l->next)
     ((struct wy_h1_call *)l->data)->sweeps++;
-  l = c->connecting.head;
+  l = c->active_calls.head;
   while (l)
     {
       struct wy_h1_call *k = l->data;
@@ -172,8 +174,8 @@
       if (k->connected || k->sweeps * SWEEP_MS <= c->connect_timeout_ms)
         continue;
       wy_h1_call_fail (k, WY_H1_ECONNECT);
-      /* Its owner may have ended other calls.  */
-      l = c->connecting.head;
+      /* The callback may have cancelled other calls.  */
+      l = c->active_calls.head;
     }
 }
 
@@ -199,7 +201,7 @@
     }
 }
 
-/* A client as O says.  */
+/* Create a client with the options O.  */
 struct wy_h1_client *
 wy_h1_client_new (const struct wy_h1_client_options *o)
 {
@@ -210,7 +212,7 @@
   c->idle_timeout_ms = o->idle_timeout_ms;
   c->peers
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  g_queue_init (&c->connecting);
+  g_queue_init (&c->active_calls);
   uv_timer_init (o->loop, &c->sweep);
   c->sweep.data = c;
   uv_timer_start (&c->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
@@ -218,23 +220,23 @@
   return c;
 }
 
-/* Close all connections; calls end without a word.  The memory of C stays
-   for the callbacks of the loop, which the caller runs once more.  */
+/* Close all connections and cancel all calls.  C is not freed, since callbacks
+   of the loop still use it; the caller must run the loop once more.  */
 void
 wy_h1_client_free (struct wy_h1_client *c)
 {
   GHashTableIter it;
   gpointer p;
 
-  while (c->connecting.head)
-    wy_h1_call_cancel (c->connecting.head->data);
+  while (c->active_calls.head)
+    wy_h1_call_cancel (c->active_calls.head->data);
   g_hash_table_iter_init (&it, c->peers);
   while (g_hash_table_iter_next (&it, NULL, &p))
     sweep_idle (p, UINT64_MAX);
   uv_close ((uv_handle_t *)&c->sweep, NULL);
 }
 
-/* Counts of C's connections.  */
+/* Copy the statistics of C's connections to OUT.  */
 void
 wy_h1_client_stats (const struct wy_h1_client *c,
                     struct wy_h1_client_stats *out)
@@ -246,18 +248,18 @@
 void
 wy_h1_client_close_idle (struct wy_h1_client *c, const struct sockaddr_in *a)
 {
-  struct wy_h1_peer *p = peer_of (c, a);
+  struct wy_h1_peer *p = find_peer (c, a);
 
   if (p)
     sweep_idle (p, UINT64_MAX);
 }
 
-/* Connections to A that are open and carry no call.  */
+/* Number of idle connections to A.  */
 uint32_t
 wy_h1_client_idle_count (const struct wy_h1_client *c,
                          const struct sockaddr_in *a)
 {
-  const struct wy_h1_peer *p = peer_of (c, a);
+  const struct wy_h1_peer *p = find_peer (c, a);
 
   return p ? p->idle.length : 0;
 }
--- a/src/h1/client.h
+++ b/src/h1/client.h
@@ -1,8 +1,8 @@
-/* HTTP/1.1 client on libuv and http-parser that keeps its connections.
+/* HTTP/1.1 client on libuv and http-parser with persistent connections.
 
-   h2o's client closes after each call; targets charge for new connections
-   and let only so many be open, so here they are kept and the caller is told
-   enough to decide whether a request that failed may have been seen.  */
+   h2o's client closes after each call.  Targets charge for new connections and
+   limit the number of open ones, so this client reuses them, and it tells the
+   caller whether a failed request may have reached the peer.  */
 #ifndef WY_H1_CLIENT_H
 #define WY_H1_CLIENT_H
 
@@ -23,7 +23,7 @@
 {
   int status;
   const struct wy_h1_head *head;
-  bool self_delimited; /* its end shows: by a length or by chunks */
+  bool self_delimited; /* by a length or by chunks */
 };
 
 struct wy_h1_call_options
@@ -36,12 +36,12 @@
   const void *body;
   size_t body_size_bytes;
   bool has_body;       /* send a length even if it is 0 */
-  bool new_connection; /* on a new connection only */
-  /* The head of the answer; the call may be cancelled within.  */
-  void (*on_head) (void *ctx, const struct wy_h1_response *a);
+  bool new_connection; /* never on a reused one */
+  /* The head of the response; the call may be cancelled within.  */
+  void (*on_head) (void *ctx, const struct wy_h1_response *r);
   void (*on_data) (void *ctx, const char *p, size_t n);
-  /* Comes once, last, unless the call is cancelled.  ERR 0: the answer is
-     whole; a wy_h1_error otherwise.  */
+  /* Called once, last, unless the call is cancelled.  ERR is 0 if the response
+     is complete, else a wy_h1_error.  */
   void (*on_end) (void *ctx, int err);
   void *ctx;
 };
@@ -50,8 +50,7 @@
 {
   uv_loop_t *loop;
   uint32_t connect_timeout_ms;
-  uint32_t
-      idle_timeout_ms; /* of a kept connection, when the peer names none */
+  uint32_t idle_timeout_ms; /* if the peer announces none */
 };
 
 struct wy_h1_client_stats
--- a/src/h1/client_call.c
+++ b/src/h1/client_call.c
@@ -8,18 +8,18 @@
 
 enum
 {
-  /* A kept connection is given up this long before its peer says it will
-     close it, since a request that crosses the close is lost.  */
+  /* An idle connection is closed this long before the peer's announced
+     timeout, since a request that crosses the peer's close is lost.  */
   KEEP_MARGIN_MS = 1000,
   MS_PER_S = 1000
 };
 
 static void
-release_options (struct wy_h1_call *k)
+free_request (struct wy_h1_call *k)
 {
-  if (k->out)
-    g_string_free (k->out, TRUE);
-  k->out = NULL;
+  if (k->request)
+    g_string_free (k->request, TRUE);
+  k->request = NULL;
 }
 
 static void
@@ -27,27 +27,27 @@
 {
   struct wy_h1_call *k = (struct wy_h1_call *)h;
 
-  release_options (k);
+  free_request (k);
   wy_h1_head_clear (&k->head);
   g_free (k);
 }
 
-/* Close the connection of K without a word.  One whose call is not answered is
-   reset: while the network between is cut, what was sent on it is held up, and
-   after an ordinary close it would still be delivered seconds later, when the
-   cut heals.  The peer would run a request that was given up, perhaps of a job
-   that has ended meanwhile.  */
+/* Close the connection of K without a callback.  If its call has no complete
+   response, the connection is reset: during a network partition the sent bytes
+   are still queued, and an ordinary close would let them arrive seconds later,
+   when the partition heals.  The peer would run an abandoned request, perhaps
+   of a job that has ended.  */
 void
 wy_h1_call_close (struct wy_h1_call *k)
 {
-  bool answered = !k->active || k->complete;
+  bool no_pending_response = !k->active || k->complete;
 
   if (k->closing)
     return;
   k->closing = true;
   if (k->link.data)
     {
-      g_queue_unlink (k->active ? &k->client->connecting : &k->peer->idle,
+      g_queue_unlink (k->active ? &k->client->active_calls : &k->peer->idle,
                       &k->link);
       k->link.data = NULL;
       if (!k->active)
@@ -55,7 +55,7 @@
     }
   k->peer->open--;
   k->client->stats.open--;
-  if (answered || uv_tcp_close_reset (&k->tcp, on_closed))
+  if (no_pending_response || uv_tcp_close_reset (&k->tcp, on_closed))
     uv_close ((uv_handle_t *)&k->tcp, on_closed);
 }
 
@@ -70,7 +70,7 @@
     return;
   if (on_end)
     {
-      /* The owner may still ask whether the request was sent.  */
+      /* The callback may still call wy_h1_call_sent.  */
       k->o.on_end = NULL;
       on_end (ctx, err);
     }
@@ -78,57 +78,57 @@
 }
 
 static void
-keep (struct wy_h1_call *k)
+keep_connection (struct wy_h1_call *k)
 {
-  g_queue_unlink (&k->client->connecting, &k->link);
+  g_queue_unlink (&k->client->active_calls, &k->link);
   k->active = false;
   k->link.data = k;
-  k->idle_until_ms = uv_now (k->tcp.loop) + k->keep_ms;
+  k->idle_until_ms = uv_now (k->tcp.loop) + k->keep_alive_ms;
   g_queue_push_head_link (&k->peer->idle, &k->link);
   k->client->stats.idle++;
 }
 
-/* The answer is whole: keep the connection if the next answer on it can only
-   be the next request's.  */
+/* The response is complete: keep the connection open if the next response on
+   it can only be the next request's.  */
 static void
-finish (struct wy_h1_call *k)
+finish_response (struct wy_h1_call *k)
 {
   void (*on_end) (void *, int) = k->o.on_end;
   void *ctx = k->o.ctx;
 
   k->o.on_end = NULL;
-  /* A peer that answers before it has read the request whole would read the
-     rest of it from whatever comes next.  */
+  /* A peer that responds before it has read the complete request would read
+     the rest of it out of the next one.  */
   if (k->writing)
-    k->dirty = true;
-  if (k->dirty || k->keep_ms == 0)
+    k->no_reuse = true;
+  if (k->no_reuse || k->keep_alive_ms == 0)
     {
       if (on_end)
         on_end (ctx, 0);
       wy_h1_call_close (k);
       return;
     }
-  keep (k);
+  keep_connection (k);
   if (on_end)
     on_end (ctx, 0);
 }
 
 static int
-on_field (http_parser *p, const char *at, size_t n)
+on_field_name (http_parser *p, const char *at, size_t n)
 {
   wy_h1_head_append_name (&((struct wy_h1_call *)p->data)->head, at, n);
   return 0;
 }
 
 static int
-on_value (http_parser *p, const char *at, size_t n)
+on_field_value (http_parser *p, const char *at, size_t n)
 {
   wy_h1_head_append_value (&((struct wy_h1_call *)p->data)->head, at, n);
   return 0;
 }
 
 static uint32_t
-keep_ms_of (const struct wy_h1_call *k)
+parse_keep_alive_ms (const struct wy_h1_call *k)
 {
   const char *v = wy_h1_head_get (&k->head, "keep-alive");
   const char *t = v ? strcasestr (v, "timeout=") : NULL;
@@ -140,14 +140,14 @@
     ms = strtoull (v, NULL, 10) * MS_PER_S;
   if (ms > k->client->idle_timeout_ms)
     ms = k->client->idle_timeout_ms;
-  /* A short time-out leaves half of it.  */
+  /* Of a short timeout, use half.  */
   return (uint32_t)(ms / 2 > KEEP_MARGIN_MS ? ms - KEEP_MARGIN_MS : ms / 2);
 }
 
-/* Whether the end of the answer shows in it, so that a close in its midst is
-   told from its end.  */
+/* Whether the response tells where it ends, so that a premature close can be
+   detected.  */
 static bool
-is_framed (const http_parser *p)
+is_self_delimited (const http_parser *p)
 {
   return p->status_code == HTTP_STATUS_NO_CONTENT
          || p->status_code == HTTP_STATUS_NOT_MODIFIED
@@ -158,26 +158,26 @@
 on_headers_complete (http_parser *p)
 {
   struct wy_h1_call *k = p->data;
-  struct wy_h1_response a;
-  bool bodiless;
+  struct wy_h1_response r;
+  bool no_body;
 
   if (p->status_code < 200)
     {
       wy_h1_head_reset (&k->head);
       return 0;
     }
-  bodiless = !strcmp (k->o.method, "HEAD");
-  k->headed = true;
-  k->framed = bodiless || is_framed (p);
-  k->keep_ms = keep_ms_of (k);
-  a.status = (int)p->status_code;
-  a.head = &k->head;
-  a.self_delimited = k->framed;
+  no_body = !strcmp (k->o.method, "HEAD");
+  k->head_complete = true;
+  k->self_delimited = no_body || is_self_delimited (p);
+  k->keep_alive_ms = parse_keep_alive_ms (k);
+  r.status = (int)p->status_code;
+  r.head = &k->head;
+  r.self_delimited = k->self_delimited;
   if (!http_should_keep_alive (p))
-    k->dirty = true;
+    k->no_reuse = true;
   if (k->o.on_head)
-    k->o.on_head (k->o.ctx, &a);
-  return bodiless ? 1 : 0;
+    k->o.on_head (k->o.ctx, &r);
+  return no_body ? 1 : 0;
 }
 
 static int
@@ -203,8 +203,8 @@
 }
 
 static const http_parser_settings callbacks
-    = { .on_header_field = on_field,
-        .on_header_value = on_value,
+    = { .on_header_field = on_field_name,
+        .on_header_value = on_field_value,
         .on_headers_complete = on_headers_complete,
         .on_body = on_body,
         .on_message_complete = on_complete };
@@ -227,19 +227,19 @@
     return;
   if (k->complete)
     {
-      /* Bytes behind a whole answer belong to no request.  */
+      /* Bytes after a complete response belong to no request.  */
       if (used < n)
-        k->dirty = true;
-      finish (k);
+        k->no_reuse = true;
+      finish_response (k);
     }
   else if (err != HPE_OK)
     wy_h1_call_fail (k, WY_H1_EMALFORMED);
 }
 
 /* Whether the connection was reset.  libuv reports the end of the stream when
-   it sees the hang-up right behind a short read, also where the peer has
-   reset the connection; an answer without a length would then be taken for
-   whole.  The error is still pending on the socket.  */
+   it sees the hang-up directly after a short read, even if the peer has reset
+   the connection; a response without a length would then appear complete.  The
+   error is still pending on the socket.  */
 static bool
 was_reset (const struct wy_h1_call *k)
 {
@@ -255,10 +255,10 @@
 static void
 on_eof (struct wy_h1_call *k, ssize_t err)
 {
-  bool ends_by_close = k->active && !k->framed && k->headed && err == UV_EOF
-                       && !was_reset (k);
+  bool ends_at_close = k->active && !k->self_delimited && k->head_complete
+                       && err == UV_EOF && !was_reset (k);
 
-  if (!ends_by_close)
+  if (!ends_at_close)
     {
       wy_h1_call_fail (k,
                        k->parser.status_code ? WY_H1_EPARTIAL : WY_H1_ERESET);
@@ -267,9 +267,9 @@
   http_parser_execute (&k->parser, &callbacks, NULL, 0);
   if (k->closing)
     return;
-  k->dirty = true;
+  k->no_reuse = true;
   if (k->complete)
-    finish (k);
+    finish_response (k);
   else
     wy_h1_call_fail (k, WY_H1_EPARTIAL);
 }
@@ -283,7 +283,7 @@
     return;
   if (!k->active)
     {
-      /* Closed by the peer, or bytes that nobody asked for.  */
+      /* Closed by the peer, or unsolicited bytes.  */
       wy_h1_call_close (k);
       return;
     }
@@ -300,7 +300,7 @@
 
   k->writing = false;
   if (!k->closing)
-    release_options (k);
+    free_request (k);
   if (status < 0 && !k->closing && k->active)
     wy_h1_call_fail (k, WY_H1_ERESET);
 }
@@ -309,7 +309,7 @@
 void
 wy_h1_call_send (struct wy_h1_call *k)
 {
-  uv_buf_t buf = uv_buf_init (k->out->str, (unsigned)k->out->len);
+  uv_buf_t buf = uv_buf_init (k->request->str, (unsigned)k->request->len);
 
   k->sent = true;
   k->writing = true;
@@ -339,7 +339,7 @@
   wy_h1_call_send (k);
 }
 
-/* Open K's connection; its request follows.  */
+/* Open K's connection and then send its request.  */
 void
 wy_h1_call_open (struct wy_h1_call *k)
 {
@@ -348,5 +348,5 @@
   if (uv_tcp_connect (&k->connect, &k->tcp,
                       (const struct sockaddr *)&k->peer->address,
                       on_connected))
-    k->connecting = false; /* the sweep ends it */
+    k->connecting = false; /* the sweep fails it */
 }
--- a/src/h1/client_state.h
+++ b/src/h1/client_state.h
@@ -1,4 +1,4 @@
-/* Inside of the client: one connection with its call, and the pool.  */
+/* Internals of the client: a connection with its call, and the pool.  */
 #ifndef WY_H1_CLIENT_STATE_H
 #define WY_H1_CLIENT_STATE_H
 
@@ -11,6 +11,7 @@
   WY_H1_CLIENT_READ_SIZE_BYTES = 65536
 };
 
+/* A connection and the call on it, if any.  */
 struct wy_h1_call
 {
   uv_tcp_t tcp; /* must stay first */
@@ -19,23 +20,23 @@
   http_parser parser;
   struct wy_h1_head head;
   struct wy_h1_call_options o;
-  GString *out; /* request not yet written, or NULL */
+  GString *request; /* request not yet written, or NULL */
   uv_connect_t connect;
   uv_write_t write;
   uint64_t idle_until_ms;
-  uint32_t keep_ms;
+  uint32_t keep_alive_ms;
   bool connected;
   bool connecting;
   bool writing;
-  bool sent;   /* some bytes may have left */
-  bool active; /* a call is under way */
-  bool headed; /* the head of its answer is in */
-  bool framed;
-  bool complete; /* its answer is in */
-  bool dirty;    /* not to be used again */
+  bool sent;          /* bytes may have been sent */
+  bool active;        /* a call is in progress */
+  bool head_complete; /* response head received */
+  bool self_delimited;
+  bool complete; /* response received */
+  bool no_reuse; /* close after this call */
   bool closing;
   uint32_t sweeps; /* since the call started */
-  GList link;      /* in the peer's idle list */
+  GList link;      /* in active_calls or the peer's idle list */
 };
 
 struct wy_h1_peer
@@ -52,8 +53,8 @@
   uint32_t idle_timeout_ms;
   uv_timer_t sweep;
   uint32_t sweeps;
-  GHashTable *peers; /* struct wy_h1_peer by address */
-  GQueue connecting; /* struct wy_h1_call in use, oldest first */
+  GHashTable *peers;   /* struct wy_h1_peer by address */
+  GQueue active_calls; /* struct wy_h1_call in use, oldest first */
   struct wy_h1_client_stats stats;
   char read_buffer[WY_H1_CLIENT_READ_SIZE_BYTES];
 };
--- a/src/h1/head.c
+++ b/src/h1/head.c
@@ -14,7 +14,7 @@
   h->has_url = false;
 }
 
-/* Forget the message, keep the memory for the next.  */
+/* Remove the message but keep the memory for the next.  */
 void
 wy_h1_head_reset (struct wy_h1_head *h)
 {
@@ -46,8 +46,8 @@
   return &g_array_index (h->fields, struct wy_h1_field, h->fields->len - 1);
 }
 
-/* Append a piece of a field's name; the first piece after a value starts the
-   next field.  */
+/* Append a piece of a field's name; the first piece after a value starts a new
+   field.  */
 void
 wy_h1_head_append_name (struct wy_h1_head *h, const char *p, size_t n)
 {
@@ -55,7 +55,7 @@
     {
       struct wy_h1_field f;
 
-      /* The NUL that ends what came before.  */
+      /* Terminates the previous string.  */
       g_string_append_c (h->text, '\0');
       f.name = (uint32_t)h->text->len;
       f.value = 0;
@@ -78,7 +78,7 @@
   g_string_append_len (h->text, p, (gssize)n);
 }
 
-/* The target of a request, with its query.  */
+/* The request target: path and query.  */
 const char *
 wy_h1_head_target (const struct wy_h1_head *h)
 {
@@ -104,7 +104,8 @@
   return p;
 }
 
-/* The value of the first field NAME, in any case of letters; NULL: none.  */
+/* The value of the first field NAME, which is case-insensitive; NULL if there
+   is none.  */
 const char *
 wy_h1_head_get (const struct wy_h1_head *h, const char *name)
 {
@@ -118,15 +119,15 @@
   return NULL;
 }
 
-/* Bytes the head takes up.  */
+/* Bytes of all strings of the head.  */
 size_t
 wy_h1_head_size_bytes (const struct wy_h1_head *h)
 {
   return h->text->len;
 }
 
-/* Whether the field NAME concerns one connection only (RFC 9110, 7.6.1) or
-   frames the body, and so is never passed on.  */
+/* Whether the field NAME is hop-by-hop (RFC 9110, 7.6.1) or frames the body,
+   so that it must not be forwarded.  */
 bool
 wy_h1_is_hop_by_hop (const char *name)
 {
--- a/src/h1/head.h
+++ b/src/h1/head.h
@@ -1,4 +1,5 @@
-/* Head of an HTTP/1.1 message: the request line or status, and its fields.  */
+/* Head of an HTTP/1.1 message: the request target, if any, and the header
+   fields.  */
 #ifndef WY_H1_HEAD_H
 #define WY_H1_HEAD_H
 
@@ -14,8 +15,8 @@
   const char *value;
 };
 
-/* Texts lie one after another in TEXT, each with its NUL; fields hold their
-   offsets, so that a head is two allocations however many fields it has.  */
+/* All strings are in TEXT, each with its NUL; FIELDS holds their offsets, so
+   that a head needs two allocations for any number of fields.  */
 struct wy_h1_head
 {
   GString *text;
--- a/src/h1/server.c
+++ b/src/h1/server.c
@@ -1,14 +1,14 @@
-/* HTTP/1.1 server: listening, and the limits on slow and idle callers.  */
+/* HTTP/1.1 server: listener, and timeouts of connections.  */
 #include "h1/server_state.h"
 
 enum
 {
   LISTEN_BACKLOG = 1024,
-  /* How often the limits on slow and idle callers are looked at.  */
+  /* Interval of checks of the timeouts.  */
   SWEEP_MS = 500,
-  /* A refused upload is read and thrown away for so long before the
-     connection closes: closing over unread bytes resets the connection, and
-     the caller would never see the answer.  */
+  /* How long a rejected upload is read and discarded before the connection
+     closes: a close with unread bytes resets the connection, and the caller
+     would not see the response.  */
   LINGER_MS = 1000
 };
 
@@ -20,10 +20,10 @@
 }
 
 static void
-check_conn (struct wy_h1_request *c, uint64_t now_ms)
+check_timeouts (struct wy_h1_request *c, uint64_t now_ms)
 {
   const struct wy_h1_limits *l = &c->server->limits;
-  uint64_t age_ms = now_ms - c->since_ms;
+  uint64_t age_ms = now_ms - c->state_since_ms;
 
   switch (c->state)
     {
@@ -33,12 +33,13 @@
       break;
     case CONN_HEAD:
       if (age_ms >= l->header_timeout_ms)
-        wy_h1_conn_refuse (c, 408);
+        wy_h1_conn_reject (c, 408);
       break;
     case CONN_BODY:
-      /* A body may be long: what counts is that it stands still.  */
+      /* A body may be large, so it has the idle timeout, counted from the end
+         of the head.  */
       if (age_ms >= l->idle_timeout_ms)
-        wy_h1_conn_refuse (c, 408);
+        wy_h1_conn_reject (c, 408);
       break;
     case CONN_BUSY:
       break;
@@ -59,7 +60,7 @@
   for (GList *l = s->connections.head; l; l = next)
     {
       next = l->next;
-      check_conn (l->data, now_ms);
+      check_timeouts (l->data, now_ms);
     }
 }
 
@@ -81,7 +82,8 @@
   return 0;
 }
 
-/* Start a server as O says and store it in OUT.  Returns 0 or WY_H1_EBIND.  */
+/* Start a server with the options O and store it in OUT.  Returns 0 or
+   WY_H1_EBIND.  */
 int
 wy_h1_server_new (struct wy_h1_server **out,
                   const struct wy_h1_server_options *o)
@@ -91,7 +93,7 @@
 
   if (err)
     {
-      /* The handle closes on the loop, which may never run again.  */
+      /* Not freed: the handle closes on the loop, which may not run again.  */
       uv_close ((uv_handle_t *)&s->listener, NULL);
       return err;
     }
@@ -107,7 +109,7 @@
   return 0;
 }
 
-/* Use LIMITS from now on, also for open connections.  */
+/* Replace the limits, also for open connections.  */
 void
 wy_h1_server_set_limits (struct wy_h1_server *s,
                          const struct wy_h1_limits *limits)
@@ -122,28 +124,28 @@
   return s->port;
 }
 
-/* Requests without an answer yet.  */
+/* Number of requests without a complete response.  */
 uint32_t
 wy_h1_server_active (const struct wy_h1_server *s)
 {
   return s->active;
 }
 
-/* Open connections.  */
+/* Number of open connections.  */
 uint32_t
 wy_h1_server_connections (const struct wy_h1_server *s)
 {
   return s->connections.length;
 }
 
-/* From now on each answer tells the caller to use another connection.  */
+/* Add "Connection: close" to each further response.  */
 void
 wy_h1_server_announce_close (struct wy_h1_server *s)
 {
   s->announce_close = true;
 }
 
-/* Stop listening; open connections go on.  */
+/* Stop listening; open connections continue.  */
 void
 wy_h1_server_stop (struct wy_h1_server *s)
 {
@@ -153,8 +155,9 @@
   uv_close ((uv_handle_t *)&s->listener, NULL);
 }
 
-/* Close all of S.  Its memory stays for the callbacks of the loop, which the
-   caller runs once more; a process has few servers and ends with them.  */
+/* Close the listener and all connections.  S is not freed, since callbacks of
+   the loop still use it; the caller must run the loop once more.  A process
+   has few servers and ends with them.  */
 void
 wy_h1_server_free (struct wy_h1_server *s)
 {
--- a/src/h1/server.h
+++ b/src/h1/server.h
@@ -1,9 +1,8 @@
 /* HTTP/1.1 server on libuv and http-parser.
 
-   h2o's server does not read a connection while its request is being
-   answered, so a caller's hang-up shows only at the next write.  Here each
-   connection is read all the time, and the handler hears of a hang-up at
-   once.  */
+   h2o's server does not read from a connection while it handles its request,
+   so a caller's hang-up shows only at the next write.  This server always
+   reads from each connection and reports a hang-up to the handler at once.  */
 #ifndef WY_H1_SERVER_H
 #define WY_H1_SERVER_H
 
@@ -18,10 +17,10 @@
 enum wy_h1_error
 {
   WY_H1_EBIND = -1001,
-  WY_H1_ECONNECT = -1002,  /* no connection: the peer has seen nothing */
-  WY_H1_ERESET = -1003,    /* broken off */
-  WY_H1_EPARTIAL = -1004,  /* closed before the answer was whole */
-  WY_H1_EMALFORMED = -1005 /* not an answer in HTTP/1.1 */
+  WY_H1_ECONNECT = -1002,  /* no connection; nothing was sent */
+  WY_H1_ERESET = -1003,    /* connection lost */
+  WY_H1_EPARTIAL = -1004,  /* connection lost within the response */
+  WY_H1_EMALFORMED = -1005 /* not an HTTP/1.1 response */
 };
 
 struct wy_h1_server;
@@ -31,15 +30,15 @@
 {
   uint32_t header_bytes;
   uint32_t body_bytes;
-  uint32_t header_timeout_ms; /* from the first byte to the end of the head */
+  uint32_t header_timeout_ms; /* first byte to end of head */
   uint32_t idle_timeout_ms;
-  uint64_t buffered_bytes; /* of bodies, over all connections */
+  uint64_t buffered_bytes; /* request bodies of all connections */
 };
 
 struct wy_h1_server_options
 {
   uv_loop_t *loop;
-  const char *host; /* IP number */
+  const char *host; /* IPv4 address */
   uint16_t port;    /* 0: any free port */
   struct wy_h1_limits limits;
   void (*on_request) (void *ctx, struct wy_h1_request *r);
--- a/src/h1/server_conn.c
+++ b/src/h1/server_conn.c
@@ -5,12 +5,12 @@
 
 enum
 {
-  /* Bytes that a caller may send ahead of its turn; more are left in the
-     kernel until the request before them has its answer.  */
-  AHEAD_LIMIT_BYTES = 65536
+  /* Bytes of further requests that a caller may send before it has the
+     response to the current one; more stay in the kernel.  */
+  UNPARSED_LIMIT_BYTES = 65536
 };
 
-/* C goes over to STATE now.  */
+/* Set the state of C and count the requests in progress.  */
 void
 wy_h1_conn_set_state (struct wy_h1_request *c, enum wy_h1_conn_state state)
 {
@@ -19,13 +19,13 @@
   c->state = state;
   if (state == CONN_BUSY)
     c->server->active++;
-  c->since_ms = uv_now (c->tcp.loop);
+  c->state_since_ms = uv_now (c->tcp.loop);
 }
 
 static void
-drop_body (struct wy_h1_request *c)
+discard_body (struct wy_h1_request *c)
 {
-  c->server->held_bytes -= c->body->len;
+  c->server->total_body_bytes -= c->body->len;
   if (c->body->allocated_len > WY_H1_READ_SIZE_BYTES)
     {
       g_string_free (c->body, TRUE);
@@ -42,11 +42,11 @@
 
   wy_h1_head_clear (&c->head);
   g_string_free (c->body, TRUE);
-  g_byte_array_free (c->ahead, TRUE);
+  g_byte_array_free (c->unparsed, TRUE);
   g_free (c);
 }
 
-/* Close C without a word.  */
+/* Close C without a callback.  */
 void
 wy_h1_conn_close (struct wy_h1_request *c)
 {
@@ -54,13 +54,13 @@
     return;
   c->closing = true;
   wy_h1_conn_set_state (c, CONN_LINGER);
-  drop_body (c);
+  discard_body (c);
   g_queue_unlink (&c->server->connections, &c->link);
   uv_close ((uv_handle_t *)&c->tcp, on_closed);
 }
 
-/* The caller is gone: tell the handler, which must not touch the request
-   after that.  */
+/* The caller has hung up: close C and notify the handler, which must not use
+   the request afterwards.  */
 void
 wy_h1_conn_hang_up (struct wy_h1_request *c)
 {
@@ -73,15 +73,16 @@
     cb (ctx);
 }
 
-static void parse_ahead (struct wy_h1_request *c);
+static void parse_unparsed (struct wy_h1_request *c);
 static void start_reading (struct wy_h1_request *c);
 
-/* The answer is queued: take the next request or close.  */
+/* The response is queued: parse the next request, or read until the connection
+   can close.  */
 void
-wy_h1_conn_end_exchange (struct wy_h1_request *c)
+wy_h1_conn_finish_exchange (struct wy_h1_request *c)
 {
   c->on_hangup = NULL;
-  drop_body (c);
+  discard_body (c);
   if (!c->keep_alive)
     {
       wy_h1_conn_set_state (c, CONN_LINGER);
@@ -91,7 +92,7 @@
   wy_h1_conn_set_state (c, CONN_IDLE);
   http_parser_pause (&c->parser, 0);
   if (!c->parsing)
-    parse_ahead (c);
+    parse_unparsed (c);
   start_reading (c);
 }
 
@@ -109,7 +110,7 @@
 {
   if (wy_h1_head_size_bytes (&c->head) <= c->server->limits.header_bytes)
     return 0;
-  c->refuse_status = 431;
+  c->reject_status = 431;
   return 1;
 }
 
@@ -123,18 +124,18 @@
 }
 
 static int
-on_field (http_parser *p, const char *at, size_t n)
+on_field_name (http_parser *p, const char *at, size_t n)
 {
   struct wy_h1_request *c = p->data;
 
   if (c->state != CONN_HEAD)
-    return 0; /* trailers are dropped */
+    return 0; /* trailers are ignored */
   wy_h1_head_append_name (&c->head, at, n);
   return check_head (c);
 }
 
 static int
-on_value (http_parser *p, const char *at, size_t n)
+on_field_value (http_parser *p, const char *at, size_t n)
 {
   struct wy_h1_request *c = p->data;
 
@@ -147,22 +148,24 @@
 static int
 on_headers_complete (http_parser *p)
 {
-  static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+  static const char continue_response[] = "HTTP/1.1 100 Continue\r\n\r\n";
   struct wy_h1_request *c = p->data;
   const struct wy_h1_limits *l = &c->server->limits;
   bool has_length = p->content_length != UINT64_MAX;
 
   if (has_length && p->content_length > l->body_bytes)
-    c->refuse_status = 413;
-  /* One large upload after another must not end the process: what does not
-     fit the memory set aside is refused before it is read.  */
+    c->reject_status = 413;
+  /* Bound the total memory of uploads: what does not fit is rejected before it
+     is read.  */
   else if (has_length
-           && p->content_length + c->server->held_bytes > l->buffered_bytes)
-    c->refuse_status = 503;
-  if (c->refuse_status)
+           && p->content_length + c->server->total_body_bytes
+                  > l->buffered_bytes)
+    c->reject_status = 503;
+  if (c->reject_status)
     return -1;
   if (wy_h1_head_get (&c->head, "expect"))
-    wy_h1_conn_send (c, NULL, go_on, sizeof go_on - 1, false);
+    wy_h1_conn_send (c, NULL, continue_response, sizeof continue_response - 1,
+                     false);
   wy_h1_conn_set_state (c, CONN_BODY);
   return 0;
 }
@@ -174,13 +177,13 @@
   const struct wy_h1_limits *l = &c->server->limits;
 
   if (c->body->len + n > l->body_bytes)
-    c->refuse_status = 413;
-  else if (c->server->held_bytes + n > l->buffered_bytes)
-    c->refuse_status = 503;
-  if (c->refuse_status)
+    c->reject_status = 413;
+  else if (c->server->total_body_bytes + n > l->buffered_bytes)
+    c->reject_status = 503;
+  if (c->reject_status)
     return -1;
   g_string_append_len (c->body, at, (gssize)n);
-  c->server->held_bytes += n;
+  c->server->total_body_bytes += n;
   return 0;
 }
 
@@ -197,24 +200,24 @@
 static const http_parser_settings callbacks
     = { .on_message_begin = on_message_begin,
         .on_url = on_url,
-        .on_header_field = on_field,
-        .on_header_value = on_value,
+        .on_header_field = on_field_name,
+        .on_header_value = on_field_value,
         .on_headers_complete = on_headers_complete,
         .on_body = on_body,
         .on_message_complete = on_complete };
 
 static void
-fail_parse (struct wy_h1_request *c)
+reject_malformed (struct wy_h1_request *c)
 {
-  int status = c->refuse_status ? c->refuse_status : 400;
+  int status = c->reject_status ? c->reject_status : 400;
 
-  c->refuse_status = 0;
-  g_byte_array_set_size (c->ahead, 0);
-  wy_h1_conn_refuse (c, status);
+  c->reject_status = 0;
+  g_byte_array_set_size (c->unparsed, 0);
+  wy_h1_conn_reject (c, status);
 }
 
 static void
-hand_over (struct wy_h1_request *c)
+dispatch_request (struct wy_h1_request *c)
 {
   wy_h1_conn_set_state (c, CONN_BUSY);
   c->received_ms = (int64_t)(uv_hrtime () / 1000000);
@@ -222,32 +225,33 @@
   c->server->on_request (c->server->ctx, c);
 }
 
-/* Parse what is read, up to the end of one request; the handler may answer
-   within the call, and then the next one follows.  */
+/* Parse the bytes read, one request at a time.  The handler may respond within
+   the call; then the next request follows.  */
 static void
-parse_ahead (struct wy_h1_request *c)
+parse_unparsed (struct wy_h1_request *c)
 {
   c->parsing = true;
-  while (c->ahead->len && !c->closing && c->state != CONN_BUSY
+  while (c->unparsed->len && !c->closing && c->state != CONN_BUSY
          && c->state != CONN_LINGER)
     {
-      size_t used = http_parser_execute (
-          &c->parser, &callbacks, (const char *)c->ahead->data, c->ahead->len);
+      size_t used = http_parser_execute (&c->parser, &callbacks,
+                                         (const char *)c->unparsed->data,
+                                         c->unparsed->len);
       enum http_errno err = HTTP_PARSER_ERRNO (&c->parser);
 
       if (err != HPE_OK && err != HPE_PAUSED)
         {
-          fail_parse (c);
+          reject_malformed (c);
           break;
         }
       if (c->parser.upgrade)
         {
-          fail_parse (c);
+          reject_malformed (c);
           break;
         }
-      g_byte_array_remove_range (c->ahead, 0, (guint)used);
+      g_byte_array_remove_range (c->unparsed, 0, (guint)used);
       if (err == HPE_PAUSED)
-        hand_over (c);
+        dispatch_request (c);
     }
   c->parsing = false;
 }
@@ -274,11 +278,11 @@
     }
   if (c->state == CONN_LINGER)
     return;
-  g_byte_array_append (c->ahead, (const guint8 *)buf->base, (guint)n);
+  g_byte_array_append (c->unparsed, (const guint8 *)buf->base, (guint)n);
   if (c->state != CONN_BUSY)
-    parse_ahead (c);
+    parse_unparsed (c);
   if (!c->closing && c->state == CONN_BUSY
-      && c->ahead->len > AHEAD_LIMIT_BYTES)
+      && c->unparsed->len > UNPARSED_LIMIT_BYTES)
     {
       c->reading = false;
       uv_read_stop (h);
@@ -294,7 +298,7 @@
   uv_read_start ((uv_stream_t *)&c->tcp, on_alloc, on_read);
 }
 
-/* Take the connection that waits at S's listener.  */
+/* Accept a connection from S's listener.  */
 void
 wy_h1_conn_accept (struct wy_h1_server *s)
 {
@@ -304,11 +308,11 @@
   c->server = s;
   c->link.data = c;
   c->body = g_string_new (NULL);
-  c->ahead = g_byte_array_new ();
+  c->unparsed = g_byte_array_new ();
   wy_h1_head_init (&c->head);
   http_parser_init (&c->parser, HTTP_REQUEST);
   c->parser.data = c;
-  c->since_ms = uv_now (listener->loop);
+  c->state_since_ms = uv_now (listener->loop);
   uv_tcp_init (listener->loop, &c->tcp);
   g_queue_push_tail_link (&s->connections, &c->link);
   if (uv_accept (listener, (uv_stream_t *)&c->tcp))
--- a/src/h1/server_response.c
+++ b/src/h1/server_response.c
@@ -1,14 +1,14 @@
-/* HTTP/1.1 server: answers, and what a handler sees of its request.  */
+/* HTTP/1.1 server: responses, and the handler's view of its request.  */
 #include "h1/server_state.h"
 
 #include <string.h>
 
-/* An outgoing write with its bytes behind it.  */
+/* A pending write and its bytes.  */
 struct write
 {
   uv_write_t req; /* must stay first */
   struct wy_h1_request *conn;
-  bool last; /* close when it is out */
+  bool last; /* close the connection after it */
   size_t n;
   char bytes[];
 };
@@ -33,8 +33,8 @@
     wy_h1_conn_close (c);
 }
 
-/* Send HEAD (or NULL) and the N bytes at P; close behind them if they are the
-   LAST.  */
+/* Send HEAD, which may be NULL, and the N bytes at P; close the connection
+   after that if LAST.  */
 void
 wy_h1_conn_send (struct wy_h1_request *c, GString *head, const void *p,
                  size_t n, bool last)
@@ -57,8 +57,8 @@
 }
 
 static GString *
-answer_head (struct wy_h1_request *c, int status,
-             const struct wy_h1_header *fields, size_t n_fields)
+response_head (struct wy_h1_request *c, int status,
+               const struct wy_h1_header *fields, size_t n_fields)
 {
   GString *out = g_string_sized_new (512);
 
@@ -72,25 +72,25 @@
   return out;
 }
 
-/* Answer R whole.  R is not valid afterwards.  */
+/* Send a complete response.  R is not valid afterwards.  */
 void
 wy_h1_respond (struct wy_h1_request *r, int status,
                const struct wy_h1_header *fields, size_t n_fields,
                const void *body, size_t n)
 {
-  GString *out = answer_head (r, status, fields, n_fields);
-  bool headless
+  GString *out = response_head (r, status, fields, n_fields);
+  bool no_body
       = status == 204 || status == 304 || r->parser.method == HTTP_HEAD;
 
   if (status != 204)
     g_string_append_printf (out, "Content-Length: %zu\r\n", n);
   g_string_append (out, "\r\n");
-  wy_h1_conn_send (r, out, body, headless ? 0 : n, !r->keep_alive);
+  wy_h1_conn_send (r, out, body, no_body ? 0 : n, !r->keep_alive);
   g_string_free (out, TRUE);
-  wy_h1_conn_end_exchange (r);
+  wy_h1_conn_finish_exchange (r);
 }
 
-/* Begin an answer of unknown length.  */
+/* Begin a response of unknown length.  */
 void
 wy_h1_begin_response (struct wy_h1_request *r, int status,
                       const struct wy_h1_header *fields, size_t n_fields)
@@ -100,14 +100,14 @@
   r->chunked = r->parser.http_minor > 0;
   if (!r->chunked)
     r->keep_alive = false;
-  out = answer_head (r, status, fields, n_fields);
+  out = response_head (r, status, fields, n_fields);
   g_string_append (out,
                    r->chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n");
   wy_h1_conn_send (r, out, NULL, 0, false);
   g_string_free (out, TRUE);
 }
 
-/* Send N more bytes of the answer begun.  */
+/* Send N more bytes of the response body.  */
 void
 wy_h1_write_response (struct wy_h1_request *r, const void *p, size_t n)
 {
@@ -125,25 +125,25 @@
   g_string_free (out, TRUE);
 }
 
-/* Bytes of the answer that the caller has not taken yet.  */
+/* Bytes of the response that are queued in this process.  */
 size_t
 wy_h1_unsent_bytes (const struct wy_h1_request *r)
 {
   return uv_stream_get_write_queue_size ((const uv_stream_t *)&r->tcp);
 }
 
-/* End the answer begun as complete.  R is not valid afterwards.  */
+/* End the response as complete.  R is not valid afterwards.  */
 void
 wy_h1_end_response (struct wy_h1_request *r)
 {
   const char *end = r->chunked ? "0\r\n\r\n" : "";
 
   wy_h1_conn_send (r, NULL, end, strlen (end), !r->keep_alive);
-  wy_h1_conn_end_exchange (r);
+  wy_h1_conn_finish_exchange (r);
 }
 
-/* Break off the answer begun, so that it cannot be taken for whole.  R is not
-   valid afterwards.  */
+/* Close the connection without the end of the response, so that the caller
+   detects that it is incomplete.  R is not valid afterwards.  */
 void
 wy_h1_abort (struct wy_h1_request *r)
 {
@@ -151,24 +151,25 @@
   wy_h1_conn_close (r);
 }
 
-/* Answer a request that broke a limit and close, since the rest of it is not
-   wanted.  */
+/* Respond with STATUS to a malformed request or one over a limit, and close,
+   since the rest of it is not read.  */
 void
-wy_h1_conn_refuse (struct wy_h1_request *c, int status)
+wy_h1_conn_reject (struct wy_h1_request *c, int status)
 {
-  static const struct wy_h1_header later = { "Retry-After", "1" };
+  static const struct wy_h1_header retry_after = { "Retry-After", "1" };
 
   c->keep_alive = false;
   if (c->state != CONN_BUSY)
     wy_h1_conn_set_state (c, CONN_BUSY);
   {
-    GString *out = answer_head (c, status, &later, status == 503 ? 1 : 0);
+    GString *out
+        = response_head (c, status, &retry_after, status == 503 ? 1 : 0);
 
     g_string_append (out, "Content-Length: 0\r\n\r\n");
     wy_h1_conn_send (c, out, NULL, 0, false);
     g_string_free (out, TRUE);
   }
-  wy_h1_conn_end_exchange (c);
+  wy_h1_conn_finish_exchange (c);
 }
 
 /* Method of the request.  */
@@ -178,7 +179,7 @@
   return http_method_str ((enum http_method)r->parser.method);
 }
 
-/* Path and query as the caller sent them.  */
+/* Path and query as sent by the caller.  */
 const char *
 wy_h1_target (const struct wy_h1_request *r)
 {
@@ -200,15 +201,15 @@
   return r->body->str;
 }
 
-/* Monotonic time in ms at which the request was read whole.  */
+/* Monotonic time in ms at which the request was complete.  */
 int64_t
 wy_h1_received_ms (const struct wy_h1_request *r)
 {
   return r->received_ms;
 }
 
-/* Call CB once if the caller hangs up before the answer is complete; R is not
-   valid then.  */
+/* Call CB once if the caller hangs up before the response is complete; R is
+   not valid then.  */
 void
 wy_h1_on_hangup (struct wy_h1_request *r, void (*cb) (void *ctx), void *ctx)
 {
--- a/src/h1/server_state.h
+++ b/src/h1/server_state.h
@@ -1,4 +1,4 @@
-/* Inside of the server: one connection, and what all share.  */
+/* Internals of the server: one connection, and the shared state.  */
 #ifndef WY_H1_SERVER_STATE_H
 #define WY_H1_SERVER_STATE_H
 
@@ -14,10 +14,10 @@
 enum wy_h1_conn_state
 {
   CONN_IDLE,
-  CONN_HEAD,  /* some bytes of a head are in */
-  CONN_BODY,  /* the head is in */
-  CONN_BUSY,  /* the handler has the request */
-  CONN_LINGER /* answered, reading on only to be able to close */
+  CONN_HEAD,  /* reading a head */
+  CONN_BODY,  /* reading a body */
+  CONN_BUSY,  /* request with the handler */
+  CONN_LINGER /* discarding input before the close */
 };
 
 struct wy_h1_request
@@ -28,15 +28,15 @@
   enum wy_h1_conn_state state;
   struct wy_h1_head head;
   GString *body;
-  GByteArray *ahead; /* read, not yet parsed */
-  uint64_t since_ms; /* loop time of the last change of state */
+  GByteArray *unparsed;    /* read, not yet parsed */
+  uint64_t state_since_ms; /* loop time */
   int64_t received_ms;
   void (*on_hangup) (void *ctx);
   void *hangup_ctx;
-  int refuse_status; /* not 0: the request broke a limit */
+  int reject_status; /* response to a request over a limit; 0: none */
   bool reading;
   bool keep_alive;
-  bool chunked; /* the answer under way */
+  bool chunked; /* of the current response */
   bool parsing;
   bool closing;
   GList link;
@@ -50,7 +50,7 @@
   uint16_t port;
   bool listening;
   bool announce_close;
-  uint64_t held_bytes;
+  uint64_t total_body_bytes;
   uint32_t active;
   GQueue connections;
   void (*on_request) (void *ctx, struct wy_h1_request *r);
@@ -63,9 +63,9 @@
 void wy_h1_conn_hang_up (struct wy_h1_request *c);
 void wy_h1_conn_set_state (struct wy_h1_request *c,
                            enum wy_h1_conn_state state);
-void wy_h1_conn_end_exchange (struct wy_h1_request *c);
+void wy_h1_conn_finish_exchange (struct wy_h1_request *c);
 void wy_h1_conn_send (struct wy_h1_request *c, GString *head, const void *p,
                       size_t n, bool last);
-void wy_h1_conn_refuse (struct wy_h1_request *c, int status);
+void wy_h1_conn_reject (struct wy_h1_request *c, int status);
 
 #endif
--- a/src/rows/call.c
+++ b/src/rows/call.c
@@ -1,5 +1,5 @@
-/* The life of a call to the store: sent, answered, sent again on another path,
-   lost.  */
+/* One call to the store: sending, response, retry on another path,
+   timeout.  */
 #include "rows/client_state.h"
 
 #include <string.h>
@@ -10,46 +10,49 @@
 
 enum
 {
-  /* The store answers in some ms, and within half a second when it is slow;
-     a call without an answer by then is taken for lost.  */
+  /* The store responds within some ms, or within half a second when it is
+     slow.  A call without a response by then counts as lost.  */
   ROWS_TIMEOUT_MS = 1200,
   TX_TIMEOUT_MS = 2000,
   /* An object takes some ten ms, or one and a half seconds when the store is
-     slow, and its bytes, here at a fifteenth of what the slowest links carry.
-     A lost answer costs a step no more.  */
+     slow, plus the transfer of its bytes, here at a fifteenth of what the
+     slowest links carry.  A lost response delays a step by no more than
+     this.  */
   OBJECT_TIMEOUT_MS = 2000,
   OBJECT_BYTES_PER_MS = 512,
-  /* A call is taken for lost when one that was made so much later has been
-     answered: the slowest kind of call takes less than this over the fastest,
-     on a store that is slow too.  */
+  /* A call counts as lost when one sent this much later has received a
+     response: the slowest kind of call takes less than this over the fastest,
+     also on a slow store.  */
   OVERTAKEN_MS = 600,
   SWEEP_MS = 100,
-  /* Paths that one call is tried on, while that can do no harm: with half of
-     the peers turned away as well, nine in ten calls get through.  */
-  TRIES_MAX = 4,
-  /* Refused for the rate alone for so long, a process is turned away.  */
-  RATE_LIMITED_MS = 1500,
-  /* Answers by which the store's clock is judged.  */
-  OFFSET_SPAN_MS = 15000,
-  STATUS_RATE = 429
+  /* Limit of attempts of one call on different paths, if repeating it is
+     harmless.  With half of the peers rejected by the store as well, nine in
+     ten calls succeed.  */
+  ATTEMPTS_MAX = 4,
+  /* A process that has received nothing but 429 for this long counts as
+     rejected by the store.  */
+  RATE_LIMIT_GRACE_MS = 1500,
+  /* Responses of this window determine the offset of the store's clock.  */
+  OFFSET_WINDOW_MS = 15000,
+  STATUS_TOO_MANY_REQUESTS = 429
 };
 
-/* Free K, which is not under way.  */
+/* Free K, which must have no HTTP call in progress.  */
 void
 wy_rows_call_free (struct wy_rows_call *k)
 {
   g_queue_remove (&k->store->calls, k);
   if (k->store->calls.length == 0)
     uv_timer_stop (&k->store->sweep);
-  if (k->answer)
-    g_string_free (k->answer, TRUE);
+  if (k->response_body)
+    g_string_free (k->response_body, TRUE);
   g_free (k->target);
   g_free (k->body);
   g_free (k);
 }
 
 static void
-count_end (struct wy_rows_call *k, bool ok, const char *why)
+record_result (struct wy_rows_call *k, bool ok, const char *why)
 {
   struct wy_rows *s = k->store;
 
@@ -57,34 +60,35 @@
     {
       s->stats.relay_failed += !ok;
       if (!ok)
-        wy_paths_relay_failed (&s->paths, &k->address,
-                               wy_clock_mono_ms (s->clock));
+        wy_paths_record_relay_failure (&s->paths, &k->address,
+                                       wy_clock_mono_ms (s->clock));
       return;
     }
   s->stats.direct_failed += !ok;
-  if (wy_paths_direct_ended (&s->paths, k->started_ms, ok))
+  if (wy_paths_record_direct (&s->paths, k->started_ms, ok))
     wy_json_log (ok ? "store.regained" : "store.lost", "path=direct reason=%s",
                  why);
 }
 
-/* The store's clock read STORE_MS when it answered, some time ago: the answer
-   that was fastest on its way tells best, so the largest difference of the
-   last spans is the one that counts.  */
+/* Estimate the offset of the store's clock from STORE_MS, its time when it
+   responded.  The response with the least delay is the most accurate, so the
+   largest offset of the current and the previous window counts.  */
 static void
-learn_time (struct wy_rows *s, int64_t store_ms)
+update_clock_offset (struct wy_rows *s, int64_t store_ms)
 {
   int64_t now_ms = wy_clock_mono_ms (s->clock);
   int64_t offset_ms = store_ms - now_ms;
 
-  if (!s->has_now || now_ms - s->offset_since_ms >= OFFSET_SPAN_MS)
+  if (!s->has_store_clock
+      || now_ms - s->offset_window_start_ms >= OFFSET_WINDOW_MS)
     {
-      s->now_offset_ms = s->has_now ? s->offset_max_ms : offset_ms;
-      s->offset_max_ms = offset_ms;
-      s->offset_since_ms = now_ms;
-      s->has_now = true;
+      s->clock_offset_ms = s->has_store_clock ? s->max_offset_ms : offset_ms;
+      s->max_offset_ms = offset_ms;
+      s->offset_window_start_ms = now_ms;
+      s->has_store_clock = true;
     }
-  s->offset_max_ms = MAX (s->offset_max_ms, offset_ms);
-  s->now_offset_ms = MAX (s->now_offset_ms, s->offset_max_ms);
+  s->max_offset_ms = MAX (s->max_offset_ms, offset_ms);
+  s->clock_offset_ms = MAX (s->clock_offset_ms, s->max_offset_ms);
 }
 
 static void
@@ -95,7 +99,7 @@
 
   t->calls++;
   t->rows_read += r->n;
-  t->read_bytes += k->answer->len;
+  t->read_bytes += k->response_body->len;
   t->written_bytes += k->body_size_bytes;
 }
 
@@ -107,9 +111,10 @@
 
   count_traffic (k, r);
   if (r->store_now_ms)
-    learn_time (k->store, r->store_now_ms);
+    update_clock_offset (k->store, r->store_now_ms);
   if (k->forward_cb)
-    k->forward_cb (ctx, k->status, k->answer->str, k->answer->len);
+    k->forward_cb (ctx, k->status, k->response_body->str,
+                   k->response_body->len);
   else
     cb (ctx, r);
   wy_rows_call_free (k);
@@ -118,7 +123,7 @@
 static void send_call (struct wy_rows_call *k);
 
 static bool
-only_reads (enum wy_store_verb verb)
+is_read_only (enum wy_store_verb verb)
 {
   switch (verb)
     {
@@ -135,22 +140,24 @@
   return false;
 }
 
-/* Whether K, which has failed with ERR, is sent again on another path: one
-   that changes something only if it was certainly not done.  A peer's call is
-   not, since the peer has other paths itself.  While the store is away for
-   all, calls are not multiplied.  */
+/* Send K, which has failed with ERR, again on another path.  A call that
+   writes is repeated only if it was certainly not done.  A call forwarded for
+   a peer is not repeated, since the peer has other paths itself.  No call is
+   repeated while the store is unreachable on all paths, so as not to add load.
+   Returns whether K was sent.  */
 static bool
-try_again (struct wy_rows_call *k, int err)
+retry_call (struct wy_rows_call *k, int err)
 {
   struct wy_rows *s = k->store;
   int64_t now_ms = wy_clock_mono_ms (s->clock);
 
-  if (k->forward_cb || k->tries >= TRIES_MAX || now_ms >= k->deadline_ms
-      || (err != WY_ROWS_EREFUSED && !only_reads (k->verb))
-      || wy_rows_is_unreachable (s) || !wy_paths_has_other (&s->paths, now_ms))
+  if (k->forward_cb || k->attempts >= ATTEMPTS_MAX || now_ms >= k->deadline_ms
+      || (err != WY_ROWS_EREFUSED && !is_read_only (k->verb))
+      || wy_rows_is_unreachable (s)
+      || !wy_paths_has_alternative (&s->paths, now_ms))
     return false;
   k->status = 0;
-  g_string_truncate (k->answer, 0);
+  g_string_truncate (k->response_body, 0);
   send_call (k);
   return true;
 }
@@ -158,58 +165,59 @@
 static bool
 is_rate_limited (const struct wy_rows_call *k)
 {
-  return k->status == STATUS_RATE;
+  return k->status == STATUS_TOO_MANY_REQUESTS;
 }
 
-/* Whether K was refused for the rate because this process is turned away.  The
-   rate is everybody's, so when many processes start at once some calls of each
-   are refused: its path works, and a detour over a peer would only add to the
-   load.  But a store may also turn one process away in this manner, and then
-   it answers none of its calls.  */
+/* Whether K received 429 because the store rejects this process.  The rate
+   limit is shared, so when many processes start at once some calls of each are
+   over it; the path works, and a relayed retry would only add load.  But a
+   store may also reject one process in this manner, and then no call of that
+   process succeeds.  */
 static bool
-is_turned_away_by_rate (const struct wy_rows_call *k)
+is_rejected_by_rate (const struct wy_rows_call *k)
 {
   const struct wy_rows *s = k->store;
 
   return !k->relayed
-         && wy_clock_mono_ms (s->clock) - s->paths.direct_heard_ms
-                > RATE_LIMITED_MS;
+         && wy_clock_mono_ms (s->clock) - s->paths.direct_answered_ms
+                > RATE_LIMIT_GRACE_MS;
 }
 
 static void
 fail (struct wy_rows_call *k, int err, const char *why)
 {
   struct wy_rows_result r = { .err = err };
-  bool rate_limited = is_rate_limited (k) && !is_turned_away_by_rate (k);
+  bool rate_limited = is_rate_limited (k) && !is_rejected_by_rate (k);
 
   if (!rate_limited)
-    count_end (k, false, why);
+    record_result (k, false, why);
   wy_json_log ("store.call_failed", "verb=%s via=%s outcome=%s reason=%s",
                wy_store_verb_name (k->verb), k->relayed ? "peer" : "direct",
                err == WY_ROWS_EREFUSED ? "not_done" : "unknown", why);
-  if (!rate_limited && try_again (k, err))
+  if (!rate_limited && retry_call (k, err))
     return;
   k->store->stats
       .calls_by_outcome[k->verb][err == WY_ROWS_EREFUSED ? WY_ROWS_NOT_DONE
                                                          : WY_ROWS_UNKNOWN]++;
-  /* A peer is told what is known, by the codes that the store itself uses. */
+  /* The peer receives the status that the store itself would use.  */
   if (!rate_limited)
     k->status = err == WY_ROWS_EREFUSED ? 503 : 504;
-  g_string_truncate (k->answer, 0);
+  g_string_truncate (k->response_body, 0);
   deliver (k, &r);
 }
 
-/* End the calls for which IS_LOST holds.  No owner ends a call of its own, so
-   the ones found stay valid until their turn.  */
+/* Fail the calls for which IS_LOST holds.  No callback ends another call, so
+   those found stay valid until their turn.  */
 static void
-end_lost (struct wy_rows *s,
-          bool (*is_lost) (const struct wy_rows_call *k, int64_t than_ms),
-          int64_t than_ms, const char *why)
+fail_lost_calls (struct wy_rows *s,
+                 bool (*is_lost) (const struct wy_rows_call *k,
+                                  int64_t ref_ms),
+                 int64_t ref_ms, const char *why)
 {
   GPtrArray *lost = g_ptr_array_new ();
 
   for (GList *l = s->calls.head; l; l = l->next)
-    if (is_lost (l->data, than_ms))
+    if (is_lost (l->data, ref_ms))
       g_ptr_array_add (lost, l->data);
   for (guint i = 0; i < lost->len; i++)
     {
@@ -229,14 +237,14 @@
   return now_ms >= k->deadline_ms;
 }
 
-/* Whether K is older than a call that was answered, made at MADE_MS, by more
-   than calls differ in their times.  What went out while the store was away is
-   not answered when it is back, and without this all that waits for it would
-   wait for its time limit.  Objects take longer than rows by more than that on
-   a slow store, so for them the call must be the one that showed the store to
-   be back.  */
+/* Whether K was sent so long before a call that has received its response,
+   sent at SENT_MS, that K must be lost.  Calls sent while the store was
+   unreachable get no response when it is back; without this, whatever depends
+   on them would wait for their timeouts.  On a slow store objects take longer
+   than rows by more than OVERTAKEN_MS, so for them the call must be the one
+   that restored the direct path.  */
 static bool
-is_overtaken (const struct wy_rows_call *k, int64_t made_ms)
+is_overtaken (const struct wy_rows_call *k, int64_t sent_ms)
 {
   switch (k->verb)
     {
@@ -245,20 +253,20 @@
     case WY_STORE_PUT_OBJECT:
     case WY_STORE_GET_OBJECT:
     case WY_STORE_DELETE_OBJECT:
-      made_ms = k->store->paths.regained_ms;
+      sent_ms = k->store->paths.direct_restored_ms;
       break;
     case WY_STORE_GET:
     case WY_STORE_PARTITIONS:
     case WY_STORE_TX:
       break;
     }
-  return made_ms - k->started_ms > OVERTAKEN_MS + k->transfer_ms;
+  return sent_ms - k->started_ms > OVERTAKEN_MS + k->transfer_ms;
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_response *a)
+on_head (void *ctx, const struct wy_h1_response *r)
 {
-  ((struct wy_rows_call *)ctx)->status = a->status;
+  ((struct wy_rows_call *)ctx)->status = r->status;
 }
 
 static void
@@ -266,8 +274,9 @@
 {
   struct wy_rows_call *k = ctx;
 
-  g_string_append_len (k->answer, p, (gssize)n);
-  /* How long an object is shows as it comes.  */
+  g_string_append_len (k->response_body, p, (gssize)n);
+  /* The size of the object is not known beforehand: each piece extends the
+     deadline.  */
   if (k->verb == WY_STORE_GET_OBJECT)
     k->deadline_ms = wy_clock_mono_ms (k->store->clock) + OBJECT_TIMEOUT_MS;
 }
@@ -289,20 +298,20 @@
       return;
     }
   k->http = NULL;
-  decoded = wy_store_decode_response (k->verb, k->status, k->answer->str,
-                                      k->answer->len, &r);
+  decoded = wy_store_decode_response (
+      k->verb, k->status, k->response_body->str, k->response_body->len, &r);
   if (r.err == WY_ROWS_EREFUSED || r.err == WY_ROWS_EUNKNOWN)
     fail (k, r.err, is_rate_limited (k) ? "rate" : "turned_away");
   else
     {
       struct wy_rows *s = k->store;
-      int64_t made_ms = k->started_ms;
+      int64_t sent_ms = k->started_ms;
 
       s->stats.calls_by_outcome[k->verb][WY_ROWS_DONE]++;
-      s->answered_ms = wy_clock_mono_ms (s->clock);
-      count_end (k, true, "answered");
+      s->last_response_ms = wy_clock_mono_ms (s->clock);
+      record_result (k, true, "answered");
       deliver (k, &r);
-      end_lost (s, is_overtaken, made_ms, "overtaken");
+      fail_lost_calls (s, is_overtaken, sent_ms, "overtaken");
     }
   wy_store_response_free (decoded);
 }
@@ -312,7 +321,7 @@
 {
   struct wy_rows *s = t->data;
 
-  end_lost (s, is_overdue, wy_clock_mono_ms (s->clock), "timeout");
+  fail_lost_calls (s, is_overdue, wy_clock_mono_ms (s->clock), "timeout");
 }
 
 static uint32_t
@@ -334,7 +343,7 @@
   return ROWS_TIMEOUT_MS;
 }
 
-/* A call that is still to be started; takes TARGET over.  */
+/* Create a call that is not sent yet.  Takes ownership of TARGET.  */
 struct wy_rows_call *
 wy_rows_call_new (struct wy_rows *s, enum wy_store_verb verb,
                   const char *table, char *target, wy_rows_cb *cb, void *ctx)
@@ -346,7 +355,7 @@
   k->table = g_intern_string (table);
   k->method = wy_store_method (verb);
   k->target = target;
-  k->answer = g_string_new (NULL);
+  k->response_body = g_string_new (NULL);
   k->cb = cb;
   k->ctx = ctx;
   k->started_ms = wy_clock_mono_ms (s->clock);
@@ -376,7 +385,7 @@
                                   .on_end = on_end,
                                   .ctx = k };
 
-  k->tries++;
+  k->attempts++;
   k->started_ms = wy_clock_mono_ms (s->clock);
   k->relayed = false;
   k->address = k->forward_cb
@@ -392,7 +401,7 @@
   k->http = wy_h1_call_start (s->http, &o);
 }
 
-/* Send K with a body of N bytes, which is copied; NULL: none.  */
+/* Send K with BODY of N bytes, which is copied; NULL: no body.  */
 void
 wy_rows_call_start (struct wy_rows_call *k, const void *body, size_t n)
 {
--- a/src/rows/client.c
+++ b/src/rows/client.c
@@ -1,5 +1,5 @@
-/* Calls to the store: directly, or through another process of the system
-   when the store turns this one away.  */
+/* Calls to the store: directly, or through a peer while the store rejects this
+   process.  */
 #include "rows/client_state.h"
 
 #include <string.h>
@@ -10,15 +10,15 @@
 
 enum
 {
-  /* The store is away when the direct path fails and no answer has come on any
-     path for so long: while a peer reaches it, answers come some times a
-     second.  */
-  AWAY_MS = 600,
-  /* A feed's answer is due this long after its wait.  */
-  FEED_SLACK_MS = 600
+  /* The store counts as unreachable when the direct path fails and no response
+     has come on any path for this long; while a peer reaches it, responses
+     come several times a second.  */
+  UNREACHABLE_MS = 600,
+  /* Time for the response to a feed call beyond the wait that it asks for.  */
+  FEED_GRACE_MS = 600
 };
 
-/* Read rows of a range, in the order of their keys.  */
+/* Read the rows of RANGE in the order of their keys.  */
 void
 wy_rows_get (struct wy_rows *s, const struct wy_rows_range *range,
              wy_rows_cb *cb, void *ctx)
@@ -28,7 +28,7 @@
                       NULL, 0);
 }
 
-/* List the parts of TABLE that follow AFTER (NULL: from the first).  */
+/* List the partitions of TABLE after AFTER (NULL: from the first).  */
 void
 wy_rows_list_partitions (struct wy_rows *s, const char *table,
                          const char *after, wy_rows_cb *cb, void *ctx)
@@ -39,7 +39,8 @@
       NULL, 0);
 }
 
-/* Wait up to WAIT_MS for changes of TABLE newer than AFTER.  */
+/* Read the changes of TABLE newer than version AFTER; waits up to WAIT_MS for
+   one.  WY_ROWS_ECOMPACTED if changes after AFTER are no longer available.  */
 void
 wy_rows_read_feed (struct wy_rows *s, const char *table, int64_t after,
                    uint32_t wait_ms, wy_rows_cb *cb, void *ctx)
@@ -48,7 +49,7 @@
       s, WY_STORE_FEED, table, wy_store_feed_target (table, after, wait_ms),
       cb, ctx);
 
-  k->deadline_ms = wy_clock_mono_ms (s->clock) + wait_ms + FEED_SLACK_MS;
+  k->deadline_ms = wy_clock_mono_ms (s->clock) + wait_ms + FEED_GRACE_MS;
   wy_rows_call_start (k, NULL, 0);
 }
 
@@ -60,8 +61,8 @@
   return tx->n_removals ? tx->removals->table : "";
 }
 
-/* Perform TX.  After WY_ROWS_ECONFLICT the result holds the rows of the
-   conditions as they are.  */
+/* Commit TX.  After WY_ROWS_ECONFLICT the result holds the current rows of the
+   conditions.  */
 void
 wy_rows_tx (struct wy_rows *s, const struct wy_rows_tx *tx, wy_rows_cb *cb,
             void *ctx)
@@ -74,7 +75,8 @@
   g_free (body);
 }
 
-/* Store the N bytes at P under NAME; WY_ROWS_ECONFLICT when it exists.  */
+/* Store the N bytes at P as the object NAME; WY_ROWS_ECONFLICT if it
+   exists.  */
 void
 wy_rows_put_object (struct wy_rows *s, const char *name, const void *p,
                     size_t n, wy_rows_cb *cb, void *ctx)
@@ -98,7 +100,7 @@
       NULL, 0);
 }
 
-/* Remove the object NAME.  */
+/* Delete the object NAME.  */
 void
 wy_rows_delete_object (struct wy_rows *s, const char *name, wy_rows_cb *cb,
                        void *ctx)
@@ -110,8 +112,8 @@
       NULL, 0);
 }
 
-/* Pass on a peer's call unchanged.  ON_DONE gets the store's answer, or 503
-   if the call was certainly not done and 504 if that is unknown.  */
+/* Forward a peer's call unchanged.  ON_DONE receives the store's response, 503
+   if the call was certainly not done, or 504 if that is unknown.  */
 void
 wy_rows_forward (struct wy_rows *s, const char *method, const char *target,
                  const void *body, size_t n,
@@ -130,13 +132,13 @@
   k = wy_rows_call_new (s, verb, FORWARDED, g_strdup (target), NULL, ctx);
   k->forward_cb = on_done;
   if (verb == WY_STORE_FEED)
-    k->deadline_ms += (int64_t)wy_store_feed_wait_ms (target) + FEED_SLACK_MS;
+    k->deadline_ms += (int64_t)wy_store_feed_wait_ms (target) + FEED_GRACE_MS;
   wy_rows_call_start (
       k, verb == WY_STORE_TX || verb == WY_STORE_PUT_OBJECT ? body : NULL,
       verb == WY_STORE_TX || verb == WY_STORE_PUT_OBJECT ? n : 0);
 }
 
-/* A client of the store as O says.  */
+/* Create a client of the store with the options O.  */
 struct wy_rows *
 wy_rows_new (const struct wy_rows_options *o)
 {
@@ -146,10 +148,10 @@
   s->clock = o->clock;
   s->http = o->http;
   wy_rng_seed (&s->rng, o->seed);
-  s->answered_ms = wy_clock_mono_ms (o->clock);
+  s->last_response_ms = wy_clock_mono_ms (o->clock);
   wy_paths_init (&s->paths, &o->address,
                  wy_rng_below (&s->rng, WY_PATHS_RELAYS_MAX));
-  s->paths.direct_heard_ms = s->answered_ms;
+  s->paths.direct_answered_ms = s->last_response_ms;
   g_queue_init (&s->calls);
   uv_timer_init (o->loop, &s->sweep);
   s->sweep.data = s;
@@ -162,7 +164,8 @@
   g_free (h->data);
 }
 
-/* End all calls without a word and free S on the next turn of the loop.  */
+/* Cancel all calls without their callbacks; S is freed on the next turn of the
+   loop.  */
 void
 wy_rows_free (struct wy_rows *s)
 {
@@ -177,7 +180,7 @@
   uv_close ((uv_handle_t *)&s->sweep, on_sweep_closed);
 }
 
-/* Processes of the system that pass calls on, N of them.  */
+/* Set the N peers that forward calls.  */
 void
 wy_rows_set_relays (struct wy_rows *s, const struct sockaddr_in *peers,
                     size_t n)
@@ -185,14 +188,14 @@
   wy_paths_set_relays (&s->paths, peers, n);
 }
 
-/* Whether the store answers this process itself, without a peer.  */
+/* Whether the direct path to the store works.  */
 bool
 wy_rows_is_direct (const struct wy_rows *s)
 {
   return s->paths.direct_ok;
 }
 
-/* Counts of S's calls.  */
+/* Copy the statistics of S to OUT.  */
 void
 wy_rows_stats (const struct wy_rows *s, struct wy_rows_stats *out)
 {
@@ -200,20 +203,20 @@
   out->direct_ok = s->paths.direct_ok;
 }
 
-/* The store's steady clock as last told, carried on by our own; 0 before the
-   first answer.  */
+/* The store's monotonic clock, estimated from its last responses; 0 before the
+   first.  */
 int64_t
 wy_rows_store_now_ms (const struct wy_rows *s)
 {
-  if (!s->has_now)
+  if (!s->has_store_clock)
     return 0;
-  return wy_clock_mono_ms (s->clock) + s->now_offset_ms;
+  return wy_clock_mono_ms (s->clock) + s->clock_offset_ms;
 }
 
-/* Whether the store answers on no path.  */
+/* Whether the store is unreachable on all paths.  */
 bool
 wy_rows_is_unreachable (const struct wy_rows *s)
 {
   return !s->paths.direct_ok
-         && wy_clock_mono_ms (s->clock) - s->answered_ms > AWAY_MS;
+         && wy_clock_mono_ms (s->clock) - s->last_response_ms > UNREACHABLE_MS;
 }
--- a/src/rows/client_state.h
+++ b/src/rows/client_state.h
@@ -1,4 +1,4 @@
-/* Inside of the store's client: src/rows/store.c and src/rows/call.c.  */
+/* Internals of the store's client, shared by client.c and call.c.  */
 #ifndef WY_ROWS_CLIENT_STATE_H
 #define WY_ROWS_CLIENT_STATE_H
 
@@ -15,18 +15,18 @@
   struct wy_rows *store;
   struct wy_h1_call *http;
   enum wy_store_verb verb;
-  const char *table; /* interned; the call is counted under it */
+  const char *table; /* interned; for the statistics */
   char *target;
   const char *method;
   char *body; /* NULL: none */
   size_t body_size_bytes;
-  GString *answer;
+  GString *response_body;
   int status;
-  struct sockaddr_in address; /* that it was sent to */
+  struct sockaddr_in address; /* of the latest attempt */
   bool relayed;
-  uint32_t tries;
-  int64_t started_ms;
-  int64_t transfer_ms; /* that its body may take */
+  uint32_t attempts;
+  int64_t started_ms;  /* of the latest attempt */
+  int64_t transfer_ms; /* time allowed for its body */
   int64_t deadline_ms;
   wy_rows_cb *cb;
   void (*forward_cb) (void *ctx, int status, const char *body, size_t n);
@@ -41,11 +41,11 @@
   struct wy_paths paths;
   uv_timer_t sweep;
   GQueue calls;
-  int64_t answered_ms;   /* the last answer, on whatever path */
-  int64_t now_offset_ms; /* the store's clock less ours */
-  int64_t offset_max_ms; /* of the answers since this time: */
-  int64_t offset_since_ms;
-  bool has_now;
+  int64_t last_response_ms; /* on any path */
+  int64_t clock_offset_ms;  /* the store's clock minus ours */
+  int64_t max_offset_ms;    /* in the current window */
+  int64_t offset_window_start_ms;
+  bool has_store_clock;
   struct wy_rng rng;
   struct wy_rows_stats stats;
 };
--- a/src/rows/rows.h
+++ b/src/rows/rows.h
@@ -1,10 +1,10 @@
-/* Client of a store of versioned rows and raw objects, the one place where
-   anything lasts.
+/* Client of the metadata store of versioned rows and raw objects, which holds
+   all persistent state.
 
-   Each call ends in one of three ways that its caller must tell apart: done,
+   Each call ends in one of three ways that its caller must distinguish: done,
    certainly not done (WY_ROWS_EREFUSED), or unknown (WY_ROWS_EUNKNOWN), in
-   which case it may still be performed seconds later if its condition holds
-   then.  */
+   which case the store may still perform it seconds later if its conditions
+   hold then.  */
 #ifndef WY_ROWS_ROWS_H
 #define WY_ROWS_ROWS_H
 
@@ -21,12 +21,12 @@
 enum wy_rows_error
 {
   WY_ROWS_EREFUSED = -1101,   /* not done, and will not be */
-  WY_ROWS_EUNKNOWN = -1102,   /* no answer */
-  WY_ROWS_ECONFLICT = -1103,  /* a condition did not hold */
-  WY_ROWS_ECOMPACTED = -1104, /* the feed no longer reaches back so far */
+  WY_ROWS_EUNKNOWN = -1102,   /* no response */
+  WY_ROWS_ECONFLICT = -1103,  /* a precondition failed */
+  WY_ROWS_ECOMPACTED = -1104, /* compacted past the version asked for */
   WY_ROWS_ENOTFOUND = -1105,
   WY_ROWS_EFULL = -1106,
-  WY_ROWS_EMALFORMED = -1107 /* an answer that can't be read */
+  WY_ROWS_EMALFORMED = -1107 /* the response cannot be parsed */
 };
 
 struct wy_row
@@ -45,16 +45,17 @@
   int err;
   const struct wy_row *rows;
   size_t n;
-  const char *const *partitions; /* of parts */
+  const char *const *partitions;
   size_t n_partitions;
   bool has_more;
-  int64_t version;      /* the newest of the store */
-  int64_t store_now_ms; /* the store's steady clock */
+  int64_t version;      /* the store's newest */
+  int64_t store_now_ms; /* the store's monotonic clock */
   const void *object;
   size_t object_size_bytes;
 };
 
-/* One row of a transaction: VERSION is the one it must have (0: none).  */
+/* A row of a transaction.  In conditions, VERSION is the one that the row must
+   have; 0: the row must not exist.  */
 struct wy_row_ref
 {
   const char *table;
@@ -70,7 +71,7 @@
   size_t size_bytes;
 };
 
-/* All entries lie in PART.  */
+/* All rows are in one partition.  */
 struct wy_rows_tx
 {
   const char *partition;
@@ -86,21 +87,21 @@
 {
   const char *table;
   const char *partition;
-  const char *from; /* NULL: from the first */
-  const char *to;   /* excluded; NULL: to the last */
-  uint32_t limit;   /* 0: the store's own */
+  const char *from; /* first key; NULL: no lower bound */
+  const char *to;   /* end, exclusive; NULL: no upper bound */
+  uint32_t limit;   /* rows; 0: the store's default */
 };
 
 enum
 {
-  WY_ROWS_VERBS = 7, /* as enum wy_store_verb has */
+  WY_ROWS_VERBS = 7, /* number of values of enum wy_store_verb */
   WY_ROWS_DONE = 0,
   WY_ROWS_NOT_DONE,
   WY_ROWS_UNKNOWN,
   WY_ROWS_OUTCOMES
 };
 
-/* How calls reach the store and end, for logs and metrics.  */
+/* Statistics of calls, for logs and metrics.  */
 struct wy_rows_stats
 {
   uint64_t calls;
--- a/src/rows/traffic.c
+++ b/src/rows/traffic.c
@@ -1,4 +1,4 @@
-/* Traffic with the store by table.  */
+/* Counters of calls to the store by table.  */
 #include "rows/traffic.h"
 
 #include <string.h>
--- a/src/rows/traffic.h
+++ b/src/rows/traffic.h
@@ -1,4 +1,4 @@
-/* Traffic with the store by table.  */
+/* Counters of calls to the store by table.  */
 #ifndef WY_ROWS_TRAFFIC_H
 #define WY_ROWS_TRAFFIC_H
 
--- a/src/rows/watch.c
+++ b/src/rows/watch.c
@@ -1,9 +1,9 @@
-/* Follows a table by its feed, with a whole read beneath.
+/* Watch on a table: a snapshot, then the table's change feed.
 
-   A feed can fall silent without closing, lose its history, or be refused to
-   this instance alone.  So each wait is short, each call has its own time
-   limit, and a feed that has lost its history starts over from a whole read,
-   which also tells which rows went away meanwhile.  */
+   A feed can stop sending without closing, lose its history, or be rejected
+   for this instance alone.  So each wait is short, each call has its own
+   timeout, and a feed that has lost its history restarts from a new snapshot,
+   which also shows which rows were deleted in between.  */
 #include "rows/watch.h"
 
 #include <string.h>
@@ -15,11 +15,11 @@
 
 enum
 {
-  /* Longer waits save calls but make a silent feed show later.  */
+  /* Longer waits save calls but delay the detection of a stalled feed.  */
   FEED_WAIT_MS = 700,
   RETRY_MIN_MS = 60,
   RETRY_MAX_MS = 600,
-  PART_READS_AT_ONCE = 8
+  CONCURRENT_READS_MAX = 8
 };
 
 struct wy_watch
@@ -27,21 +27,21 @@
   struct wy_watch_options o;
   uv_timer_t timer;
   struct wy_rng rng;
-  GHashTable *known; /* "part\nkey" -> generation of the read that told it */
+  GHashTable *known; /* "partition\nkey" -> generation last seen */
   uint64_t generation;
-  int64_t version; /* the feed goes on from here */
-  int64_t sync_version;
-  int64_t answered_ms;
-  int64_t called_ms;
+  int64_t version; /* position in the feed */
+  int64_t snapshot_version;
+  int64_t last_response_ms;
+  int64_t last_call_ms;
   uint32_t retry_ms;
-  char *from;       /* where the next page starts */
-  GPtrArray *parts; /* still to be read */
-  uint32_t reading;
+  char *from; /* start of the next page */
+  GPtrArray *unread_partitions;
+  uint32_t pending_reads;
   bool read_failed;
-  bool reading_parts; /* some are to be read again */
+  bool retry_partitions; /* failed ones are due again */
   bool synced;
   bool calling;
-  uint32_t pending_calls; /* unanswered calls to the store */
+  uint32_t pending_calls; /* calls to the store in progress */
   bool timer_closed;
   bool closing;
 };
@@ -52,8 +52,8 @@
   if (w->pending_calls || !w->timer_closed)
     return;
   g_hash_table_destroy (w->known);
-  g_ptr_array_set_free_func (w->parts, g_free);
-  g_ptr_array_free (w->parts, TRUE);
+  g_ptr_array_set_free_func (w->unread_partitions, g_free);
+  g_ptr_array_free (w->unread_partitions, TRUE);
   g_free (w->from);
   g_free (w);
 }
@@ -67,8 +67,8 @@
   free_if_idle (w);
 }
 
-/* Account for the end of a call of W.  Returns false if W is closing; it may
-   have been freed then.  */
+/* Count the end of a call of W.  Returns false if W is closing; it may have
+   been freed then.  */
 static bool
 finish_call (struct wy_watch *w)
 {
@@ -79,11 +79,11 @@
   return false;
 }
 
-struct part_read
+struct partition_read
 {
   struct wy_watch *watch;
-  char *part;
-  char *from; /* start of the page; NULL: first page */
+  char *partition;
+  char *from; /* NULL: first page */
   uint64_t generation;
 };
 
@@ -116,13 +116,13 @@
 schedule_next (struct wy_watch *w)
 {
   int64_t now_ms = wy_clock_mono_ms (w->o.clock);
-  int64_t due_ms = w->called_ms + w->o.min_interval_ms;
+  int64_t due_ms = w->last_call_ms + w->o.min_interval_ms;
 
   w->retry_ms = RETRY_MIN_MS;
   schedule (w, due_ms > now_ms ? (uint32_t)(due_ms - now_ms) : 0);
 }
 
-/* The least key after that of ROW; the caller frees it.  */
+/* The least key after that of ROW, allocated.  */
 static char *
 next_key (const struct wy_row *row)
 {
@@ -136,7 +136,7 @@
 }
 
 static void
-tell (struct wy_watch *w, const struct wy_row *row)
+report_row (struct wy_watch *w, const struct wy_row *row)
 {
   char *key = key_of (row);
 
@@ -153,9 +153,9 @@
   g_free (key);
 }
 
-/* Rows that the whole read did not meet went away unseen.  */
+/* Report rows that the snapshot does not have as deleted.  */
 static void
-tell_lost (struct wy_watch *w)
+report_missing_rows (struct wy_watch *w)
 {
   GHashTableIter it;
   gpointer key;
@@ -172,7 +172,7 @@
       words = g_strsplit (key, "\n", 2);
       row.partition = words[0];
       row.key = words[1];
-      row.version = w->sync_version;
+      row.version = w->snapshot_version;
       g_hash_table_iter_remove (&it);
       w->o.on_row (w->o.ctx, &row);
       g_strfreev (words);
@@ -180,10 +180,10 @@
 }
 
 static void
-end_sync (struct wy_watch *w)
+finish_snapshot (struct wy_watch *w)
 {
-  tell_lost (w);
-  w->version = w->sync_version;
+  report_missing_rows (w);
+  w->version = w->snapshot_version;
   if (!w->synced)
     wy_json_log ("watch.synced", "table=%s rows=%u version=%lld", w->o.table,
                  g_hash_table_size (w->known), (long long)w->version);
@@ -194,15 +194,15 @@
 }
 
 static void
-start_sync (struct wy_watch *w)
+reset_snapshot (struct wy_watch *w)
 {
   w->synced = false;
   w->generation++;
-  w->sync_version = 0;
+  w->snapshot_version = 0;
   w->read_failed = false;
-  w->reading_parts = false;
+  w->retry_partitions = false;
   g_clear_pointer (&w->from, g_free);
-  g_ptr_array_set_size (w->parts, 0);
+  g_ptr_array_set_size (w->unread_partitions, 0);
 }
 
 static void
@@ -214,20 +214,20 @@
     return;
   if (r->err)
     {
-      start_sync (w);
+      reset_snapshot (w);
       schedule_retry (w);
       return;
     }
-  w->answered_ms = wy_clock_mono_ms (w->o.clock);
-  /* Changes made while pages are read show in the feed from the first
-     page's version on.  */
-  if (w->sync_version == 0)
-    w->sync_version = r->version;
+  w->last_response_ms = wy_clock_mono_ms (w->o.clock);
+  /* Changes made while pages are read are in the feed after the first page's
+     version.  */
+  if (w->snapshot_version == 0)
+    w->snapshot_version = r->version;
   for (size_t i = 0; i < r->n; i++)
-    tell (w, &r->rows[i]);
+    report_row (w, &r->rows[i]);
   if (!r->has_more || r->n == 0)
     {
-      end_sync (w);
+      finish_snapshot (w);
       return;
     }
   g_free (w->from);
@@ -235,81 +235,84 @@
   schedule (w, 0);
 }
 
-static void read_parts (struct wy_watch *w);
-static void on_part (void *ctx, const struct wy_rows_result *r);
+static void read_partitions (struct wy_watch *w);
+static void on_partition_page (void *ctx, const struct wy_rows_result *r);
 
 static void
-read_part_page (struct part_read *p)
+read_partition_page (struct partition_read *p)
 {
   struct wy_watch *w = p->watch;
   struct wy_rows_range range
-      = { .table = w->o.table, .partition = p->part, .from = p->from };
+      = { .table = w->o.table, .partition = p->partition, .from = p->from };
 
-  w->reading++;
+  w->pending_reads++;
   w->pending_calls++;
-  wy_rows_get (w->o.rows, &range, on_part, p);
+  wy_rows_get (w->o.rows, &range, on_partition_page, p);
 }
 
 static void
-on_part (void *ctx, const struct wy_rows_result *r)
+on_partition_page (void *ctx, const struct wy_rows_result *r)
 {
-  struct part_read *p = ctx;
+  struct partition_read *p = ctx;
   struct wy_watch *w = p->watch;
 
-  w->reading--;
+  w->pending_reads--;
   if (finish_call (w) && p->generation == w->generation)
     {
       if (r->err)
         {
           w->read_failed = true;
-          g_ptr_array_add (w->parts, g_steal_pointer (&p->part));
+          g_ptr_array_add (w->unread_partitions,
+                           g_steal_pointer (&p->partition));
         }
       for (size_t i = 0; i < r->n; i++)
-        tell (w, &r->rows[i]);
+        report_row (w, &r->rows[i]);
       if (!r->err && r->has_more && r->n)
         {
           g_free (p->from);
           p->from = next_key (&r->rows[r->n - 1]);
-          read_part_page (p);
+          read_partition_page (p);
           return;
         }
-      read_parts (w);
+      read_partitions (w);
     }
   g_free (p->from);
-  g_free (p->part);
+  g_free (p->partition);
   g_free (p);
 }
 
-/* Read the parts listed, some at once; the feed starts when all are in.  Parts
-   that could not be read are read again after a pause, not all of them: many
-   processes that start at once would else keep each other from ever having
-   read them all.  */
+/* Read the listed partitions, several at once; the feed starts after the last.
+   Only partitions that could not be read are read again, after a pause: if
+   many processes that start together each reread everything, the load would
+   keep all of them from completing.  */
 static void
-read_parts (struct wy_watch *w)
+read_partitions (struct wy_watch *w)
 {
-  while (!w->read_failed && w->parts->len && w->reading < PART_READS_AT_ONCE)
+  while (!w->read_failed && w->unread_partitions->len
+         && w->pending_reads < CONCURRENT_READS_MAX)
     {
-      struct part_read *p = g_new0 (struct part_read, 1);
+      struct partition_read *p = g_new0 (struct partition_read, 1);
 
       p->watch = w;
       p->generation = w->generation;
-      p->part = g_ptr_array_steal_index_fast (w->parts, w->parts->len - 1);
-      read_part_page (p);
+      p->partition = g_ptr_array_steal_index_fast (
+          w->unread_partitions, w->unread_partitions->len - 1);
+      read_partition_page (p);
     }
-  if (w->reading)
+  if (w->pending_reads)
     return;
   if (w->read_failed)
     {
       w->read_failed = false;
-      w->reading_parts = true;
+      w->retry_partitions = true;
       schedule_retry (w);
     }
   else
-    end_sync (w);
+    finish_snapshot (w);
 }
 
 static void
-on_parts (void *ctx, const struct wy_rows_result *r)
+on_partitions (void *ctx, const struct wy_rows_result *r)
 {
   struct wy_watch *w = ctx;
 
@@ -317,15 +320,15 @@
     return;
   if (r->err)
     {
-      start_sync (w);
+      reset_snapshot (w);
       schedule_retry (w);
       return;
     }
-  w->answered_ms = wy_clock_mono_ms (w->o.clock);
-  if (w->sync_version == 0)
-    w->sync_version = r->version;
+  w->last_response_ms = wy_clock_mono_ms (w->o.clock);
+  if (w->snapshot_version == 0)
+    w->snapshot_version = r->version;
   for (size_t i = 0; i < r->n_partitions; i++)
-    g_ptr_array_add (w->parts, g_strdup (r->partitions[i]));
+    g_ptr_array_add (w->unread_partitions, g_strdup (r->partitions[i]));
   if (r->has_more && r->n_partitions)
     {
       g_free (w->from);
@@ -333,7 +336,7 @@
       schedule (w, 0);
       return;
     }
-  read_parts (w);
+  read_partitions (w);
 }
 
 static void
@@ -347,7 +350,7 @@
     {
       wy_json_log ("watch.restarted", "table=%s reason=history version=%lld",
                    w->o.table, (long long)w->version);
-      start_sync (w);
+      reset_snapshot (w);
       schedule (w, 0);
       return;
     }
@@ -356,10 +359,10 @@
       schedule_retry (w);
       return;
     }
-  w->answered_ms = wy_clock_mono_ms (w->o.clock);
+  w->last_response_ms = wy_clock_mono_ms (w->o.clock);
   for (size_t i = 0; i < r->n; i++)
     if (w->o.all_partitions || !*r->rows[i].partition)
-      tell (w, &r->rows[i]);
+      report_row (w, &r->rows[i]);
   if (r->version > w->version)
     w->version = r->version;
   schedule_next (w);
@@ -372,11 +375,11 @@
       = { .table = w->o.table, .partition = "", .from = w->from };
 
   w->calling = true;
-  w->called_ms = wy_clock_mono_ms (w->o.clock);
-  if (w->reading_parts)
+  w->last_call_ms = wy_clock_mono_ms (w->o.clock);
+  if (w->retry_partitions)
     {
-      w->reading_parts = false;
-      read_parts (w);
+      w->retry_partitions = false;
+      read_partitions (w);
       return;
     }
   w->pending_calls++;
@@ -384,12 +387,12 @@
     wy_rows_read_feed (w->o.rows, w->o.table, w->version, FEED_WAIT_MS,
                        on_feed, w);
   else if (w->o.all_partitions)
-    wy_rows_list_partitions (w->o.rows, w->o.table, w->from, on_parts, w);
+    wy_rows_list_partitions (w->o.rows, w->o.table, w->from, on_partitions, w);
   else
     wy_rows_get (w->o.rows, &range, on_page, w);
 }
 
-/* Follow a table as O says.  */
+/* Start a watch with the options O.  */
 struct wy_watch *
 wy_watch_new (const struct wy_watch_options *o)
 {
@@ -398,17 +401,16 @@
   w->o = *o;
   w->retry_ms = RETRY_MIN_MS;
   w->known = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  w->parts = g_ptr_array_new ();
+  w->unread_partitions = g_ptr_array_new ();
   wy_rng_seed (&w->rng, o->seed);
   uv_timer_init (o->loop, &w->timer);
   w->timer.data = w;
-  start_sync (w);
+  reset_snapshot (w);
   schedule (w, 0);
   return w;
 }
 
-/* Stop following.  The memory of W is released when pending calls have ended.
- */
+/* Stop watching.  W is freed when its pending calls have ended.  */
 void
 wy_watch_free (struct wy_watch *w)
 {
@@ -416,18 +418,18 @@
   uv_close ((uv_handle_t *)&w->timer, on_timer_closed);
 }
 
-/* Whether all rows have been told.  */
+/* Whether all rows have been reported.  */
 bool
 wy_watch_is_synced (const struct wy_watch *w)
 {
   return w->synced;
 }
 
-/* Time in ms since the store last answered; -1 before the first answer.  */
+/* Time in ms since the store's last response; -1 before the first.  */
 int64_t
 wy_watch_age_ms (const struct wy_watch *w)
 {
-  if (w->answered_ms == 0)
+  if (w->last_response_ms == 0)
     return -1;
-  return wy_clock_mono_ms (w->o.clock) - w->answered_ms;
+  return wy_clock_mono_ms (w->o.clock) - w->last_response_ms;
 }
--- a/src/rows/watch.h
+++ b/src/rows/watch.h
@@ -1,4 +1,5 @@
-/* Follows a table of the store: all its rows first, then each change.  */
+/* Watch on a table of the store: reports all its rows first, then each
+   change.  */
 #ifndef WY_ROWS_WATCH_H
 #define WY_ROWS_WATCH_H
 
@@ -12,12 +13,12 @@
   const struct wy_clock *clock;
   struct wy_rows *rows;
   const char *table;        /* static */
-  bool all_partitions;      /* false: rows of the empty part alone */
-  uint32_t min_interval_ms; /* least time between two calls */
+  bool all_partitions;      /* false: only the empty partition */
+  uint32_t min_interval_ms; /* between two calls */
   uint64_t seed;
-  /* A row is new, changed or deleted; it may be told more than once.  */
+  /* A row is new, changed or deleted; may be reported more than once.  */
   void (*on_row) (void *ctx, const struct wy_row *row);
-  /* All rows are known; comes again when they had to be read anew.  */
+  /* All rows have been reported; called again after each complete reread.  */
   void (*on_synced) (void *ctx);
   void *ctx;
 };
--- a/tests/test_h1.c
+++ b/tests/test_h1.c
@@ -1,4 +1,4 @@
-/* HTTP/1.1 server and client: what each sees of the other's faults.  */
+/* HTTP/1.1 server and client: detection of each other's faults.  */
 #include <criterion/criterion.h>
 #include <errno.h>
 #include <string.h>
@@ -7,39 +7,39 @@
 
 #include "support/platform_world.h"
 
-/* A server whose answers are bytes given by the test.  */
-struct raw
+/* A server that sends bytes given by the test.  */
+struct raw_server
 {
   uv_tcp_t listener;
   uv_tcp_t conns[8];
   uint32_t n_conns;
-  const char *answer;
-  bool close_after; /* end the connection behind the answer */
-  bool reset_after; /* reset it instead */
+  const char *response;
+  bool close_after; /* close after the response */
+  bool reset_after; /* reset after the response */
   uint32_t requests;
   char buffer[4096];
 };
 
-struct write
+struct raw_write
 {
   uv_write_t req;
-  struct raw *raw;
+  struct raw_server *raw_server;
   uv_stream_t *stream;
 };
 
 static struct platform_world w;
-static struct raw raw;
+static struct raw_server raw_server;
 
 static void
 on_raw_written (uv_write_t *req, int status)
 {
-  struct write *x = (struct write *)req;
+  struct raw_write *x = (struct raw_write *)req;
 
   if (!uv_is_closing ((uv_handle_t *)x->stream))
     {
-      if (x->raw->reset_after)
+      if (x->raw_server->reset_after)
         uv_tcp_close_reset ((uv_tcp_t *)x->stream, NULL);
-      else if (x->raw->close_after)
+      else if (x->raw_server->close_after)
         uv_close ((uv_handle_t *)x->stream, NULL);
     }
   g_free (x);
@@ -48,13 +48,13 @@
 static void
 on_raw_alloc (uv_handle_t *h, size_t n, uv_buf_t *buf)
 {
-  *buf = uv_buf_init (raw.buffer, sizeof raw.buffer);
+  *buf = uv_buf_init (raw_server.buffer, sizeof raw_server.buffer);
 }
 
 static void
 on_raw_read (uv_stream_t *s, ssize_t n, const uv_buf_t *buf)
 {
-  struct write *x;
+  struct raw_write *x;
   uv_buf_t out;
 
   if (n < 0)
@@ -63,18 +63,19 @@
         uv_close ((uv_handle_t *)s, NULL);
       return;
     }
-  raw.requests++;
-  x = g_new0 (struct write, 1);
-  x->raw = &raw;
+  raw_server.requests++;
+  x = g_new0 (struct raw_write, 1);
+  x->raw_server = &raw_server;
   x->stream = s;
-  out = uv_buf_init ((char *)raw.answer, (unsigned)strlen (raw.answer));
+  out = uv_buf_init ((char *)raw_server.response,
+                     (unsigned)strlen (raw_server.response));
   uv_write (&x->req, s, &out, 1, on_raw_written);
 }
 
 static void
 on_raw_conn (uv_stream_t *l, int status)
 {
-  uv_tcp_t *c = &raw.conns[raw.n_conns++];
+  uv_tcp_t *c = &raw_server.conns[raw_server.n_conns++];
 
   uv_tcp_init (l->loop, c);
   uv_accept (l, (uv_stream_t *)c);
@@ -82,32 +83,32 @@
 }
 
 static uint16_t
-raw_start (const char *answer)
+raw_start (const char *response)
 {
   struct sockaddr_in a = platform_loopback (0);
   int n = sizeof a;
 
-  memset (&raw, 0, sizeof raw);
-  raw.answer = answer;
-  uv_tcp_init (&w.loop, &raw.listener);
-  uv_tcp_bind (&raw.listener, (struct sockaddr *)&a, 0);
-  uv_listen ((uv_stream_t *)&raw.listener, 8, on_raw_conn);
-  uv_tcp_getsockname (&raw.listener, (struct sockaddr *)&a, &n);
+  memset (&raw_server, 0, sizeof raw_server);
+  raw_server.response = response;
+  uv_tcp_init (&w.loop, &raw_server.listener);
+  uv_tcp_bind (&raw_server.listener, (struct sockaddr *)&a, 0);
+  uv_listen ((uv_stream_t *)&raw_server.listener, 8, on_raw_conn);
+  uv_tcp_getsockname (&raw_server.listener, (struct sockaddr *)&a, &n);
   return ntohs (a.sin_port);
 }
 
 static void
 raw_stop (void)
 {
-  uv_close ((uv_handle_t *)&raw.listener, NULL);
-  for (uint32_t i = 0; i < raw.n_conns; i++)
-    if (!uv_is_closing ((uv_handle_t *)&raw.conns[i]))
-      uv_close ((uv_handle_t *)&raw.conns[i], NULL);
+  uv_close ((uv_handle_t *)&raw_server.listener, NULL);
+  for (uint32_t i = 0; i < raw_server.n_conns; i++)
+    if (!uv_is_closing ((uv_handle_t *)&raw_server.conns[i]))
+      uv_close ((uv_handle_t *)&raw_server.conns[i], NULL);
 }
 
 enum
 {
-  STALL_MS = 700, /* longer than the time to connect */
+  STALL_MS = 700, /* longer than the connect timeout */
   US_PER_MS = 1000
 };
 
@@ -120,7 +121,7 @@
 }
 
 static struct platform_answer *
-ask (uint16_t port)
+call_and_wait (uint16_t port)
 {
   struct platform_answer *a = start_call (port);
 
@@ -137,42 +138,42 @@
   return s.idle;
 }
 
-/* Each row: what a replica sends, what the caller must be told, and whether
-   the connection may carry another request.  A connection kept wrongly hands
-   the next caller somebody else's answer.  */
+/* Each row: the bytes that a replica sends, the result that the caller must
+   receive, and whether the connection may be reused.  A connection kept by
+   mistake would give the next caller another caller's response.  */
 static const struct
 {
-  const char *answer;
+  const char *response;
   bool close_after;
   bool reset_after;
   int err;
   const char *body;
-  uint32_t kept;
+  uint32_t idle_after;
 } faults[] = {
   { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false, false, 0, "hi",
     1 },
   { "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
     "chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
     false, false, 0, "hi", 1 },
-  /* told to close */
+  /* Connection: close */
   { "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
     false, false, 0, "hi", 0 },
-  /* a second answer behind the first */
+  /* bytes after the response */
   { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n\r\n",
     false, false, 0, "hi", 0 },
-  /* cut inside the body */
+  /* closed within the body */
   { "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi", true, false,
     WY_H1_EPARTIAL, "hi", 0 },
   { "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", true,
     false, WY_H1_EPARTIAL, "hi", 0 },
-  /* no length: the close is its end, a reset is not */
+  /* no length: a close ends the body, a reset does not */
   { "HTTP/1.1 200 OK\r\n\r\nhi", true, false, 0, "hi", 0 },
   { "HTTP/1.1 200 OK\r\n\r\nhi", false, true, WY_H1_EPARTIAL, "hi", 0 },
   { "no answer at all", false, false, WY_H1_EMALFORMED, "", 0 },
   { "", true, false, WY_H1_ERESET, "", 0 },
 };
 
-Test (h1, answers_whole_or_told)
+Test (h1, incomplete_responses_are_reported)
 {
   for (size_t i = 0; i < sizeof faults / sizeof *faults; i++)
     {
@@ -180,22 +181,23 @@
       uint16_t port;
 
       platform_world_init (&w);
-      port = raw_start (faults[i].answer);
-      raw.close_after = faults[i].close_after;
-      raw.reset_after = faults[i].reset_after;
-      a = ask (port);
+      port = raw_start (faults[i].response);
+      raw_server.close_after = faults[i].close_after;
+      raw_server.reset_after = faults[i].reset_after;
+      a = call_and_wait (port);
       cr_expect_eq (a->err, faults[i].err, "row %zu: %d", i, a->err);
       cr_expect_str_eq (a->body->str, faults[i].body, "row %zu", i);
-      cr_expect_eq (idle_connections (), faults[i].kept, "row %zu", i);
+      cr_expect_eq (idle_connections (), faults[i].idle_after, "row %zu", i);
       platform_answer_free (a);
       raw_stop ();
       platform_world_free (&w);
     }
 }
 
-/* Nobody listens: the caller must learn that nothing was sent, since then
-   even a request that may run only once can go elsewhere.  */
-Test (h1, refused_connection_has_sent_nothing)
+/* Nothing listens at the address: the error must show that nothing was sent,
+   since then even a request that may run only once can go to another
+   replica.  */
+Test (h1, refused_connection_sent_nothing)
 {
   struct platform_answer *a;
   uint16_t port;
@@ -204,13 +206,13 @@
   port = raw_start ("");
   raw_stop ();
   platform_world_run_ms (&w, 5);
-  a = ask (port);
+  a = call_and_wait (port);
   cr_expect_eq (a->err, WY_H1_ECONNECT);
   platform_answer_free (a);
   platform_world_free (&w);
 }
 
-/* The process stalls for longer than the time to connect while a connection
+/* The process stalls for longer than the connect timeout while a connection
    opens.  The call must use the connection and not fail.  */
 Test (h1, stall_while_connecting)
 {
@@ -230,33 +232,33 @@
   platform_world_free (&w);
 }
 
-/* A replica closes an idle connection.  The next request must not be sent
-   into it.  */
-Test (h1, closed_idle_connection_is_not_used)
+/* A replica closes an idle connection.  The next request must not be sent on
+   it.  */
+Test (h1, closed_idle_connection_is_not_reused)
 {
   struct platform_answer *a;
   uint16_t port;
 
   platform_world_init (&w);
   port = raw_start ("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  a = ask (port);
+  a = call_and_wait (port);
   platform_answer_free (a);
   cr_assert_eq (idle_connections (), 1);
-  uv_close ((uv_handle_t *)&raw.conns[0], NULL);
+  uv_close ((uv_handle_t *)&raw_server.conns[0], NULL);
   platform_world_run_ms (&w, 10);
   cr_expect_eq (idle_connections (), 0);
-  a = ask (port);
+  a = call_and_wait (port);
   cr_expect_eq (a->err, 0);
-  cr_expect_eq (raw.n_conns, 2);
+  cr_expect_eq (raw_server.n_conns, 2);
   platform_answer_free (a);
   raw_stop ();
   platform_world_free (&w);
 }
 
-struct handled
+struct handler_state
 {
   struct wy_h1_server *server;
-  struct wy_h1_request *held; /* not answered yet */
+  struct wy_h1_request *held; /* awaiting its response */
   uint32_t requests;
   uint32_t hangups;
   bool hold;
@@ -265,7 +267,7 @@
 static void
 on_hangup (void *ctx)
 {
-  struct handled *h = ctx;
+  struct handler_state *h = ctx;
 
   h->hangups++;
   h->held = NULL;
@@ -274,7 +276,7 @@
 static void
 on_request (void *ctx, struct wy_h1_request *r)
 {
-  struct handled *h = ctx;
+  struct handler_state *h = ctx;
   size_t n;
   const char *body = wy_h1_body (r, &n);
 
@@ -289,7 +291,7 @@
 }
 
 static uint16_t
-serve (struct handled *h)
+start_server (struct handler_state *h)
 {
   struct wy_h1_server_options o = { .loop = &w.loop,
                                     .host = "127.0.0.1",
@@ -308,7 +310,7 @@
 }
 
 static void
-unserve (struct handled *h)
+stop_server (struct handler_state *h)
 {
   wy_h1_server_free (h->server);
   platform_world_free (&w);
@@ -328,12 +330,12 @@
   return status;
 }
 
-/* Callers that send too much hear which limit they broke, and others are not
-   disturbed.  */
-Test (h1, limits_are_told)
+/* A request over a limit is rejected with the status of that limit, and other
+   requests are not affected.  */
+Test (h1, requests_over_limits_are_rejected)
 {
-  struct handled h;
-  uint16_t port = serve (&h);
+  struct handler_state h;
+  uint16_t port = start_server (&h);
   char large[600];
 
   memset (large, 'x', sizeof large - 1);
@@ -343,15 +345,16 @@
   cr_expect_eq (post (port, NULL, NULL, large), 413);
   cr_expect_eq (post (port, NULL, NULL, "ok"), 200);
   cr_expect_eq (h.requests, 2);
-  unserve (&h);
+  stop_server (&h);
 }
 
-/* Many uploads at once must not take more memory than is set aside: what does
-   not fit is refused as not run, and fits again once others are answered.  */
-Test (h1, bodies_share_a_budget)
+/* Concurrent uploads must stay within their memory limit: what does not fit is
+   rejected as not run, and is accepted again after other requests have
+   ended.  */
+Test (h1, bodies_share_a_memory_limit)
 {
-  struct handled h;
-  uint16_t port = serve (&h);
+  struct handler_state h;
+  uint16_t port = start_server (&h);
   struct wy_h1_header host = { "Host", "h" };
   char body[61];
   struct platform_answer *first;
@@ -367,15 +370,16 @@
   wy_h1_respond (h.held, 200, NULL, 0, "", 0);
   cr_expect_eq (post (port, NULL, NULL, body), 200);
   platform_answer_free (first);
-  unserve (&h);
+  stop_server (&h);
 }
 
-/* A caller hangs up while its request is being worked on.  The handler must
-   hear of it without having to write: a replica would work on for nobody.  */
-Test (h1, hangup_is_told_at_once)
+/* A caller hangs up while its request is handled.  The handler must be
+   notified without a write, or a replica would continue to work on the
+   request.  */
+Test (h1, hangup_is_reported_at_once)
 {
-  struct handled h;
-  uint16_t port = serve (&h);
+  struct handler_state h;
+  uint16_t port = start_server (&h);
   struct wy_h1_header host = { "Host", "h" };
   struct platform_answer *a;
 
@@ -386,29 +390,29 @@
   platform_answer_free (a);
   platform_world_run_ms (&w, 50);
   cr_expect_eq (h.hangups, 1);
-  unserve (&h);
+  stop_server (&h);
 }
 
-/* A process that stops tells each caller to use another connection, and still
-   answers the request at hand.  */
-Test (h1, announced_close_follows_the_answer)
+/* A process that is shutting down sends "Connection: close", but still
+   responds to the current request.  */
+Test (h1, announced_close_follows_response)
 {
-  struct handled h;
-  uint16_t port = serve (&h);
+  struct handler_state h;
+  uint16_t port = start_server (&h);
 
   wy_h1_server_announce_close (h.server);
   cr_expect_eq (post (port, NULL, NULL, "ok"), 200);
   platform_world_run_ms (&w, 10);
   cr_expect_eq (wy_h1_server_connections (h.server), 0);
-  unserve (&h);
+  stop_server (&h);
 }
 
-/* A call is given up while what was sent of it is still on its way, as when
-   the network between is cut.  Closed as usual, the connection would deliver
-   it all the same when the cut heals, and the server would do work that was
-   done elsewhere meanwhile, or was no longer wanted.  The server must meet a
-   reset, not an orderly end behind whole bytes.  */
-Test (h1, a_call_given_up_is_reset)
+/* A call is cancelled while its bytes are still queued, as during a network
+   partition.  After an ordinary close they would still be delivered when the
+   partition heals, and the server would do work that was done elsewhere or is
+   no longer wanted.  So the server must see a reset and not an orderly end
+   after the complete request.  */
+Test (h1, cancelled_call_resets_connection)
 {
   struct sockaddr_in a = platform_loopback (0);
   socklen_t n = sizeof a;
@@ -430,7 +434,7 @@
   cr_assert (wy_h1_call_sent (call->call));
   platform_answer_free (call);
   platform_world_run_ms (&w, 30);
-  /* What had arrived before can still be read.  */
+  /* Bytes that arrived before can still be read.  */
   do
     got = read (conn, bytes, sizeof bytes);
   while (got > 0);
--- a/tests/test_platform_wire.c
+++ b/tests/test_platform_wire.c
@@ -1,5 +1,5 @@
-/* Decoders of what the platform says: good ones, and all ways in which others
-   write nonsense.  */
+/* Decoders of the platform's data: valid input, and malformed input of each
+   kind.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -17,8 +17,8 @@
   "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","            \
   "\"state\":\"ready\",\"slots\":4,\"born\":" born "}"
 
-/* Entries come from other writers too.  One that can't be read must name no
-   replica, and say which field is wrong.  */
+/* Other systems write list entries too.  An invalid one must be no replica,
+   and its invalid field must be named.  */
 Test (wire, replica_entries)
 {
   static const struct
@@ -54,7 +54,7 @@
           = wy_replica_decode ("i-1", rows[i].text, strlen (rows[i].text), &r);
 
       cr_expect (g_strcmp0 (wrong, rows[i].wrong) == 0, "row %zu: %s", i,
-                 wrong ? wrong : "taken");
+                 wrong ? wrong : "valid");
     }
 }
 
@@ -89,7 +89,7 @@
   cr_expect_eq (r->body_limit_bytes, 5);
   t = wy_routing_match (r, "h", "/a/b/c");
   cr_assert_not_null (t);
-  /* A kind that is not known is not repeated.  */
+  /* Requests of an unknown kind are not repeated.  */
   cr_expect_eq (t->kind, WY_ROUTE_NON_IDEMPOTENT);
   cr_expect_eq (t->splits->len, 2);
   cr_expect_eq (t->attempts, 1);
@@ -114,9 +114,9 @@
   cr_expect_eq (wy_operator_row_kind ("other"), WY_OPERATOR_OTHER);
 }
 
-/* A field of an item that holds a line break would reach the replica as a
-   field, or a request, that nobody sent.  */
-Test (wire, item_fields_can_not_smuggle)
+/* A header field of a job item with a line break would add a field, or a
+   request, on the connection to the replica.  */
+Test (wire, item_fields_cannot_inject)
 {
   static const char job[]
       = "{\"items\":[{\"id\":\"a\",\"path\":\"/p/\",\"headers\":{"
@@ -131,15 +131,14 @@
   wy_job_spec_free (s);
 }
 
-/* Items may name a request that scores their text.  One that can't be read is
-   not passed over: its item would be listed without a score, which the
-   submitter takes for one.  */
+/* An item may have a scorer.  An invalid one must not be ignored: the item
+   would be listed without a score, which the submitter takes for one.  */
 Test (wire, scorers)
 {
   static const struct
   {
     const char *scorer;
-    const char *why; /* NULL: the job is read */
+    const char *why; /* NULL: the job is valid */
   } rows[] = {
     { "{\"id\":\"s\",\"host\":\"h\",\"path\":\"/p\",\"body\":\"aGk=\"}",
       NULL },
@@ -216,15 +215,15 @@
 }
 
 static void
-field (struct wy_h1_head *h, const char *name, const char *value)
+append_field (struct wy_h1_head *h, const char *name, const char *value)
 {
   wy_h1_head_append_name (h, name, strlen (name));
   wy_h1_head_append_value (h, value, strlen (value));
 }
 
-/* What concerns one connection stays on it; what the entry sets replaces what
-   the caller sent, so that a caller can't choose the replica.  */
-Test (wire, forwarded_fields)
+/* Hop-by-hop fields are not forwarded, and the entry's fields replace the
+   caller's, so that a caller cannot choose the replica.  */
+Test (wire, forwarded_header_fields)
 {
   struct wy_h1_head h;
   struct wy_forward_info f
@@ -234,13 +233,13 @@
 
   wy_h1_head_init (&h);
   wy_h1_head_append_url (&h, "/x", 2);
-  field (&h, "Host", "h");
-  field (&h, "Attempt-Id", "a");
-  field (&h, "Connection", "keep-alive");
-  field (&h, "Transfer-Encoding", "chunked");
-  field (&h, "target-instance", "i-9");
-  field (&h, "Deadline-Milliseconds", "900");
-  field (&h, "X-Own", "1");
+  append_field (&h, "Host", "h");
+  append_field (&h, "Attempt-Id", "a");
+  append_field (&h, "Connection", "keep-alive");
+  append_field (&h, "Transfer-Encoding", "chunked");
+  append_field (&h, "target-instance", "i-9");
+  append_field (&h, "Deadline-Milliseconds", "900");
+  append_field (&h, "X-Own", "1");
   wy_request_forward_fields (&h, &f, out);
   wy_h1_write_fields (text, (const struct wy_h1_header *)out->data, out->len);
   cr_expect_str_eq (text->str, "Host: h\r\nAttempt-Id: a\r\nX-Own: 1\r\n"
@@ -251,8 +250,8 @@
   wy_h1_head_clear (&h);
 }
 
-/* What an answer of the store says of the call: done, refused, unknown.  */
-Test (wire, store_answers)
+/* The outcome of a store call by its response: done, not done, unknown.  */
+Test (wire, store_responses)
 {
   static const struct
   {
@@ -274,29 +273,29 @@
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++)
     {
       struct wy_rows_result r = { 0 };
-      struct wy_store_response *a
+      struct wy_store_response *response
           = wy_store_decode_response (WY_STORE_TX, rows[i].status,
                                       rows[i].body, strlen (rows[i].body), &r);
 
       cr_expect_eq (r.err, rows[i].err, "row %zu: %d", i, r.err);
-      wy_store_response_free (a);
+      wy_store_response_free (response);
     }
 }
 
-/* One row that can't be read must not hide the others.  */
-Test (wire, one_bad_row_hides_none)
+/* One invalid row must not hide the others.  */
+Test (wire, invalid_row_is_skipped)
 {
   static const char body[]
       = "{\"rows\":[{\"key\":\"a\",\"value\":\"MQ==\",\"rowVersion\":1},"
         "{\"value\":1},7,{\"key\":\"b\",\"value\":\"!!\",\"rowVersion\":2}],"
         "\"morePages\":false,\"rowVersion\":2,\"nowMs\":1}";
   struct wy_rows_result r = { 0 };
-  struct wy_store_response *a
+  struct wy_store_response *response
       = wy_store_decode_response (WY_STORE_GET, 200, body, strlen (body), &r);
 
   cr_expect_eq (r.n, 2);
   cr_expect_str_eq (r.rows[0].key, "a");
   cr_expect_eq (memcmp (r.rows[0].value, "1", 1), 0);
   cr_expect_str_eq (r.rows[1].key, "b");
-  wy_store_response_free (a);
+  wy_store_response_free (response);
 }
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -1,5 +1,5 @@
-/* Client of the store: what became of a call whose answer is lost, and other
-   paths to the store.  */
+/* Client of the store: outcomes of calls without a response, relayed
+   calls.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -51,17 +51,17 @@
 }
 
 static void
-start (void)
+start_world (void)
 {
   platform_world_init (&w);
   platform_world_add_env (&w, "n1");
 }
 
-Test (rows, condition_decides)
+Test (rows, condition_must_hold)
 {
   struct result r;
 
-  start ();
+  start_world ();
   r = write_row ("k", "1", 0);
   cr_expect_eq (r.err, 0);
   cr_expect_gt (r.version, 0);
@@ -70,13 +70,13 @@
   platform_world_free (&w);
 }
 
-/* Jobs are dated by the store's clock, since the entries' own differ.  It must
-   be known after the first answer, also where it happens to equal ours.  */
-Test (rows, store_clock_is_known)
+/* Jobs are dated by the store's clock, since the clocks of the entries differ.
+   It must be known after the first response, also when its offset is 0.  */
+Test (rows, store_clock_known_after_first_response)
 {
   int64_t now_ms;
 
-  start ();
+  start_world ();
   cr_expect_eq (wy_rows_store_now_ms (w.env.rows), 0);
   write_row ("k", "1", 0);
   now_ms = wy_rows_store_now_ms (w.env.rows);
@@ -85,14 +85,14 @@
   platform_world_free (&w);
 }
 
-/* The store refuses, is busy, loses its answer or says nothing.  A caller
-   that takes "unknown" for "not done" tells a submitter that its job does not
-   run, and then it runs.  */
-Test (rows, done_refused_or_unknown)
+/* The store rejects a call, is over its rate limit, loses its response or
+   never responds.  If "unknown" were reported as "not done", a submitter would
+   learn that its job does not run, although it may.  */
+Test (rows, outcome_done_not_done_or_unknown)
 {
   struct wy_platform_store_faults *f;
 
-  start ();
+  start_world ();
   f = wy_platform_store_faults (w.store);
   f->refuse = 1;
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_EREFUSED);
@@ -100,7 +100,7 @@
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_EREFUSED);
   f->lose = 1;
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_EUNKNOWN);
-  /* It was performed, and the same write shows that.  */
+  /* The write was performed: repeating it conflicts.  */
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_ECONFLICT);
   f->silent = true;
   cr_expect_eq (write_row ("b", "1", 0).err, WY_ROWS_EUNKNOWN);
@@ -114,7 +114,7 @@
 {
   struct wy_rows_options o = { .loop = &w.loop, .clock = &clock->clock };
 
-  start ();
+  start_world ();
   wy_rows_free (w.env.rows);
   wy_clock_manual_init (clock, 1000000);
   wy_clock_manual_advance (clock, 1000);
@@ -124,17 +124,17 @@
 }
 
 static void
-put (const char *name, const char *bytes, size_t n, struct result *r)
+put_object (const char *name, const char *bytes, size_t n, struct result *r)
 {
   wy_rows_put_object (w.env.rows, name, bytes, n, on_result, r);
   platform_world_run_ms (&w, 20);
 }
 
-/* The store says nothing for a while and is back.  What was sent meanwhile is
-   never answered; a write of results that waits for its own time limit keeps
-   a trainer from a step that is done.  A call that is answered shows that the
-   older ones are lost.  */
-Test (rows, calls_of_an_outage_end_with_it)
+/* The store stops responding and recovers.  Calls sent in between get no
+   response; a write of results that waited for its timeout would delay a step
+   of the trainer that is done.  So once a later call receives a response, the
+   older ones must fail.  */
+Test (rows, outage_calls_fail_after_recovery)
 {
   struct wy_clock_manual clock;
   struct wy_row_write write = { "t", "a", "1", 1 };
@@ -154,14 +154,14 @@
   write_row ("b", "1", 0);
   cr_expect (old.done);
   cr_expect_eq (old.err, WY_ROWS_EUNKNOWN);
-  /* Some calls take longer than others: this one may still be answered.  */
+  /* Not sent early enough to count as lost.  */
   cr_expect (!young.done);
   platform_world_free (&w);
 }
 
-/* The answer to a put of a job's body is lost.  The step waits for as long as
-   the bytes may take, not for seconds.  */
-Test (rows, lost_object_is_given_up_by_its_size)
+/* The response to a put of a job's body is lost.  Its timeout must depend on
+   the size of the body, so that a step does not wait for seconds.  */
+Test (rows, object_timeout_depends_on_size)
 {
   enum
   {
@@ -174,8 +174,8 @@
 
   start_with_clock (&clock);
   wy_platform_store_faults (w.store)->silent = true;
-  put ("small", bytes, 1, &small);
-  put ("large", bytes, LARGE_BYTES, &large);
+  put_object ("small", bytes, 1, &small);
+  put_object ("large", bytes, LARGE_BYTES, &large);
   wy_clock_manual_advance (&clock, 2100);
   platform_world_run_ms (&w, 250);
   cr_expect (small.done);
@@ -188,17 +188,16 @@
   platform_world_free (&w);
 }
 
-/* On a slow store an object takes longer than many rows.  Rows that are
-   answered before it do not show that it is lost; that the store is back after
-   it was away does.  */
-Test (rows, rows_overtake_no_object)
+/* On a slow store an object takes longer than many rows.  Rows with a response
+   before it do not show that it is lost, but the end of an outage does.  */
+Test (rows, row_response_does_not_fail_object)
 {
   struct wy_clock_manual clock;
   struct result object = { 0 };
 
   start_with_clock (&clock);
   wy_platform_store_faults (w.store)->silent = true;
-  put ("o", "1", 1, &object);
+  put_object ("o", "1", 1, &object);
   wy_platform_store_faults (w.store)->silent = false;
   wy_clock_manual_advance (&clock, 1000);
   write_row ("a", "1", 0);
@@ -210,14 +209,15 @@
   platform_world_free (&w);
 }
 
-/* A write is performed long after its sender has given it up and has written
-   again.  The condition must keep it from undoing the newer write.  */
-Test (rows, late_write_does_nothing)
+/* The store performs a write long after its sender has given it up and has
+   written again.  The condition must keep it from overwriting the newer
+   value.  */
+Test (rows, late_write_is_rejected)
 {
   struct wy_platform_store_faults *f;
   char *value;
 
-  start ();
+  start_world ();
   f = wy_platform_store_faults (w.store);
   f->late = 1;
   f->late_ms = 60;
@@ -239,7 +239,7 @@
 }
 
 static void
-on_peer (void *ctx, struct wy_h1_request *r)
+on_relay_request (void *ctx, struct wy_h1_request *r)
 {
   size_t n;
   const char *body = wy_h1_body (r, &n);
@@ -249,13 +249,13 @@
 }
 
 static void
-on_refuse_all (void *ctx, struct wy_h1_request *r)
+on_reject_all (void *ctx, struct wy_h1_request *r)
 {
   wy_h1_respond (r, 503, NULL, 0, "", 0);
 }
 
 static struct wy_h1_server *
-serve (void (*on_request) (void *ctx, struct wy_h1_request *r))
+start_server (void (*on_request) (void *ctx, struct wy_h1_request *r))
 {
   struct wy_h1_server_options o
       = { .loop = &w.loop,
@@ -268,23 +268,23 @@
   return s;
 }
 
-/* The store turns one instance away while it serves the others.  Cut off, the
-   instance would go on with old configuration; through a peer it keeps up, and
-   loses not even the call that shows it.  */
-Test (rows, turned_away_goes_through_a_peer)
+/* The store rejects one instance while it serves the others.  The instance
+   must reach it through a peer, to keep up with the configuration, and the
+   call that discovers this must succeed too.  */
+Test (rows, rejected_instance_uses_relay)
 {
-  struct wy_h1_server *closed;
+  struct wy_h1_server *rejecting;
   struct wy_h1_server *relay;
   struct wy_rows_options o = { .loop = &w.loop, .clock = wy_clock_system () };
   struct sockaddr_in peer;
   struct wy_rows_stats stats;
 
-  start ();
+  start_world ();
   peer_rows = w.env.rows;
-  closed = serve (on_refuse_all);
-  relay = serve (on_peer);
+  rejecting = start_server (on_reject_all);
+  relay = start_server (on_relay_request);
   o.http = w.client;
-  o.address = platform_loopback (wy_h1_server_port (closed));
+  o.address = platform_loopback (wy_h1_server_port (rejecting));
   w.env.rows = wy_rows_new (&o);
   peer = platform_loopback (wy_h1_server_port (relay));
   wy_rows_set_relays (w.env.rows, &peer, 1);
@@ -294,27 +294,27 @@
   cr_expect_gt (stats.relayed, 0);
   cr_expect_not (stats.direct_ok);
   wy_rows_free (peer_rows);
-  wy_h1_server_free (closed);
+  wy_h1_server_free (rejecting);
   wy_h1_server_free (relay);
   platform_world_free (&w);
 }
 
-/* The peer that would pass a call on is turned away as well.  The call was not
-   done, so it may take another path at once: lost, it could be a heartbeat, or
-   the end of a job.  */
-Test (rows, a_peer_is_turned_away_too)
+/* The store rejects the peer that forwards a call as well.  The call was not
+   done, so it must take another path at once: it could be a heartbeat or the
+   end of a job.  */
+Test (rows, rejected_relay_is_skipped)
 {
-  struct wy_h1_server *closed;
+  struct wy_h1_server *rejecting;
   struct wy_h1_server *relay;
   struct wy_rows_options o = { .loop = &w.loop, .clock = wy_clock_system () };
   struct sockaddr_in peers[3];
 
-  start ();
+  start_world ();
   peer_rows = w.env.rows;
-  closed = serve (on_refuse_all);
-  relay = serve (on_peer);
+  rejecting = start_server (on_reject_all);
+  relay = start_server (on_relay_request);
   o.http = w.client;
-  o.address = platform_loopback (wy_h1_server_port (closed));
+  o.address = platform_loopback (wy_h1_server_port (rejecting));
   w.env.rows = wy_rows_new (&o);
   peers[0] = o.address;
   peers[1] = o.address;
@@ -327,21 +327,21 @@
       cr_expect_eq (write_row (key, "1", 0).err, 0);
     }
   wy_rows_free (peer_rows);
-  wy_h1_server_free (closed);
+  wy_h1_server_free (rejecting);
   wy_h1_server_free (relay);
   platform_world_free (&w);
 }
 
-/* Many processes start at once, and the store refuses some calls of each for
-   the rate.  Taken for a path that is lost, each refusal would send more
-   calls, through peers that are refused in turn.  */
-Test (rows, refused_for_the_rate_takes_no_detour)
+/* Many processes start at once, and some calls of each are over the store's
+   rate limit.  If each of these were retried through peers, they would add
+   load, since the limit applies to the peers too.  */
+Test (rows, rate_limit_is_not_relayed)
 {
   struct wy_platform_store_faults *f;
   struct sockaddr_in peer;
   struct wy_rows_stats stats;
 
-  start ();
+  start_world ();
   peer = platform_loopback (wy_platform_store_port (w.store));
   wy_rows_set_relays (w.env.rows, &peer, 1);
   f = wy_platform_store_faults (w.store);
--- a/tests/test_rows_paths.c
+++ b/tests/test_rows_paths.c
@@ -1,4 +1,4 @@
-/* Which way calls to the store take while it turns some instances away.  */
+/* Choice of the path of calls while the store rejects some instances.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -10,7 +10,7 @@
   PEERS = 32,
   CALLS_PER_S = 20,
   SECONDS = 9,
-  TRIES = 4
+  ATTEMPTS_MAX = 4
 };
 
 static struct sockaddr_in
@@ -36,87 +36,87 @@
 }
 
 static bool
-is_turned_away (const struct sockaddr_in *a)
+is_rejected (const struct sockaddr_in *a)
 {
   uint16_t port = ntohs (a->sin_port);
 
-  /* This instance, and a third of its peers.  */
+  /* The direct path, and a third of the peers.  */
   return port == 1 || port % 3 == 0;
 }
 
-/* One call, sent again on other paths while it is refused.  Returns whether it
-   got through.  */
+/* One call, retried on other paths while it is rejected.  Returns whether it
+   succeeded.  */
 static bool
 call (struct wy_paths *p, int64_t now_ms, uint32_t *sends)
 {
-  for (int i = 0; i < TRIES; i++)
+  for (int i = 0; i < ATTEMPTS_MAX; i++)
     {
       bool relayed;
       struct sockaddr_in a = wy_paths_choose (p, now_ms, &relayed);
 
       ++*sends;
-      if (!is_turned_away (&a))
+      if (!is_rejected (&a))
         return true;
       if (relayed)
-        wy_paths_relay_failed (p, &a, now_ms);
+        wy_paths_record_relay_failure (p, &a, now_ms);
       else
-        wy_paths_direct_ended (p, now_ms, false);
-      if (!wy_paths_has_other (p, now_ms))
+        wy_paths_record_direct (p, now_ms, false);
+      if (!wy_paths_has_alternative (p, now_ms))
         return false;
     }
   return false;
 }
 
-/* The store turns a third of all instances away for some seconds, as when a
-   part of it is overloaded.  A third of the peers then can't pass calls on
-   either.  Chosen in turn, they would fail every third call of an instance,
-   its heartbeats among them; the others would take it for gone and run its
-   jobs anew.  Every call must get through, with few sent more than once.  */
-Test (paths, a_third_of_all_instances_is_turned_away)
+/* The store rejects a third of all instances for some seconds, as when part of
+   it is overloaded.  Then a third of the peers cannot forward calls.  Plain
+   round robin would fail every third call, heartbeats included, and the peers
+   would take over the jobs of healthy instances.  Every call must succeed, and
+   few may be sent more than once.  */
+Test (paths, third_of_instances_rejected)
 {
   struct wy_paths p;
   uint32_t sends = 0;
-  uint32_t lost = 0;
+  uint32_t failed = 0;
 
   make_paths (&p, 5);
   for (int64_t k = 0; k < (int64_t)CALLS_PER_S * SECONDS; k++)
-    lost += !call (&p, 1000 + k * 1000 / CALLS_PER_S, &sends);
-  cr_expect_eq (lost, 0);
+    failed += !call (&p, 1000 + k * 1000 / CALLS_PER_S, &sends);
+  cr_expect_eq (failed, 0);
   cr_expect_lt (sends, CALLS_PER_S * SECONDS * 3 / 2);
 }
 
-/* The direct path works again: the first call that shows it ends the detour.
-   What was lost before the newest answer changes nothing.  */
-Test (paths, the_direct_path_comes_back)
+/* The direct path recovers: the first successful call must switch back to it.
+   The failure of a call sent before that one must change nothing.  */
+Test (paths, direct_path_recovers)
 {
   struct wy_paths p;
   bool relayed;
 
   make_paths (&p, 0);
-  cr_expect (wy_paths_direct_ended (&p, 1000, false));
+  cr_expect (wy_paths_record_direct (&p, 1000, false));
   wy_paths_choose (&p, 1100, &relayed);
   cr_expect (relayed);
   wy_paths_choose (&p, 2000, &relayed);
   cr_expect_not (relayed, "tried once a second");
   wy_paths_choose (&p, 2001, &relayed);
   cr_expect (relayed);
-  cr_expect (wy_paths_direct_ended (&p, 2000, true));
-  cr_expect_not (wy_paths_direct_ended (&p, 1500, false), "older");
+  cr_expect (wy_paths_record_direct (&p, 2000, true));
+  cr_expect_not (wy_paths_record_direct (&p, 1500, false), "older");
   wy_paths_choose (&p, 2002, &relayed);
   cr_expect_not (relayed);
 }
 
-/* Peers come and go while some of them are known to fail: what is known stays,
-   or each change of the list would send calls to them again.  */
-Test (paths, a_new_list_keeps_what_is_known)
+/* The list of peers changes while some of them fail.  Their state must be
+   kept, or each change would send calls to them again.  */
+Test (paths, new_list_keeps_state)
 {
   struct wy_paths p;
   struct sockaddr_in peers[2] = { address (100), address (101) };
   bool relayed;
 
   make_paths (&p, 0);
-  wy_paths_direct_ended (&p, 1000, false);
-  wy_paths_relay_failed (&p, &peers[0], 1000);
+  wy_paths_record_direct (&p, 1000, false);
+  wy_paths_record_relay_failure (&p, &peers[0], 1000);
   wy_paths_set_relays (&p, peers, 2);
   for (int i = 0; i < 4; i++)
     {
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -1,4 +1,4 @@
-/* Following a table of the store: lost history, silence, refusals.  */
+/* Watch on a table of the store: compaction, stalled feed, rejected calls.  */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -9,24 +9,24 @@
 static struct platform_world w;
 
 static void
-start (void)
+start_world (void)
 {
   platform_world_init (&w);
   platform_world_add_env (&w, "n1");
 }
 
-struct followed
+struct observed_table
 {
-  GHashTable *rows; /* value by "part/key" */
+  GHashTable *rows; /* value by "partition/key" */
   uint32_t synced;
-  const char *wanted_key;
-  const char *wanted; /* NULL: gone */
+  const char *expected_key;
+  const char *expected_value; /* NULL: deleted */
 };
 
 static void
 on_row (void *ctx, const struct wy_row *row)
 {
-  struct followed *f = ctx;
+  struct observed_table *f = ctx;
   char *key = g_strdup_printf ("%s/%s", row->partition, row->key);
 
   if (row->deleted)
@@ -40,35 +40,36 @@
 static void
 on_synced (void *ctx)
 {
-  ((struct followed *)ctx)->synced++;
+  ((struct observed_table *)ctx)->synced++;
 }
 
 static bool
-has_wanted (void *ctx)
+has_expected (void *ctx)
 {
-  const struct followed *f = ctx;
+  const struct observed_table *f = ctx;
 
   return f->synced
-         && g_strcmp0 (g_hash_table_lookup (f->rows, f->wanted_key), f->wanted)
+         && g_strcmp0 (g_hash_table_lookup (f->rows, f->expected_key),
+                       f->expected_value)
                 == 0;
 }
 
 static bool
-comes (struct followed *f, const char *key, const char *value)
+wait_for_value (struct observed_table *f, const char *key, const char *value)
 {
-  f->wanted_key = key;
-  f->wanted = value;
-  return platform_world_until (&w, has_wanted, f);
+  f->expected_key = key;
+  f->expected_value = value;
+  return platform_world_until (&w, has_expected, f);
 }
 
 static struct wy_watch *
-follow (struct followed *f, bool all_parts)
+start_watch (struct observed_table *f, bool all_partitions)
 {
   struct wy_watch_options o = { .loop = &w.loop,
                                 .clock = wy_clock_system (),
                                 .rows = w.env.rows,
                                 .table = "t",
-                                .all_partitions = all_parts,
+                                .all_partitions = all_partitions,
                                 .on_row = on_row,
                                 .on_synced = on_synced,
                                 .ctx = f };
@@ -78,74 +79,75 @@
   return wy_watch_new (&o);
 }
 
-/* Rows change, go, and the store forgets its history in between, so that a
-   row goes unseen.  What is believed must follow all the same.  */
-Test (watch, follows_through_lost_history)
+/* Rows are changed and deleted, and the store compacts its history while the
+   feed is stalled, so that one deletion is never in the feed.  The watch must
+   still report it.  */
+Test (watch, survives_compaction)
 {
-  struct followed f;
+  struct observed_table f;
   struct wy_watch *watch;
   struct wy_platform_store_faults *faults;
 
-  start ();
+  start_world ();
   faults = wy_platform_store_faults (w.store);
   wy_platform_store_put (w.store, "t", "", "a", "1");
-  watch = follow (&f, false);
-  cr_expect (comes (&f, "/a", "1"));
+  watch = start_watch (&f, false);
+  cr_expect (wait_for_value (&f, "/a", "1"));
   wy_platform_store_put (w.store, "t", "", "a", "2");
-  cr_expect (comes (&f, "/a", "2"));
+  cr_expect (wait_for_value (&f, "/a", "2"));
   wy_platform_store_put (w.store, "t", "", "b", "1");
   wy_platform_store_drop (w.store, "t", "", "a");
-  cr_expect (comes (&f, "/a", NULL));
+  cr_expect (wait_for_value (&f, "/a", NULL));
   faults->silent = true;
   platform_world_run_ms (&w, 50);
   wy_platform_store_drop (w.store, "t", "", "b");
   wy_platform_store_put (w.store, "t", "", "c", "1");
   faults->forget_history = true;
   faults->silent = false;
-  cr_expect (comes (&f, "/c", "1"));
-  cr_expect (comes (&f, "/b", NULL));
+  cr_expect (wait_for_value (&f, "/c", "1"));
+  cr_expect (wait_for_value (&f, "/b", NULL));
   wy_watch_free (watch);
   platform_world_free (&w);
 }
 
-/* A wait for changes never ends, without its connection closing.  The change
-   made meanwhile must still show within about a second.  */
-Test (watch, silent_feed_is_left)
+/* A feed call gets no response and its connection stays open.  A change made
+   meanwhile must still be reported within about a second.  */
+Test (watch, stalled_feed_times_out)
 {
-  struct followed f;
+  struct observed_table f;
   struct wy_watch *watch;
-  int64_t began_ms;
+  int64_t start_ms;
 
-  start ();
-  watch = follow (&f, false);
+  start_world ();
+  watch = start_watch (&f, false);
   wy_platform_store_put (w.store, "t", "", "a", "1");
-  cr_expect (comes (&f, "/a", "1"));
+  cr_expect (wait_for_value (&f, "/a", "1"));
   wy_platform_store_faults (w.store)->deaf = true;
   platform_world_run_ms (&w, 50);
   wy_platform_store_put (w.store, "t", "", "a", "2");
   wy_platform_store_put (w.store, "t", "", "b", "2");
-  began_ms = wy_clock_mono_ms (wy_clock_system ());
-  while (wy_clock_mono_ms (wy_clock_system ()) - began_ms < 1000)
+  start_ms = wy_clock_mono_ms (wy_clock_system ());
+  while (wy_clock_mono_ms (wy_clock_system ()) - start_ms < 1000)
     platform_world_run_ms (&w, 50);
   wy_platform_store_faults (w.store)->deaf = false;
-  cr_expect (comes (&f, "/b", "2"));
+  cr_expect (wait_for_value (&f, "/b", "2"));
   wy_watch_free (watch);
   platform_world_free (&w);
 }
 
-Test (watch, all_parts_of_a_table)
+Test (watch, all_partitions_of_a_table)
 {
-  struct followed f;
+  struct observed_table f;
   struct wy_watch *watch;
 
-  start ();
+  start_world ();
   wy_platform_store_put (w.store, "t", "p1", "k", "1");
   wy_platform_store_put (w.store, "t", "p2", "k", "2");
-  watch = follow (&f, true);
-  cr_expect (comes (&f, "p1/k", "1"));
-  cr_expect (comes (&f, "p2/k", "2"));
+  watch = start_watch (&f, true);
+  cr_expect (wait_for_value (&f, "p1/k", "1"));
+  cr_expect (wait_for_value (&f, "p2/k", "2"));
   wy_platform_store_put (w.store, "t", "p3", "k", "3");
-  cr_expect (comes (&f, "p3/k", "3"));
+  cr_expect (wait_for_value (&f, "p3/k", "3"));
   wy_watch_free (watch);
   platform_world_free (&w);
 }
@@ -153,74 +155,75 @@
 static bool
 has_any (void *ctx)
 {
-  return g_hash_table_size (((struct followed *)ctx)->rows) > 0;
+  return g_hash_table_size (((struct observed_table *)ctx)->rows) > 0;
 }
 
 static bool
 is_synced (void *ctx)
 {
-  return ((struct followed *)ctx)->synced > 0;
+  return ((struct observed_table *)ctx)->synced > 0;
 }
 
-/* Guards against a part being cut off after its first page.  */
-Test (watch, parts_of_several_pages)
+/* A partition must not end after its first page.  */
+Test (watch, partitions_of_several_pages)
 {
   enum
   {
     ROWS = 1200
   };
-  struct followed f;
+  struct observed_table f;
   struct wy_watch *t;
   char key[16];
 
-  start ();
+  start_world ();
   for (int i = 0; i < ROWS; i++)
     {
       snprintf (key, sizeof key, "k%04d", i);
       wy_platform_store_put (w.store, "t", "p", key, "v");
     }
-  t = follow (&f, true);
-  cr_expect (comes (&f, "p/k1199", "v"));
+  t = start_watch (&f, true);
+  cr_expect (wait_for_value (&f, "p/k1199", "v"));
   cr_expect_eq (g_hash_table_size (f.rows), ROWS);
   wy_watch_free (t);
   g_hash_table_destroy (f.rows);
   platform_world_free (&w);
 }
 
-/* All processes start at once and read a table of many parts; the store
-   refuses a third of the reads for the rate.  If each of them then read all
-   parts again, the load would grow with every refusal, and for seconds none
-   would know the others.  */
-Test (watch, refused_parts_alone_are_read_again)
+/* All processes start at once and read a table of many partitions; a third of
+   the reads are over the store's rate limit.  If each process then reread all
+   partitions, the load would grow with every rejection, and for seconds no
+   process would know the others.  */
+Test (watch, only_rejected_partitions_are_reread)
 {
   enum
   {
-    PARTS = 24,
-    REFUSED = 8,
-    /* The list of parts, and first waits for changes.  */
+    PARTITIONS = 24,
+    REJECTED = 8,
+    /* The list of partitions, and the first feed calls.  */
     OTHER_CALLS = 3
   };
-  struct followed f;
+  struct observed_table f;
   struct wy_watch *watch;
   struct wy_rows_stats before;
   struct wy_rows_stats after;
 
-  start ();
-  for (int i = 0; i < PARTS; i++)
+  start_world ();
+  for (int i = 0; i < PARTITIONS; i++)
     {
-      char part[8];
+      char partition[8];
 
-      g_snprintf (part, sizeof part, "p%d", i);
-      wy_platform_store_put (w.store, "t", part, "k", "1");
+      g_snprintf (partition, sizeof partition, "p%d", i);
+      wy_platform_store_put (w.store, "t", partition, "k", "1");
     }
   wy_rows_stats (w.env.rows, &before);
-  watch = follow (&f, true);
+  watch = start_watch (&f, true);
   cr_assert (platform_world_until (&w, has_any, &f));
-  wy_platform_store_faults (w.store)->busy = REFUSED;
+  wy_platform_store_faults (w.store)->busy = REJECTED;
   cr_assert (platform_world_until (&w, is_synced, &f));
-  cr_expect_eq (g_hash_table_size (f.rows), PARTS);
+  cr_expect_eq (g_hash_table_size (f.rows), PARTITIONS);
   wy_rows_stats (w.env.rows, &after);
-  cr_expect_leq (after.calls - before.calls, PARTS + REFUSED + OTHER_CALLS);
+  cr_expect_leq (after.calls - before.calls,
+                 PARTITIONS + REJECTED + OTHER_CALLS);
   wy_watch_free (watch);
   platform_world_free (&w);
 }
