--- a/src/jobs/accept.c
+++ b/src/jobs/accept.c
@@ -1,11 +1,12 @@
-/* Accepts a submitted job: its body goes to the store, then its row, then the
-   submitter hears that it is kept.
-
-   A submission may come several times, at several entries; the row is written
-   on the condition that there is none, so one of them wins and the others
-   answer the same.  An answer that says "not accepted" is only given while
-   the row has not been asked for: after that, and until a read has settled
-   it, the submitter gets a status that promises nothing.  */
+/* Accepts a submitted job: stores its body, then its row, then confirms to the
+   submitter.
+
+   A submission may arrive several times and at several entries.  The row is
+   written on the condition that it does not exist yet, so one entry creates it
+   and the others return the same response.  A response that says "not
+   accepted" is sent only while the row is certainly not written.  If the
+   outcome of its write stays unknown, the submitter gets a status that leaves
+   it open.  */
 #include "jobs/state.h"
 
 #include <stdio.h>
@@ -20,32 +21,32 @@
 
 enum
 {
-  /* Tries to settle a write without an answer, each with the time limit of a
-     read; the submitter waits meanwhile.  */
-  SETTLE_TRIES = 4,
-  SETTLE_PAUSE_MS = 300,
-  PIECE_TRIES = 2,
+  /* Attempts to determine the outcome of a write that got no response, each
+     with the time limit of a read; the submitter waits meanwhile.  */
+  SETTLE_ATTEMPTS = 4,
+  SETTLE_RETRY_MS = 300,
+  PIECE_ATTEMPTS = 2,
   RETRY_AFTER_MS = 400,
   NAME_SIZE_BYTES = 320,
   STATUS_ACCEPTED = 202
 };
 
-struct accept
+struct submission
 {
   struct wy_jobs *jobs;
-  struct wy_h1_request *request; /* NULL: the submitter has hung up */
+  struct wy_h1_request *request; /* NULL: the submitter has disconnected */
   struct wy_job_record *record;
   struct wy_job_spec *spec;
-  struct sockaddr_in holder_address; /* where it is not this entry */
+  struct sockaddr_in holder_address; /* if the holder is another entry */
   GString *body;
-  uint32_t next; /* piece */
-  uint32_t tries;
-  bool asked;             /* the row may have been written */
-  struct wy_carry *carry; /* text of its items; NULL: not read yet */
-  bool reading_carry;
-  bool putting; /* its body */
-  bool writing; /* its row */
-  bool ended;   /* its submitter has its answer */
+  uint32_t next_piece; /* of the body, to be stored */
+  uint32_t attempts;
+  bool may_be_written; /* the outcome of the row's write is unknown */
+  struct wy_checkpoint *checkpoint; /* of earlier jobs; NULL: not read */
+  bool reading_checkpoint;
+  bool putting; /* the body is being stored */
+  bool writing; /* the row is being written */
+  bool ended;   /* the submitter has its response */
   int64_t started_ms;
   uv_timer_t timer;
 };
@@ -56,21 +57,21 @@
   g_free (h->data);
 }
 
-/* Free A when nothing points to it any more.  */
+/* Free A when no call refers to it any more.  */
 static void
-release (struct accept *a)
+free_if_unused (struct submission *a)
 {
-  if (a->ended && !a->reading_carry && !a->putting && !a->writing)
+  if (a->ended && !a->reading_checkpoint && !a->putting && !a->writing)
     uv_close ((uv_handle_t *)&a->timer, on_timer_closed);
 }
 
 static void
-end (struct accept *a, int status, const char *reason)
+end (struct submission *a, int status, const char *reason)
 {
   struct wy_h1_request *r = a->request;
 
   /* Another entry may have accepted a later attempt of the same submission
-     while this one waited for the store; "does not run" would be false.  */
+     while this one waited for the store; "not accepted" would be wrong.  */
   if (status != STATUS_ACCEPTED && wy_jobs_find (a->jobs, a->record->id))
     {
       status = STATUS_ACCEPTED;
@@ -91,84 +92,86 @@
         wy_respond_status (r, status, reason,
                            status == 503 ? RETRY_AFTER_MS : 0);
     }
-  a->jobs->accepting_bytes -= a->body->len;
-  g_ptr_array_remove_fast (a->jobs->accepting, a);
+  a->jobs->submissions_bytes -= a->body->len;
+  g_ptr_array_remove_fast (a->jobs->submissions, a);
   wy_job_record_free (a->record);
   wy_job_spec_free (a->spec);
   g_string_free (a->body, TRUE);
-  wy_carry_free (a->carry);
+  wy_checkpoint_free (a->checkpoint);
   uv_timer_stop (&a->timer);
   a->ended = true;
-  release (a);
+  free_if_unused (a);
 }
 
-/* End the submissions that wait for a store that is away.  A submitter that
-   hears so comes again, here or elsewhere, and is there when the store is
-   back; one that hears nothing gives up after a few attempts of a second or
-   two, and with them its step.  */
+/* End pending submissions when the store is unreachable.  A submitter that
+   gets a response retries here or at another entry until the store is back.
+   One that gets none gives up after a few attempts of one or two seconds each
+   and loses its training step.  */
 void
 wy_jobs_accept_tick (struct wy_jobs *j)
 {
-  if (j->accepting->len == 0 || !wy_rows_is_unreachable (j->env->rows))
+  if (j->submissions->len == 0 || !wy_rows_is_unreachable (j->env->rows))
     return;
-  for (guint i = j->accepting->len; i > 0; i--)
+  for (guint i = j->submissions->len; i > 0; i--)
     {
-      struct accept *a = g_ptr_array_index (j->accepting, i - 1);
+      struct submission *a = g_ptr_array_index (j->submissions, i - 1);
 
-      end (a, a->asked || a->writing ? 502 : 503, "store_away");
+      end (a, a->may_be_written || a->writing ? 502 : 503, "store_away");
     }
 }
 
-/* The text kept of earlier jobs is known; too late when the job runs.  */
+/* The checkpoints of earlier jobs have been read; they are of no use if the
+   job is already running.  */
 static void
-on_carry (void *ctx, struct wy_carry *c)
+on_checkpoint (void *ctx, struct wy_checkpoint *c)
 {
-  struct accept *a = ctx;
+  struct submission *a = ctx;
 
-  a->reading_carry = false;
+  a->reading_checkpoint = false;
   if (!a->ended)
     {
-      a->carry = c;
+      a->checkpoint = c;
       return;
     }
-  wy_carry_free (c);
-  release (a);
+  wy_checkpoint_free (c);
+  free_if_unused (a);
 }
 
 static void
 on_hangup (void *ctx)
 {
-  ((struct accept *)ctx)->request = NULL;
+  ((struct submission *)ctx)->request = NULL;
 }
 
 static void
-accepted_here (struct accept *a, int64_t row_version)
+on_accepted (struct submission *a, int64_t row_version)
 {
   struct wy_jobs *j = a->jobs;
 
   a->record->row_version = row_version;
   (*j->env->count.jobs_accepted)++;
   if (a->spec)
-    wy_staleness_job_accepted (j->lags, a->spec->model, a->spec->min_version);
-  wy_jobs_learn (j, wy_job_record_copy (a->record));
+    wy_staleness_job_accepted (j->staleness, a->spec->model,
+                               a->spec->min_version);
+  wy_jobs_update_record (j, wy_job_record_copy (a->record));
   if (strcmp (a->record->holder, j->env->holder) != 0)
-    wy_jobs_hand_on (j, a->record, &a->holder_address, a->body->str,
-                     a->body->len);
-  else if (!g_hash_table_contains (j->owned, a->record->id)
-           && !g_hash_table_contains (j->taking, a->record->id))
+    wy_jobs_hand_off (j, a->record, &a->holder_address, a->body->str,
+                      a->body->len);
+  else if (!g_hash_table_contains (j->active, a->record->id)
+           && !g_hash_table_contains (j->starting, a->record->id))
     {
-      struct wy_owned *o = wy_jobs_own (j, a->record, a->spec);
+      struct wy_active_job *o = wy_jobs_activate (j, a->record, a->spec);
 
       a->spec = NULL;
-      if (a->carry)
+      if (a->checkpoint)
         wy_json_log ("job.text_taken", "id=%s items=%u", a->record->id,
-                     wy_carry_apply (a->carry, o));
-      wy_owned_pump (o);
+                     wy_checkpoint_apply (a->checkpoint, o));
+      wy_active_job_start_items (o);
     }
   end (a, STATUS_ACCEPTED, "kept");
 }
 
-static void write_row (struct accept *a);
+static void write_row (struct submission *a);
 
 static void
 on_settle_timer (uv_timer_t *t)
@@ -179,29 +182,29 @@
 static void
 on_row_written (void *ctx, const struct wy_rows_result *r)
 {
-  struct accept *a = ctx;
+  struct submission *a = ctx;
   struct wy_job_record *found = NULL;
 
   a->writing = false;
   if (a->ended)
     {
-      release (a);
+      free_if_unused (a);
       return;
     }
   if (!r->err)
     {
-      accepted_here (a, r->version);
+      on_accepted (a, r->version);
       return;
     }
   if (r->err == WY_ROWS_ECONFLICT)
     {
       if (r->n)
         found = wy_job_record_decode (&r->rows[0]);
-      /* Our own write, performed although its answer was lost.  */
+      /* Our own write took effect although its response was lost.  */
       if (found && !strcmp (found->object, a->record->object)
           && !strcmp (found->holder, a->record->holder)
           && found->state == WY_JOB_OPEN)
-        accepted_here (a, found->row_version);
+        on_accepted (a, found->row_version);
       else
         end (a, STATUS_ACCEPTED, "kept_before");
       if (found)
@@ -209,62 +212,63 @@
       return;
     }
   if (r->err != WY_ROWS_EREFUSED)
-    a->asked = true;
-  if (++a->tries < SETTLE_TRIES)
-    uv_timer_start (&a->timer, on_settle_timer, SETTLE_PAUSE_MS, 0);
+    a->may_be_written = true;
+  if (++a->attempts < SETTLE_ATTEMPTS)
+    uv_timer_start (&a->timer, on_settle_timer, SETTLE_RETRY_MS, 0);
   else
-    end (a, a->asked ? 502 : 503, a->asked ? "unsettled" : "store_refused");
+    end (a, a->may_be_written ? 502 : 503,
+         a->may_be_written ? "unsettled" : "store_refused");
 }
 
-/* The same write serves to settle an earlier one: its condition shows whether
-   that was performed.  */
+/* Write the row.  Sending the same write again also determines the outcome of
+   an earlier one: the condition fails if that took effect.  */
 static void
-write_row (struct accept *a)
+write_row (struct submission *a)
 {
   int64_t store_ms = wy_rows_store_now_ms (a->jobs->env->rows);
 
-  if (!a->asked)
+  if (!a->may_be_written)
     a->record->accepted_ms = store_ms;
   a->writing = true;
   wy_job_record_write (a->jobs->env->rows, a->record, on_row_written, a);
 }
 
-static void put_next (struct accept *a);
+static void put_next_piece (struct submission *a);
 
 static void
 on_piece (void *ctx, const struct wy_rows_result *r)
 {
-  struct accept *a = ctx;
+  struct submission *a = ctx;
 
   a->putting = false;
   if (a->ended)
     {
-      release (a);
+      free_if_unused (a);
       return;
     }
   if (r->err && r->err != WY_ROWS_ECONFLICT)
     {
-      if (r->err != WY_ROWS_EFULL && ++a->tries < PIECE_TRIES)
-        put_next (a);
+      if (r->err != WY_ROWS_EFULL && ++a->attempts < PIECE_ATTEMPTS)
+        put_next_piece (a);
       else
         end (a, 503, "store_refused");
       return;
     }
-  a->tries = 0;
-  if (++a->next < a->record->pieces)
-    put_next (a);
+  a->attempts = 0;
+  if (++a->next_piece < a->record->pieces)
+    put_next_piece (a);
   else
     write_row (a);
 }
 
 static void
-put_next (struct accept *a)
+put_next_piece (struct submission *a)
 {
-  size_t at = (size_t)a->next * a->jobs->piece_bytes;
+  size_t at = (size_t)a->next_piece * a->jobs->piece_bytes;
   size_t n = MIN (a->body->len - at, a->jobs->piece_bytes);
   char name[NAME_SIZE_BYTES];
 
-  snprintf (name, sizeof name, "%s.%u", a->record->object, a->next);
+  snprintf (name, sizeof name, "%s.%u", a->record->object, a->next_piece);
   a->putting = true;
   wy_rows_put_object (a->jobs->env->rows, name, a->body->str + at, n, on_piece,
                       a);
@@ -292,10 +296,10 @@
   return r;
 }
 
-/* Jobs of one model run on one entry, whose connections to the replicas are
-   open from the job before.  */
+/* Run the jobs of one model on one entry, which still has connections to the
+   model's replicas open from the previous job.  */
 static void
-choose_holder (struct accept *a)
+choose_holder (struct submission *a)
 {
   const char *holder;
 
@@ -307,7 +311,7 @@
   a->record->holder = g_strdup (holder);
 }
 
-/* Whether each item of SPEC that is to be scored can be.  */
+/* Return whether every scorer named in SPEC has a route.  */
 static bool
 has_scorer_routes (const struct wy_jobs *j, const struct wy_job_spec *spec)
 {
@@ -322,7 +326,7 @@
 }
 
 static void
-refuse_job (struct wy_h1_request *r, const char *id, int status,
+reject_job (struct wy_h1_request *r, const char *id, int status,
             const char *why, size_t body_bytes)
 {
   wy_json_log ("job.submitted", "id=%s status=%d reason=%s bytes=%zu", id,
@@ -337,8 +341,10 @@
          && !strchr (id, '/');
 }
 
-/* Take in the job that R submits for ORGANISATION.  Without CONFIG_IS_FRESH a
-   route that is not known here may be known elsewhere.  */
+/* Accept the job that R submits for ORGANISATION.  CONFIG_IS_FRESH is false if
+   the configuration here may be outdated: a route that is unknown here may
+   then be known to another entry, and the rejection asks the submitter to
+   retry.  */
 void
 wy_jobs_accept (struct wy_jobs *j, struct wy_h1_request *r,
                 const char *organisation, bool config_is_fresh)
@@ -346,7 +352,7 @@
   char key[WY_JOB_KEY_SIZE_BYTES];
   struct wy_request_info info;
   struct wy_job_spec *spec;
-  struct accept *a;
+  struct submission *a;
   const char *why;
   const char *body;
   size_t n;
@@ -365,32 +371,32 @@
       wy_h1_respond (r, STATUS_ACCEPTED, NULL, 0, "", 0);
       return;
     }
-  if (!wy_jobs_have_room (j, n))
+  if (!wy_jobs_has_memory_for (j, n))
     {
-      refuse_job (r, key, 503, "memory", n);
+      reject_job (r, key, 503, "memory", n);
       return;
     }
   spec = wy_job_decode (body, n, &why);
   if (!spec)
     {
-      refuse_job (r, key, 400, why, n);
+      reject_job (r, key, 400, why, n);
       return;
     }
   if (!has_scorer_routes (j, spec))
     {
-      refuse_job (r, key, config_is_fresh ? 400 : 503, "no_scorer_route", n);
+      reject_job (r, key, config_is_fresh ? 400 : 503, "no_scorer_route", n);
       wy_job_spec_free (spec);
       return;
     }
   if (wy_rows_is_unreachable (j->env->rows))
     {
-      refuse_job (r, key, 503, "store_away", n);
+      reject_job (r, key, 503, "store_away", n);
       wy_job_spec_free (spec);
       return;
     }
-  a = g_new0 (struct accept, 1);
+  a = g_new0 (struct submission, 1);
   a->jobs = j;
-  g_ptr_array_add (j->accepting, a);
+  g_ptr_array_add (j->submissions, a);
   a->request = r;
   a->spec = spec;
   a->body = g_string_new_len (body, (gssize)n);
@@ -398,14 +404,14 @@
                           spec->items->len, n);
   choose_holder (a);
   a->started_ms = wy_clock_mono_ms (j->env->clock);
-  j->accepting_bytes += n;
+  j->submissions_bytes += n;
   uv_timer_init (j->env->loop, &a->timer);
   a->timer.data = a;
   wy_h1_on_hangup (r, on_hangup, a);
   if (*spec->model && !strcmp (a->record->holder, j->env->holder))
     {
-      a->reading_carry = true;
-      wy_carry_read (j->env, spec->model, on_carry, a);
+      a->reading_checkpoint = true;
+      wy_checkpoint_read (j->env, spec->model, on_checkpoint, a);
     }
-  put_next (a);
+  put_next_piece (a);
 }
--- a/src/jobs/active_job.c
+++ b/src/jobs/active_job.c
@@ -10,27 +10,27 @@
 
 enum
 {
-  /* An item is given up this long after its time, since the clocks of the
-     store and of the submitter's request differ a little.  */
+  /* Added to the retention time, since the clocks of the store and of the
+     submitter differ a little.  */
   RETENTION_SLACK_MS = 1000,
-  /* Trainers submit the next step about a second after they end one.  */
+  /* Trainers submit the next step about a second after they end a job.  */
   LINGER_MS = 2000,
-  /* Ticks between two looks for text worth storing.  */
+  /* Ticks between two checkpoints for a takeover.  */
   CHECKPOINT_TICKS = 5,
-  /* Second calls for scores that a job may make at once: as many as a replica
-     has under way when it goes dark.  */
-  SECOND_SCORES = 8
+  /* Hedged score calls that a job may make at once: as many as a replica has
+     in progress when it stops responding.  */
+  HEDGE_BURST = 8
 };
 
 static int64_t
-now_of (const struct wy_owned *o)
+now_of (const struct wy_active_job *o)
 {
   return wy_clock_mono_ms (o->env->clock);
 }
 
-/* The route by which O was submitted; NULL: it is gone.  */
+/* Return the route by which O was submitted, or NULL if it was removed.  */
 const struct wy_route *
-wy_owned_route (const struct wy_owned *o)
+wy_active_job_route (const struct wy_active_job *o)
 {
   const struct wy_route *r
       = wy_routing_match (o->env->routing, o->record->host, o->record->path);
@@ -38,9 +38,10 @@
   return r && r->kind == WY_ROUTE_JOB ? r : NULL;
 }
 
-/* Time since O was accepted, by the store's clock; -1: not known.  */
+/* Return the time since O was accepted, by the store's clock; -1 if
+   unknown.  */
 int64_t
-wy_owned_age_ms (const struct wy_owned *o)
+wy_active_job_age_ms (const struct wy_active_job *o)
 {
   int64_t store_ms = wy_rows_store_now_ms (o->env->rows);
 
@@ -48,25 +49,25 @@
                                             : -1;
 }
 
-/* Time until the items of O may be given up; -1: not known.  */
+/* Return the time until the items of O may be given up; -1 if unknown.  */
 int64_t
-wy_owned_time_left_ms (const struct wy_owned *o)
+wy_active_job_time_left_ms (const struct wy_active_job *o)
 {
-  const struct wy_route *route = wy_owned_route (o);
-  int64_t age_ms = wy_owned_age_ms (o);
+  const struct wy_route *route = wy_active_job_route (o);
+  int64_t age_ms = wy_active_job_age_ms (o);
 
   if (!route || !route->retention_ms || age_ms < 0)
     return -1;
   return MAX ((int64_t)route->retention_ms + RETENTION_SLACK_MS - age_ms, 0);
 }
 
-/* Answers that the text of I can't be scored after which it is given up: its
-   job's route and the scorer's each name a number, and both must be
-   reached.  */
+/* Return the number of failures to score its text after which I is given up:
+   the larger of the limits of its job's route and the scorer's route, at least
+   1.  */
 uint32_t
-wy_owned_allowed_failures (const struct wy_item *i)
+wy_item_max_score_failures (const struct wy_item *i)
 {
-  const struct wy_route *job = wy_owned_route (i->job);
+  const struct wy_route *job = wy_active_job_route (i->job);
   const struct wy_route *scorer
       = wy_scorer_route (i->job->env->routing, i->spec->scorer);
 
@@ -74,7 +75,7 @@
 }
 
 static struct wy_group *
-group_of (struct wy_owned *o, const char *name)
+find_or_add_group (struct wy_active_job *o, const char *name)
 {
   struct wy_group *g = g_hash_table_lookup (o->groups, name);
 
@@ -96,11 +97,11 @@
   return x < y ? -1 : 1;
 }
 
-/* Run the job O->record, all items from their start.  */
-struct wy_owned *
-wy_owned_new (const struct wy_owned_options *opt)
+/* Return a job for OPT->record with all its items waiting.  */
+struct wy_active_job *
+wy_active_job_new (const struct wy_active_job_options *opt)
 {
-  struct wy_owned *o = g_new0 (struct wy_owned, 1);
+  struct wy_active_job *o = g_new0 (struct wy_active_job, 1);
 
   o->env = opt->env;
   o->record = opt->record;
@@ -113,36 +114,36 @@
   o->n_items = o->spec->items->len;
   o->n_waiting = o->n_items;
   o->items = g_new0 (struct wy_item, o->n_items);
-  g_queue_init (&o->ended);
+  g_queue_init (&o->unlisted);
   o->batch = g_ptr_array_new ();
   o->groups = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
-  wy_retry_init (&o->second_scores,
-                 &(struct wy_retry_options){ .burst = SECOND_SCORES });
+  wy_retry_init (&o->hedge_budget,
+                 &(struct wy_retry_options){ .burst = HEDGE_BURST });
   for (uint32_t k = 0; k < o->n_items; k++)
     {
       struct wy_item *i = &o->items[k];
 
       i->job = o;
       i->spec = g_ptr_array_index (o->spec->items, k);
-      i->group = group_of (o, i->spec->group);
+      i->group = find_or_add_group (o, i->spec->group);
       i->group->missing++;
       i->text = g_string_new (NULL);
       i->versions = g_array_new (FALSE, FALSE, sizeof (int64_t));
       i->last_event = -1;
-      i->carried_event = -1;
-      i->kept_event = -1;
+      i->next_job_event = -1;
+      i->saved_event = -1;
     }
-  o->order = g_ptr_array_new ();
+  o->start_order = g_ptr_array_new ();
   for (uint32_t k = 0; k < o->n_items; k++)
-    g_ptr_array_add (o->order, &o->items[k]);
-  g_ptr_array_sort (o->order, by_expected_length);
+    g_ptr_array_add (o->start_order, &o->items[k]);
+  g_ptr_array_sort (o->start_order, by_expected_length);
   uv_timer_init (o->env->loop, &o->flush);
   o->flush.data = o;
   return o;
 }
 
 static void
-free_owned (struct wy_owned *o)
+free_active_job (struct wy_active_job *o)
 {
   for (uint32_t k = 0; k < o->n_items; k++)
     {
@@ -154,12 +155,12 @@
       g_array_free (i->versions, TRUE);
       wy_result_free (i->result);
     }
-  wy_carry_detach (o);
+  wy_checkpoint_detach (o);
   g_free (o->items);
   g_hash_table_destroy (o->groups);
-  g_ptr_array_free (o->order, TRUE);
+  g_ptr_array_free (o->start_order, TRUE);
   g_ptr_array_free (o->batch, TRUE);
-  g_queue_clear (&o->ended);
+  g_queue_clear (&o->unlisted);
   wy_job_spec_free (o->spec);
   wy_job_record_free (o->record);
   g_free (o);
@@ -168,62 +169,61 @@
 static void
 on_flush_closed (uv_handle_t *h)
 {
-  struct wy_owned *o = h->data;
+  struct wy_active_job *o = h->data;
 
-  /* A write under way still points here; its end frees the job.  */
+  /* A store call in progress still refers to O and frees it when it ends.  */
   if (!o->writing)
-    free_owned (o);
+    free_active_job (o);
   else
     o->flush.data = NULL;
 }
 
 static void
-stop_scoring (struct wy_item *i)
+cancel_scoring (struct wy_item *i)
 {
   wy_score_free (i->score);
   i->score = NULL;
 }
 
-/* Stop running the job and free it when nothing points to it any more.  */
+/* Stop the job and free it when nothing refers to it any more.  */
 void
-wy_owned_drop (struct wy_owned *o)
+wy_active_job_close (struct wy_active_job *o)
 {
-  if (o->dropped)
+  if (o->closed)
     return;
-  o->dropped = true;
+  o->closed = true;
   for (uint32_t k = 0; k < o->n_items; k++)
     {
       if (o->items[k].run)
         wy_run_cancel (o->items[k].run);
-      stop_scoring (&o->items[k]);
+      cancel_scoring (&o->items[k]);
     }
   uv_close ((uv_handle_t *)&o->flush, on_flush_closed);
 }
 
-/* A call to the store on behalf of O has ended.  False: O was dropped
-   meanwhile and must not be touched any more.  */
+/* A store call on behalf of O has ended.  Return false if O was closed
+   meanwhile and must no longer be used.  */
 bool
-wy_owned_write_ended (struct wy_owned *o)
+wy_active_job_store_call_ended (struct wy_active_job *o)
 {
   o->writing = false;
-  if (!o->dropped)
+  if (!o->closed)
     return true;
   if (!o->flush.data)
-    free_owned (o);
+    free_active_job (o);
   return false;
 }
 
 static void
-has_result (struct wy_item *i)
+count_result (struct wy_item *i)
 {
   if (--i->group->missing == 0)
-    i->job->whole_groups++;
+    i->job->complete_groups++;
 }
 
-/* ITEM has been listed by whoever ran the job before, at the next
-   position.  */
+/* Mark ITEM as listed at the next position by a former holder.  */
 void
-wy_owned_restore (struct wy_owned *o, const char *item)
+wy_active_job_restore_listed (struct wy_active_job *o, const char *item)
 {
   for (uint32_t k = 0; k < o->n_items; k++)
     {
@@ -232,7 +232,7 @@
       if (i->state == WY_ITEM_LISTED || strcmp (i->spec->id, item) != 0)
         continue;
       i->state = WY_ITEM_LISTED;
-      has_result (i);
+      count_result (i);
       o->n_waiting--;
       o->n_listed++;
       return;
@@ -246,43 +246,45 @@
     i->job->n_waiting--;
   if (i->state == WY_ITEM_SCORING)
     {
-      stop_scoring (i);
+      cancel_scoring (i);
       i->job->n_scoring--;
     }
 }
 
-/* The item I has its result: it waits to be listed.  MARK of the answer that
-   scored its text: NULL, there is no scorer, or it is given up.  */
+/* Set the result of I, which is then to be listed.  STAMP is the
+   Response-Stamp of the score response; NULL if the item has no scorer or is
+   given up.  */
 static void
-end_item (struct wy_item *i, bool given_up, const char *mark)
+set_result (struct wy_item *i, bool given_up, const char *stamp)
 {
   struct wy_result *r = wy_result_new (i->spec->id);
 
   r->given_up = given_up;
   r->text = g_strdup (given_up ? "" : i->text->str);
-  r->score = g_strdup (mark);
+  r->score = g_strdup (stamp);
   if (!given_up)
     for (guint k = 0; k < i->versions->len; k++)
       wy_result_add_version (r, g_array_index (i->versions, int64_t, k));
   leave_state (i);
-  i->state = WY_ITEM_ENDED;
+  i->state = WY_ITEM_UNLISTED;
   i->result = r;
-  has_result (i);
+  count_result (i);
   (*i->job->env->count.items_done)++;
   wy_hist_add (i->job->env->count.item_us,
                (uint64_t)(now_of (i->job) - i->job->started_ms)
                    * WY_US_PER_MS);
-  g_queue_push_tail (&i->job->ended, i);
-  wy_lister_schedule (i->job);
+  g_queue_push_tail (&i->job->unlisted, i);
+  wy_result_list_schedule (i->job);
 }
 
-/* The text of I is whole: it is the result, or it is to be scored.  */
+/* The text of I is complete: it is the result, or it has to be scored
+   first.  */
 void
-wy_item_text_whole (struct wy_item *i)
+wy_item_text_complete (struct wy_item *i)
 {
   if (!i->spec->scorer)
     {
-      end_item (i, false, NULL);
+      set_result (i, false, NULL);
       return;
     }
   leave_state (i);
@@ -291,22 +293,22 @@
   i->job->n_scoring++;
 }
 
-/* The text of I is scored, by an answer with MARK.  */
+/* The text of I was scored by the response with STAMP.  */
 void
-wy_item_scored (struct wy_item *i, const char *mark)
+wy_item_scored (struct wy_item *i, const char *stamp)
 {
-  end_item (i, false, mark);
+  set_result (i, false, stamp);
 }
 
-/* The item I will not be done, and is listed so.  */
+/* Give the item I up; its result says so.  */
 void
 wy_item_give_up (struct wy_item *i)
 {
-  end_item (i, true, NULL);
+  set_result (i, true, NULL);
 }
 
 static void
-give_up_all (struct wy_owned *o, const char *why)
+give_up_all (struct wy_active_job *o, const char *why)
 {
   wy_json_log ("job.given_up", "id=%s reason=%s items=%u listed=%u",
                o->record->id, why, o->n_items, o->n_listed);
@@ -325,15 +327,17 @@
     }
 }
 
-/* Choose a target for I other than EXCEPT (NULL: any), none that works slower
-   than PACE_LIMIT_MS (0: any) and none with more than SLOTS_SHARE of its slots
-   taken (0: all may be).  */
+/* Pick a target for I, or return NULL.  EXCEPT is excluded unless it is NULL,
+   and so are targets slower than PACE_LIMIT_MS per event and those with more
+   than the share SLOTS_SHARE of their slots occupied (0: no limit, for
+   both).  */
 struct wy_target *
-wy_owned_pick (const struct wy_item *i, const struct wy_target *except,
-               double pace_limit_ms, double slots_share)
+wy_active_job_pick_target (const struct wy_item *i,
+                           const struct wy_target *except,
+                           double pace_limit_ms, double slots_share)
 {
-  const struct wy_owned *o = i->job;
-  const struct wy_route *route = wy_owned_route (o);
+  const struct wy_active_job *o = i->job;
+  const struct wy_route *route = wy_active_job_route (o);
   struct wy_target_criteria q
       = { .work = WY_WORK_EVENT,
           .availability_zone = o->env->availability_zone,
@@ -354,26 +358,26 @@
   return wy_targets_pick (o->env->targets, &q, now_of (o));
 }
 
-/* Start what can be started, what is expected to run longest first: the step
-   is ready when the last item of its groups is, and a long one started late
-   is what it waits for.  */
+/* Start waiting items, those with the longest expected text first: the step
+   ends with the last item of its groups, so a long item that starts late
+   delays it.  */
 void
-wy_owned_pump (struct wy_owned *o)
+wy_active_job_start_items (struct wy_active_job *o)
 {
   const struct wy_route *route;
   int64_t now_ms = now_of (o);
-  bool full = false; /* for those that leave slots to others */
+  bool limited_full = false; /* no slot for items with a limited share */
 
-  wy_scores_pump (o);
-  if (o->dropped || o->lingering || o->n_waiting == 0 || !o->env->routing
+  wy_scores_start_calls (o);
+  if (o->closed || o->lingering || o->n_waiting == 0 || !o->env->routing
       || o->env->stopping)
     return;
-  route = wy_owned_route (o);
+  route = wy_active_job_route (o);
   if (!route)
     return;
   for (uint32_t k = 0; k < o->n_items && o->n_waiting; k++)
     {
-      struct wy_item *i = g_ptr_array_index (o->order, k);
+      struct wy_item *i = g_ptr_array_index (o->start_order, k);
       struct wy_item_slots_options slots
           = { .length_rank = k,
               .items = o->n_items,
@@ -384,14 +388,14 @@
       struct wy_target *g;
 
       if (i->state != WY_ITEM_WAITING || i->not_before_ms > now_ms
-          || (share > 0 && full) || wy_run_is_held_back (i))
+          || (share > 0 && limited_full) || wy_run_is_held_back (i))
         continue;
-      g = wy_owned_pick (i, i->avoid, 0, share);
-      /* The one that failed last is still better than none.  */
+      g = wy_active_job_pick_target (i, i->avoid, 0, share);
+      /* The target that failed last is better than none.  */
       if (!g && i->avoid)
-        g = wy_owned_pick (i, NULL, 0, share);
+        g = wy_active_job_pick_target (i, NULL, 0, share);
       if (!g && share > 0)
-        full = true;
+        limited_full = true;
       else if (!g)
         return;
       else
@@ -400,51 +404,52 @@
 }
 
 static void
-check_time (struct wy_owned *o)
+check_time (struct wy_active_job *o)
 {
-  if (o->n_waiting + o->n_scoring && wy_owned_time_left_ms (o) == 0)
+  if (o->n_waiting + o->n_scoring && wy_active_job_time_left_ms (o) == 0)
     give_up_all (o, "retention");
 }
 
-/* Look after runs and waiting items; called some times a second.  Without
-   CHECK_RUNS their headway is not judged.  */
+/* Check runs, score calls and time limits and start waiting items; called some
+   times a second.  CHECK_RUNS is false if runs and score calls can't be judged
+   now.  */
 void
-wy_owned_tick (struct wy_owned *o, bool check_runs)
+wy_active_job_tick (struct wy_active_job *o, bool check_runs)
 {
-  if (o->dropped || !o->env->routing)
+  if (o->closed || !o->env->routing)
     return;
   for (uint32_t k = 0; check_runs && k < o->n_items; k++)
     {
       if (o->items[k].run)
-        wy_run_check (o->items[k].run);
+        wy_run_check_progress (o->items[k].run);
       if (o->items[k].score)
-        wy_score_check (o->items[k].score);
+        wy_score_check_calls (o->items[k].score);
     }
   check_time (o);
-  if (o->ended.length)
-    wy_lister_schedule (o);
+  if (o->unlisted.length)
+    wy_result_list_schedule (o);
   if (++o->ticks % CHECKPOINT_TICKS == 0 && *o->spec->model)
-    wy_carry_keep (o);
-  wy_owned_pump (o);
+    wy_checkpoint_write_for_takeover (o);
+  wy_active_job_start_items (o);
 }
 
-/* The job has been ended: what runs may go on for a while, so that a later
-   job with the same items finds more of their text, but nothing new starts.
-   O is still to be dropped.  */
+/* The trainer has ended the job: current runs continue for a while, so that a
+   later job with the same items finds more of their text, but nothing new
+   starts.  The caller still has to close O.  */
 void
-wy_owned_linger (struct wy_owned *o)
+wy_active_job_linger (struct wy_active_job *o)
 {
   o->lingering = true;
-  o->lingers_until_ms = now_of (o) + LINGER_MS;
-  wy_carry_save (o, false);
+  o->linger_until_ms = now_of (o) + LINGER_MS;
+  wy_checkpoint_write_for_next_job (o, false);
   for (uint32_t k = 0; k < o->n_items; k++)
     {
       struct wy_item *i = &o->items[k];
 
       if (i->score)
-        wy_score_pause (i->score);
+        wy_score_cancel_calls (i->score);
       /* Text that no later job can use is not worth a slot.  */
-      if (i->run && i->carried_event < 0)
+      if (i->run && i->next_job_event < 0)
         {
           wy_run_cancel (i->run);
           i->state = WY_ITEM_WAITING;
@@ -453,23 +458,24 @@
     }
 }
 
-/* Store what runs have added.  Returns whether any still goes on.  */
+/* Store the text that the runs have added.  Return whether any run
+   continues.  */
 bool
-wy_owned_linger_tick (struct wy_owned *o)
+wy_active_job_linger_tick (struct wy_active_job *o)
 {
   bool any = false;
 
-  wy_carry_save (o, true);
-  if (now_of (o) >= o->lingers_until_ms || o->env->stopping)
+  wy_checkpoint_write_for_next_job (o, true);
+  if (now_of (o) >= o->linger_until_ms || o->env->stopping)
     return false;
   for (uint32_t k = 0; k < o->n_items; k++)
     any = any || o->items[k].run;
   return any;
 }
 
-/* Whether all results are listed.  */
+/* Return whether all results are listed.  */
 bool
-wy_owned_is_done (const struct wy_owned *o)
+wy_active_job_is_done (const struct wy_active_job *o)
 {
   return o->n_listed == o->n_items;
 }
--- a/src/jobs/calls.c
+++ b/src/jobs/calls.c
@@ -1,6 +1,6 @@
-/* Calls on a job: its results, the body of an item, its end.  All are
-   answered from the store, so every entry answers alike, and what was listed
-   once is listed always.  */
+/* Requests about a job: read its results, get the body of an item, end the
+   job.  All are answered from the store, so every entry returns the same, and
+   a result that was returned once stays.  */
 #include "jobs/state.h"
 
 #include <string.h>
@@ -12,30 +12,30 @@
 
 enum
 {
-  /* Between two questions to the store for a caller that waits for results:
-     a trainer idles meanwhile, and few wait at a time.  */
+  /* Interval between two reads of the store for a caller that waits for
+     results: a trainer is idle meanwhile, and few callers wait at a time.  */
   POLL_MS = 40,
   PAGE_ROWS = 200,
-  /* Of results in one answer, as the platform's clients expect.  */
-  ANSWER_BYTES = 900000,
+  /* Of the results in one response, a limit of the platform's clients.  */
+  RESPONSE_BYTES_MAX = 900000,
   RETRY_AFTER_MS = 300,
-  END_TRIES = 6,
-  END_PAUSE_MS = 150
+  END_ATTEMPTS = 6,
+  END_RETRY_MS = 150
 };
 
-struct read
+struct call_state
 {
   struct wy_jobs *jobs;
   struct wy_h1_request *request;
   struct wy_job_call call;
-  struct wy_job_record *record; /* as read for this call */
-  int64_t asked_ms;
-  int64_t until_ms;
-  bool reading;
-  bool woken; /* results were listed while they were being read */
-  uint32_t tries;
+  struct wy_job_record *record; /* a copy made for this request */
+  int64_t received_ms;
+  int64_t wait_until_ms;
+  bool pending;        /* a store call, or a retry to end the job */
+  bool results_listed; /* more of them, during a read */
+  uint32_t attempts;
   uv_timer_t timer;
-  GList link; /* in jobs->waiting */
+  GList link; /* in jobs->waiting_calls */
 };
 
 static void
@@ -45,10 +45,10 @@
 }
 
 static void
-free_read (struct read *d)
+free_call (struct call_state *d)
 {
   if (d->link.data)
-    g_queue_unlink (&d->jobs->waiting, &d->link);
+    g_queue_unlink (&d->jobs->waiting_calls, &d->link);
   wy_job_record_free (d->record);
   uv_close ((uv_handle_t *)&d->timer, on_timer_closed);
 }
@@ -56,49 +56,50 @@
 static void
 on_hangup (void *ctx)
 {
-  struct read *d = ctx;
+  struct call_state *d = ctx;
 
   d->request = NULL;
-  /* A call to the store under way ends it.  */
-  if (!d->reading)
-    free_read (d);
+  /* If something is pending, its callback frees D.  */
+  if (!d->pending)
+    free_call (d);
 }
 
-/* Whether the caller is still there; else D is freed.  */
+/* Continue D after what was pending.  Return false if the caller has
+   disconnected; D is then freed.  */
 static bool
-resume (struct read *d)
+resume_call (struct call_state *d)
 {
-  d->reading = false;
+  d->pending = false;
   if (d->request)
     return true;
-  free_read (d);
+  free_call (d);
   return false;
 }
 
 static void
-refuse (struct read *d, int status, const char *reason, int err)
+reject (struct call_state *d, int status, const char *reason, int err)
 {
   wy_json_log ("job.call_refused", "id=%s call=%s status=%d reason=%s err=%d",
                d->call.job, wy_job_call_name (d->call.kind), status, reason,
                err);
   wy_respond_status (d->request, status, reason,
                      status == 503 ? RETRY_AFTER_MS : 0);
-  free_read (d);
+  free_call (d);
 }
 
 static void
-respond_json (struct read *d, char *text)
+respond_json (struct call_state *d, char *text)
 {
   static const struct wy_h1_header type
       = { "Content-Type", "application/json" };
 
   wy_h1_respond (d->request, 200, &type, 1, text, strlen (text));
   g_free (text);
-  free_read (d);
+  free_call (d);
 }
 
 static void
-answer_results (struct read *d, const struct wy_rows_result *r)
+respond_results (struct call_state *d, const struct wy_rows_result *r)
 {
   GPtrArray *results = g_ptr_array_new ();
   size_t size = 0;
@@ -110,14 +111,14 @@
       const struct wy_result *res = g_ptr_array_index (results, n);
 
       size += res->text ? strlen (res->text) : 0;
-      if (n && size > ANSWER_BYTES)
+      if (n && size > RESPONSE_BYTES_MAX)
         break;
       n++;
     }
   wy_json_log (
       "job.read", "id=%s after=%llu results=%u waited_ms=%lld", d->call.job,
       (unsigned long long)d->call.after, n,
-      (long long)(wy_clock_mono_ms (d->jobs->env->clock) - d->asked_ms));
+      (long long)(wy_clock_mono_ms (d->jobs->env->clock) - d->received_ms));
   respond_json (
       d, wy_results_encode (d->record->total, d->call.after + n,
                             (struct wy_result *const *)results->pdata, n));
@@ -126,10 +127,10 @@
   g_ptr_array_free (results, TRUE);
 }
 
-static void read_results (struct read *d);
+static void read_results (struct call_state *d);
 
 static bool
-may_have_more (const struct read *d)
+may_have_more (const struct call_state *d)
 {
   const struct wy_job_record *r = wy_jobs_find (d->jobs, d->call.job);
 
@@ -139,37 +140,37 @@
 static void
 on_poll (uv_timer_t *t)
 {
-  struct read *d = t->data;
+  struct call_state *d = t->data;
 
-  if (!d->reading)
+  if (!d->pending)
     read_results (d);
 }
 
 static void
 on_results (void *ctx, const struct wy_rows_result *r)
 {
-  struct read *d = ctx;
+  struct call_state *d = ctx;
   int64_t now_ms = wy_clock_mono_ms (d->jobs->env->clock);
 
-  if (!resume (d))
+  if (!resume_call (d))
     return;
   if (r->err)
-    refuse (d, 503, "store_unread", r->err);
-  else if (r->n || now_ms >= d->until_ms || !may_have_more (d))
-    answer_results (d, r);
+    reject (d, 503, "store_unread", r->err);
+  else if (r->n || now_ms >= d->wait_until_ms || !may_have_more (d))
+    respond_results (d, r);
   else
     {
-      uv_timer_start (&d->timer, on_poll, d->woken ? 0 : POLL_MS, 0);
-      d->woken = false;
+      uv_timer_start (&d->timer, on_poll, d->results_listed ? 0 : POLL_MS, 0);
+      d->results_listed = false;
       if (d->link.data)
         return;
       d->link.data = d;
-      g_queue_push_tail_link (&d->jobs->waiting, &d->link);
+      g_queue_push_tail_link (&d->jobs->waiting_calls, &d->link);
     }
 }
 
 static void
-read_results (struct read *d)
+read_results (struct call_state *d)
 {
   char from[WY_RESULT_KEY_SIZE_BYTES];
   struct wy_rows_range range = { .table = WY_RESULTS_TABLE,
@@ -178,7 +179,7 @@
                                  .limit = PAGE_ROWS };
 
   wy_result_key (d->call.after, from);
-  d->reading = true;
+  d->pending = true;
   wy_rows_get (d->jobs->env->rows, &range, on_results, d);
 }
 
@@ -187,9 +188,9 @@
 {
   static const struct wy_h1_header type
       = { "Content-Type", "application/octet-stream" };
-  struct read *d = ctx;
+  struct call_state *d = ctx;
 
-  if (!resume (d))
+  if (!resume_call (d))
     {
       wy_job_spec_free (spec);
       return;
@@ -204,20 +205,21 @@
                      item->body ? (const char *)item->body : "",
                      item->body_size_bytes);
       wy_job_spec_free (spec);
-      free_read (d);
+      free_call (d);
       return;
     }
   if (spec)
-    refuse (d, 404, "no_item", 0);
+    reject (d, 404, "no_item", 0);
   else
-    refuse (d, 503, "store_unread", err);
+    reject (d, 503, "store_unread", err);
   wy_job_spec_free (spec);
 }
 
 static void
-read_body (struct read *d)
+read_body (struct call_state *d)
 {
-  const struct wy_owned *o = g_hash_table_lookup (d->jobs->owned, d->call.job);
+  const struct wy_active_job *o
+      = g_hash_table_lookup (d->jobs->active, d->call.job);
 
   for (uint32_t k = 0; o && k < o->n_items; k++)
     {
@@ -228,71 +230,72 @@
       wy_h1_respond (d->request, 200, NULL, 0,
                      item->body ? (const char *)item->body : "",
                      item->body_size_bytes);
-      free_read (d);
+      free_call (d);
       return;
     }
-  d->reading = true;
-  wy_job_load (d->jobs, d->record, on_body, d);
+  d->pending = true;
+  wy_job_fetch (d->jobs, d->record, on_body, d);
 }
 
-static void read_record (struct read *d);
+static void read_record (struct call_state *d);
 
 static void
-on_end_timer (uv_timer_t *t)
+on_end_retry (uv_timer_t *t)
 {
-  struct read *d = t->data;
+  struct call_state *d = t->data;
 
-  if (resume (d))
+  if (resume_call (d))
     read_record (d);
 }
 
 static void
-on_end_written (void *ctx, const struct wy_rows_result *r)
+on_ended_written (void *ctx, const struct wy_rows_result *r)
 {
-  struct read *d = ctx;
+  struct call_state *d = ctx;
   struct wy_job_record *ended;
 
   if (!r->err)
     {
       ended = wy_job_record_copy (d->record);
       ended->row_version = r->version;
-      wy_jobs_learn (d->jobs, ended);
+      wy_jobs_update_record (d->jobs, ended);
     }
-  if (!resume (d))
+  if (!resume_call (d))
     return;
   if (!r->err)
     {
       wy_json_log ("job.ended", "id=%s version=%lld", d->call.job,
                    (long long)r->version);
       wy_h1_respond (d->request, 200, NULL, 0, "", 0);
-      free_read (d);
+      free_call (d);
     }
-  else if (++d->tries < END_TRIES)
+  else if (++d->attempts < END_ATTEMPTS)
     {
-      /* The row has changed, or nobody knows: read it again.  */
-      d->reading = true;
-      uv_timer_start (&d->timer, on_end_timer, END_PAUSE_MS, 0);
+      /* The row has changed, or the outcome of the write is unknown: read the
+         row again.  */
+      d->pending = true;
+      uv_timer_start (&d->timer, on_end_retry, END_RETRY_MS, 0);
     }
   else
-    refuse (d, 502, "unsettled", r->err);
+    reject (d, 502, "unsettled", r->err);
 }
 
 static void
-write_end (struct read *d)
+write_ended (struct call_state *d)
 {
   if (d->record->state == WY_JOB_ENDED)
     {
       wy_h1_respond (d->request, 200, NULL, 0, "", 0);
-      free_read (d);
+      free_call (d);
       return;
     }
   d->record->state = WY_JOB_ENDED;
-  d->reading = true;
-  wy_job_record_write (d->jobs->env->rows, d->record, on_end_written, d);
+  d->pending = true;
+  wy_job_record_write (d->jobs->env->rows, d->record, on_ended_written, d);
 }
 
 static void
-go_on (struct read *d)
+dispatch (struct call_state *d)
 {
   switch (d->call.kind)
     {
@@ -303,10 +306,10 @@
       read_body (d);
       break;
     case WY_JOB_CALL_DELETE:
-      write_end (d);
+      write_ended (d);
       break;
     case WY_JOB_CALL_NONE:
-      refuse (d, 404, "no_call", 0);
+      reject (d, 404, "no_call", 0);
       break;
     }
 }
@@ -314,42 +317,42 @@
 static void
 on_record (void *ctx, const struct wy_rows_result *r)
 {
-  struct read *d = ctx;
+  struct call_state *d = ctx;
   struct wy_job_record *rec = NULL;
 
-  if (!resume (d))
+  if (!resume_call (d))
     return;
   if (!r->err && r->n)
     rec = wy_job_record_decode (&r->rows[0]);
   if (r->err)
     {
-      refuse (d, 503, "store_unread", r->err);
+      reject (d, 503, "store_unread", r->err);
       return;
     }
   if (!rec)
     {
-      refuse (d, 404, "no_job", 0);
+      reject (d, 404, "no_job", 0);
       return;
     }
   wy_job_record_free (d->record);
   d->record = rec;
-  wy_jobs_learn (d->jobs, wy_job_record_copy (rec));
-  go_on (d);
+  wy_jobs_update_record (d->jobs, wy_job_record_copy (rec));
+  dispatch (d);
 }
 
 static void
-read_record (struct read *d)
+read_record (struct call_state *d)
 {
   struct wy_rows_range range
       = { .table = WY_JOBS_TABLE, .partition = d->call.job };
 
-  d->reading = true;
+  d->pending = true;
   wy_rows_get (d->jobs->env->rows, &range, on_record, d);
 }
 
-/* The job that CALL of ORGANISATION is about, as last told; NULL: none.  A job
-   that was accepted before jobs belonged to organisations is found by its name
-   alone.  */
+/* Return the latest known record of the job that CALL names, or NULL, and set
+   CALL->job to its key.  A job that was accepted without an organisation is
+   found by its name alone.  */
 static const struct wy_job_record *
 find_for (struct wy_jobs *j, const char *organisation,
           struct wy_job_call *call)
@@ -366,47 +369,46 @@
   return known;
 }
 
-/* Answer the call CALL that R makes on a job for ORGANISATION, "" for none.
- */
+/* Handle CALL, a request R of ORGANISATION ("": none) about a job.  */
 void
 wy_jobs_handle_call (struct wy_jobs *j, struct wy_h1_request *r,
                      const char *organisation, const struct wy_job_call *call)
 {
   const struct wy_job_record *known;
-  struct read *d = g_new0 (struct read, 1);
+  struct call_state *d = g_new0 (struct call_state, 1);
 
   d->jobs = j;
   d->request = r;
   d->call = *call;
   known = find_for (j, organisation, &d->call);
-  d->asked_ms = wy_clock_mono_ms (j->env->clock);
-  d->until_ms = d->asked_ms + call->wait_ms;
+  d->received_ms = wy_clock_mono_ms (j->env->clock);
+  d->wait_until_ms = d->received_ms + call->wait_ms;
   uv_timer_init (j->env->loop, &d->timer);
   d->timer.data = d;
   wy_h1_on_hangup (r, on_hangup, d);
-  /* A job is never unknown again once it was known; one that is not known
-     may have been accepted a moment ago elsewhere.  */
+  /* A job that is in the store stays known.  One that is not known here may
+     just have been accepted by another entry.  */
   if (!known)
     {
       read_record (d);
       return;
     }
   d->record = wy_job_record_copy (known);
-  go_on (d);
+  dispatch (d);
 }
 
-/* New results of the job ID are listed.  */
+/* Wake the callers that wait for results of the job ID.  */
 void
 wy_jobs_wake_readers (struct wy_jobs *j, const char *id)
 {
-  for (GList *l = j->waiting.head; l; l = l->next)
+  for (GList *l = j->waiting_calls.head; l; l = l->next)
     {
-      struct read *d = l->data;
+      struct call_state *d = l->data;
 
       if (strcmp (d->call.job, id) != 0)
         continue;
-      d->woken = d->reading;
-      if (!d->reading)
+      d->results_listed = d->pending;
+      if (!d->pending)
         read_results (d);
     }
 }
--- a/src/jobs/checkpoint.c
+++ b/src/jobs/checkpoint.c
@@ -1,9 +1,9 @@
-/* Text of unfinished items, kept in the store.
+/* Checkpoints: partial text of unfinished items in the store.
 
-   Rows of each item, in the part of its model for a later job and in the part
-   of its job for who takes that over: written by the entry that runs the job,
-   read by the one that takes it over or accepts the next.  The rows are a help
-   only: lost ones cost the time to make the text again.  */
+   The rows of an item are in the partition of its job, for a takeover, and in
+   the partition of its model, for a later job.  The entry that runs the job
+   writes them; the one that takes it over or accepts the next job reads them.
+   Losing rows costs only the time to generate the text again.  */
 #include "jobs/checkpoint.h"
 
 #include <string.h>
@@ -13,33 +13,33 @@
 
 enum
 {
-  /* A transaction of the store takes 100 entries and 1 MB in base64.  */
+  /* A transaction of the store takes 100 operations and 1 MB in base64.  */
   BATCH_ROWS = 90,
   BATCH_BYTES = 500000,
-  /* Rows that nobody took in this time belong to a trainer that is gone.  */
-  KEEP_MS = 60000,
-  /* Less text than this is made again sooner than it is stored.  */
-  EVENTS_MIN = 5,
-  /* Events that an item has gained when they are stored for whoever may take
-     its job over.  */
-  KEPT_EVENTS = 3
+  /* Rows that no job has used after this time belong to a trainer that has
+     stopped.  */
+  MAX_AGE_MS = 60000,
+  /* Less text than this is faster to generate again than to store.  */
+  NEXT_JOB_EVENTS_MIN = 5,
+  /* New events of an item after which its text is stored for a takeover.  */
+  TAKEOVER_EVENTS_MIN = 3
 };
 
-struct wy_carry
+struct wy_checkpoint
 {
   struct wy_gate_env *env;
-  char *part;
-  GHashTable *texts; /* struct wy_kept_text by item */
-  GPtrArray *keys;   /* of rows to remove: taken, or too old */
+  char *partition;
+  GHashTable *texts; /* struct wy_saved_text by item */
+  GPtrArray *keys;   /* of rows to remove: used or too old */
   char *from;
-  void (*on_read) (void *ctx, struct wy_carry *c);
+  void (*on_read) (void *ctx, struct wy_checkpoint *c);
   void *ctx;
 };
 
-/* Text of a job that is being stored, in one or more calls.  */
-struct wy_carry_write
+/* A checkpoint being written, in one or more transactions.  */
+struct wy_checkpoint_write
 {
-  struct wy_owned *job; /* NULL: it was dropped meanwhile */
+  struct wy_active_job *job; /* NULL: the job was closed meanwhile */
   uint32_t calls;
   bool failed;
 };
@@ -47,43 +47,46 @@
 static void
 free_text (gpointer p)
 {
-  wy_kept_text_free (p);
+  wy_saved_text_free (p);
 }
 
 static bool
-has_whole_text (const struct wy_item *i)
+has_complete_text (const struct wy_item *i)
 {
-  return i->state == WY_ITEM_SCORING || i->state == WY_ITEM_ENDED;
+  return i->state == WY_ITEM_SCORING || i->state == WY_ITEM_UNLISTED;
 }
 
 static bool
-may_be_kept (const struct wy_item *i)
+may_be_saved (const struct wy_item *i)
 {
   return i->state != WY_ITEM_LISTED && !(i->result && i->result->given_up);
 }
 
-/* Whether the text of I has grown enough to be stored for who takes its job
-   over.  A whole one that is not listed is stored at once.  */
+/* Return whether the text of I has grown enough to be stored for a takeover.
+   A complete text that is not listed yet is stored at once.  */
 static bool
 has_grown (const struct wy_item *i)
 {
-  if (!may_be_kept (i))
+  if (!may_be_saved (i))
     return false;
-  return has_whole_text (i) ? !i->kept_whole
-                            : i->last_event - i->kept_event >= KEPT_EVENTS;
+  return has_complete_text (i)
+             ? !i->saved_complete
+             : i->last_event - i->saved_event >= TAKEOVER_EVENTS_MIN;
 }
 
-/* Whether the text of I is worth storing for a later job, which asks for newer
-   weights than this one did; with RUNNING only if it may have grown.  */
+/* Return whether the text of I is worth storing for a later job, which will
+   require newer weights than this one; with RUNNING, only if the text may have
+   grown.  */
 static bool
-is_worth_keeping (const struct wy_item *i, bool running)
+is_worth_saving (const struct wy_item *i, bool running)
 {
-  if (!may_be_kept (i) || (running && !i->run && !has_whole_text (i)))
+  if (!may_be_saved (i) || (running && !i->run && !has_complete_text (i)))
     return false;
   for (guint k = 0; k < i->versions->len; k++)
     if (g_array_index (i->versions, int64_t, k) <= i->job->spec->min_version)
       return false;
-  return i->last_event >= EVENTS_MIN && i->last_event > i->carried_event;
+  return i->last_event >= NEXT_JOB_EVENTS_MIN
+         && i->last_event > i->next_job_event;
 }
 
 static void
@@ -92,55 +95,57 @@
 }
 
 static void
-free_write (struct wy_carry_write *w)
+free_write (struct wy_checkpoint_write *w)
 {
   if (w->job)
-    w->job->keeping = NULL;
+    w->job->checkpoint_write = NULL;
   g_free (w);
 }
 
-/* What was sent is stored; or it may not be, and is sent again.  */
+/* Update I after its write: what was sent is stored, or is sent again if
+   FAILED.  */
 static void
-settle (struct wy_item *i, bool failed)
+update_saved (struct wy_item *i, bool failed)
 {
   if (!failed)
     {
-      i->kept_bytes = i->sent_bytes;
+      i->saved_bytes = i->sent_bytes;
       return;
     }
-  i->sent_bytes = i->kept_bytes;
-  i->kept_event = -1;
-  i->kept_whole = false;
+  i->sent_bytes = i->saved_bytes;
+  i->saved_event = -1;
+  i->saved_complete = false;
 }
 
 static void
-on_kept (void *ctx, const struct wy_rows_result *r)
+on_saved (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_carry_write *w = ctx;
+  struct wy_checkpoint_write *w = ctx;
 
   w->failed = w->failed || r->err;
   if (--w->calls)
     return;
   for (uint32_t k = 0; w->job && k < w->job->n_items; k++)
-    settle (&w->job->items[k], w->failed);
+    update_saved (&w->job->items[k], w->failed);
   free_write (w);
 }
 
-/* The job O is dropped: what is being stored for it ends without it.  */
+/* Detach O, which is being closed, from its checkpoint write.  */
 void
-wy_carry_detach (struct wy_owned *o)
+wy_checkpoint_detach (struct wy_active_job *o)
 {
-  if (o->keeping)
-    o->keeping->job = NULL;
-  o->keeping = NULL;
+  if (o->checkpoint_write)
+    o->checkpoint_write->job = NULL;
+  o->checkpoint_write = NULL;
 }
 
-/* Send the rows WRITES; W: the write that they belong to, or NULL.  */
+/* Write WRITES to PARTITION in as many transactions as needed.  W is the
+   checkpoint write they belong to, or NULL.  */
 static void
-send_rows (struct wy_owned *o, const char *part, GArray *writes,
-           struct wy_carry_write *w)
+send_rows (struct wy_active_job *o, const char *partition, GArray *writes,
+           struct wy_checkpoint_write *w)
 {
-  struct wy_rows_tx tx = { .partition = part };
+  struct wy_rows_tx tx = { .partition = partition };
 
   for (guint at = 0; at < writes->len; at += tx.n_writes)
     {
@@ -157,7 +162,7 @@
         }
       if (w)
         w->calls++;
-      wy_rows_tx (o->env->rows, &tx, w ? on_kept : on_written, w);
+      wy_rows_tx (o->env->rows, &tx, w ? on_saved : on_written, w);
     }
 }
 
@@ -168,33 +173,34 @@
       = { .versions = (const int64_t *)i->versions->data,
           .n_versions = i->versions->len,
           .last_event = i->last_event,
-          .whole = has_whole_text (i),
+          .complete = has_complete_text (i),
           .at_ms = wy_rows_store_now_ms (i->job->env->rows) };
 
   while (i->text_id == 0)
     i->text_id = wy_rng_u64 (&i->job->env->rng);
   s.text_id = i->text_id;
-  wy_text_rows_add (writes, WY_CARRY_TABLE, i->spec->id, i->text->str,
+  wy_text_rows_add (writes, WY_CHECKPOINT_TABLE, i->spec->id, i->text->str,
                     from_bytes, i->text->len, &s, i->job->row_bytes);
 }
 
 static void
-log_kept (const struct wy_owned *o, uint32_t items, const char *purpose)
+log_saved (const struct wy_active_job *o, uint32_t items, const char *purpose)
 {
   if (items)
     wy_json_log ("job.text_kept", "id=%s items=%u for=%s", o->record->id,
                  items, purpose);
 }
 
-/* Store what the texts of O have gained for who takes it over.  One write is
-   under way at a time, since each goes on where the one before it ended.  */
+/* Store the text that the items of O have gained, for a takeover.  Only one
+   such write is in progress at a time, since each starts where the previous
+   one ended.  */
 void
-wy_carry_keep (struct wy_owned *o)
+wy_checkpoint_write_for_takeover (struct wy_active_job *o)
 {
   GArray *writes;
   uint32_t n = 0;
 
-  if (o->keeping)
+  if (o->checkpoint_write)
     return;
   writes = g_array_new (FALSE, FALSE, sizeof (struct wy_row_write));
   for (uint32_t k = 0; k < o->n_items; k++)
@@ -203,27 +209,27 @@
 
       if (!has_grown (i))
         continue;
-      add_text (i, writes, i->kept_bytes);
+      add_text (i, writes, i->saved_bytes);
       i->sent_bytes = i->text->len;
-      i->kept_event = i->last_event;
-      i->kept_whole = has_whole_text (i);
+      i->saved_event = i->last_event;
+      i->saved_complete = has_complete_text (i);
       n++;
     }
   if (writes->len)
     {
-      o->keeping = g_new0 (struct wy_carry_write, 1);
-      o->keeping->job = o;
-      send_rows (o, o->record->id, writes, o->keeping);
+      o->checkpoint_write = g_new0 (struct wy_checkpoint_write, 1);
+      o->checkpoint_write->job = o;
+      send_rows (o, o->record->id, writes, o->checkpoint_write);
     }
   wy_text_rows_clear (writes);
   g_array_free (writes, TRUE);
-  log_kept (o, n, "takeover");
+  log_saved (o, n, "takeover");
 }
 
-/* Store the text of O's unfinished items for a later job; with RUNNING only
-   what goes on still.  */
+/* Store the text of the unfinished items of O for a later job; with RUNNING,
+   only that of items that are still running.  */
 void
-wy_carry_save (struct wy_owned *o, bool running)
+wy_checkpoint_write_for_next_job (struct wy_active_job *o, bool running)
 {
   GArray *writes = g_array_new (FALSE, FALSE, sizeof (struct wy_row_write));
   uint32_t n = 0;
@@ -232,37 +238,37 @@
     {
       struct wy_item *i = &o->items[k];
 
-      if (!is_worth_keeping (i, running))
+      if (!is_worth_saving (i, running))
         continue;
       add_text (i, writes, 0);
-      i->carried_event = i->last_event;
+      i->next_job_event = i->last_event;
       n++;
     }
   send_rows (o, o->spec->model, writes, NULL);
   wy_text_rows_clear (writes);
   g_array_free (writes, TRUE);
-  log_kept (o, n, "later_job");
+  log_saved (o, n, "later_job");
 }
 
 static bool
 same_item (const struct wy_row *a, const struct wy_row *b)
 {
-  size_t n = wy_text_item_size (a->key);
+  size_t n = wy_text_key_item_bytes (a->key);
 
-  return n == wy_text_item_size (b->key) && !strncmp (a->key, b->key, n);
+  return n == wy_text_key_item_bytes (b->key) && !strncmp (a->key, b->key, n);
 }
 
-/* Take in the items whose rows are all in R; returns the key of the first row
-   that is not, or NULL.  */
+/* Add the items whose rows are all in R to C.  Return the key of the first row
+   that has to be read again, or NULL.  */
 static const char *
-join (struct wy_carry *c, const struct wy_rows_result *r)
+add_texts (struct wy_checkpoint *c, const struct wy_rows_result *r)
 {
   size_t i = 0;
 
   while (i < r->n)
     {
       size_t first = i;
-      struct wy_kept_text *t;
+      struct wy_saved_text *t;
 
       while (i < r->n && same_item (&r->rows[first], &r->rows[i]))
         i++;
@@ -270,24 +276,24 @@
         return r->rows[first].key;
       t = wy_text_rows_join (&r->rows[first], i - first);
       for (size_t k = first; k < i; k++)
-        g_ptr_array_add (t && r->store_now_ms - t->at_ms <= KEEP_MS ? t->keys
-                                                                    : c->keys,
-                         g_strdup (r->rows[k].key));
+        g_ptr_array_add (
+            t && r->store_now_ms - t->at_ms <= MAX_AGE_MS ? t->keys : c->keys,
+            g_strdup (r->rows[k].key));
       if (t)
         g_hash_table_replace (c->texts, t->item, t);
     }
   return NULL;
 }
 
-static void read_page (struct wy_carry *c);
+static void read_page (struct wy_checkpoint *c);
 
 static void
 on_page (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_carry *c = ctx;
+  struct wy_checkpoint *c = ctx;
   const char *rest;
 
-  rest = r->err ? NULL : join (c, r);
+  rest = r->err ? NULL : add_texts (c, r);
   g_free (c->from);
   c->from = g_strdup (rest);
   if (c->from)
@@ -297,24 +303,26 @@
 }
 
 static void
-read_page (struct wy_carry *c)
+read_page (struct wy_checkpoint *c)
 {
-  struct wy_rows_range range
-      = { .table = WY_CARRY_TABLE, .partition = c->part, .from = c->from };
+  struct wy_rows_range range = { .table = WY_CHECKPOINT_TABLE,
+                                 .partition = c->partition,
+                                 .from = c->from };
 
   wy_rows_get (c->env->rows, &range, on_page, c);
 }
 
-/* Read what is kept in PART: for a model's next job under its name, for who
-   takes a job over under the job's.  ON_READ takes the value over.  */
+/* Read the checkpoints in PARTITION: the model's name for a new job, the job's
+   id for a takeover.  ON_READ owns the struct it gets.  */
 void
-wy_carry_read (struct wy_gate_env *env, const char *part,
-               void (*on_read) (void *ctx, struct wy_carry *c), void *ctx)
+wy_checkpoint_read (struct wy_gate_env *env, const char *partition,
+                    void (*on_read) (void *ctx, struct wy_checkpoint *c),
+                    void *ctx)
 {
-  struct wy_carry *c = g_new0 (struct wy_carry, 1);
+  struct wy_checkpoint *c = g_new0 (struct wy_checkpoint, 1);
 
   c->env = env;
-  c->part = g_strdup (part);
+  c->partition = g_strdup (partition);
   c->texts = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_text);
   c->keys = g_ptr_array_new_with_free_func (g_free);
   c->on_read = on_read;
@@ -324,19 +332,19 @@
 
 /* Free C, which may be NULL.  */
 void
-wy_carry_free (struct wy_carry *c)
+wy_checkpoint_free (struct wy_checkpoint *c)
 {
   if (!c)
     return;
   g_hash_table_destroy (c->texts);
   g_ptr_array_free (c->keys, TRUE);
-  g_free (c->part);
+  g_free (c->partition);
   g_free (c->from);
   g_free (c);
 }
 
 static bool
-fits (const struct wy_kept_text *t, const struct wy_job_spec *spec)
+is_usable (const struct wy_saved_text *t, const struct wy_job_spec *spec)
 {
   if (t->versions->len == 0)
     return false;
@@ -346,36 +354,36 @@
   return true;
 }
 
-/* Go on with I from T; HERE tells that T lies in the part of I's job, where
-   the rest of it will follow.  */
+/* Restore I from T.  SAME_JOB tells that T is in the partition of I's own job,
+   where its further text will be appended.  */
 static void
-take (struct wy_item *i, const struct wy_kept_text *t, bool here)
+resume_item (struct wy_item *i, const struct wy_saved_text *t, bool same_job)
 {
   g_string_assign (i->text, t->text->str);
   g_array_set_size (i->versions, 0);
   g_array_append_vals (i->versions, t->versions->data, t->versions->len);
   i->last_event = t->last_event;
   i->text_id = t->text_id;
-  if (here)
+  if (same_job)
     {
-      i->kept_bytes = t->text->len;
+      i->saved_bytes = t->text->len;
       i->sent_bytes = t->text->len;
-      i->kept_event = t->last_event;
-      i->kept_whole = t->whole;
+      i->saved_event = t->last_event;
+      i->saved_complete = t->complete;
     }
-  if (t->whole)
-    wy_item_text_whole (i);
+  if (t->complete)
+    wy_item_text_complete (i);
 }
 
 static void
-remove_rows (struct wy_carry *c)
+remove_rows (struct wy_checkpoint *c)
 {
   struct wy_row_ref refs[BATCH_ROWS];
-  struct wy_rows_tx tx = { .partition = c->part, .removals = refs };
+  struct wy_rows_tx tx = { .partition = c->partition, .removals = refs };
 
   for (guint k = 0; k < c->keys->len && k < BATCH_ROWS; k++)
     {
-      refs[k].table = WY_CARRY_TABLE;
+      refs[k].table = WY_CHECKPOINT_TABLE;
       refs[k].key = g_ptr_array_index (c->keys, k);
       tx.n_removals++;
     }
@@ -383,28 +391,28 @@
     wy_rows_tx (c->env->rows, &tx, on_written, NULL);
 }
 
-/* Give the items of O the text that C has of them.  Returns their number. Rows
-   of the job itself stay until it is removed.  */
+/* Restore the items of O from C and return how many were restored.  The rows
+   of the job's own partition stay until the job is removed.  */
 uint32_t
-wy_carry_apply (struct wy_carry *c, struct wy_owned *o)
+wy_checkpoint_apply (struct wy_checkpoint *c, struct wy_active_job *o)
 {
-  bool here = !strcmp (c->part, o->record->id);
+  bool same_job = !strcmp (c->partition, o->record->id);
   uint32_t n = 0;
 
   for (uint32_t k = 0; k < o->n_items; k++)
     {
       struct wy_item *i = &o->items[k];
-      const struct wy_kept_text *t
+      const struct wy_saved_text *t
           = g_hash_table_lookup (c->texts, i->spec->id);
 
-      if (!t || i->state != WY_ITEM_WAITING || !fits (t, o->spec))
+      if (!t || i->state != WY_ITEM_WAITING || !is_usable (t, o->spec))
         continue;
-      take (i, t, here);
+      resume_item (i, t, same_job);
       for (guint r = 0; r < t->keys->len; r++)
         g_ptr_array_add (c->keys, g_strdup (g_ptr_array_index (t->keys, r)));
       n++;
     }
-  if (!here)
+  if (!same_job)
     remove_rows (c);
   return n;
 }
--- a/src/jobs/expire.c
+++ b/src/jobs/expire.c
@@ -1,9 +1,9 @@
-/* Removes jobs whose results nobody may ask for any more: the store keeps
-   everything until it is removed, and refuses writes when it is full.
+/* Removes jobs whose results may no longer be requested.  The store never
+   removes anything by itself and rejects writes when it is full.
 
-   One job at a time, by the entry whose turn it is for that job: its results
-   page by page, its text, its body, and its row last, so that a removal that
-   stops half way is found again.  */
+   One job at a time, by the entry that ranks first for it: its results page by
+   page, its checkpoints, its body, and its row last, so that an interrupted
+   removal is found and continued.  */
 #include "jobs/state.h"
 
 #include <stdio.h>
@@ -14,15 +14,15 @@
 
 enum
 {
-  EVERY_MS = 2000,
-  /* Rows in one transaction; the store takes 100 entries.  */
+  INTERVAL_MS = 2000,
+  /* Rows in one transaction; the store takes 100 operations.  */
   PAGE_ROWS = 90,
-  /* Beyond the time that results are kept for: callers' clocks differ.  */
+  /* Added to the retention time, since the clocks of callers differ.  */
   SLACK_MS = 30000,
   NAME_SIZE_BYTES = 320
 };
 
-struct cleaning
+struct expiry
 {
   struct wy_jobs *jobs;
   struct wy_job_record *record;
@@ -32,25 +32,25 @@
 };
 
 static void
-end (struct cleaning *c, const char *outcome)
+end_expiry (struct expiry *c, const char *outcome)
 {
   wy_json_log ("job.removed", "id=%s outcome=%s rows=%u pieces=%u",
                c->record->id, outcome, c->rows, c->piece);
-  c->jobs->cleaning = false;
+  c->jobs->expiring = false;
   wy_job_record_free (c->record);
   g_free (c);
 }
 
-static void read_rows (struct cleaning *c);
+static void read_rows (struct expiry *c);
 
 static void
 on_row_removed (void *ctx, const struct wy_rows_result *r)
 {
-  end (ctx, r->err ? "row_stays" : "gone");
+  end_expiry (ctx, r->err ? "row_stays" : "gone");
 }
 
 static void
-remove_row (struct cleaning *c)
+remove_row (struct expiry *c)
 {
   struct wy_row_ref ref
       = { WY_JOBS_TABLE, WY_JOB_ROW_KEY, c->record->row_version };
@@ -63,24 +63,24 @@
   wy_rows_tx (c->jobs->env->rows, &tx, on_row_removed, c);
 }
 
-static void drop_piece (struct cleaning *c);
+static void delete_piece (struct expiry *c);
 
 static void
-on_piece_dropped (void *ctx, const struct wy_rows_result *r)
+on_piece_deleted (void *ctx, const struct wy_rows_result *r)
 {
-  struct cleaning *c = ctx;
+  struct expiry *c = ctx;
 
   if (r->err && r->err != WY_ROWS_ENOTFOUND)
     {
-      end (c, "body_stays");
+      end_expiry (c, "body_stays");
       return;
     }
   c->piece++;
-  drop_piece (c);
+  delete_piece (c);
 }
 
 static void
-drop_piece (struct cleaning *c)
+delete_piece (struct expiry *c)
 {
   char name[NAME_SIZE_BYTES];
 
@@ -90,14 +90,14 @@
       return;
     }
   snprintf (name, sizeof name, "%s.%u", c->record->object, c->piece);
-  wy_rows_delete_object (c->jobs->env->rows, name, on_piece_dropped, c);
+  wy_rows_delete_object (c->jobs->env->rows, name, on_piece_deleted, c);
 }
 
 static void
 on_rows_removed (void *ctx, const struct wy_rows_result *r)
 {
   if (r->err)
-    end (ctx, "results_stay");
+    end_expiry (ctx, "results_stay");
   else
     read_rows (ctx);
 }
@@ -105,13 +105,13 @@
 static void
 on_rows (void *ctx, const struct wy_rows_result *r)
 {
-  struct cleaning *c = ctx;
+  struct expiry *c = ctx;
   struct wy_row_ref refs[PAGE_ROWS];
   struct wy_rows_tx tx = { .partition = c->record->id, .removals = refs };
 
   if (r->err)
     {
-      end (c, "unread");
+      end_expiry (c, "unread");
       return;
     }
   for (size_t i = 0; i < r->n && i < PAGE_ROWS; i++)
@@ -121,15 +121,15 @@
     wy_rows_tx (c->jobs->env->rows, &tx, on_rows_removed, c);
   else if (!strcmp (c->table, WY_RESULTS_TABLE))
     {
-      c->table = WY_CARRY_TABLE;
+      c->table = WY_CHECKPOINT_TABLE;
       read_rows (c);
     }
   else
-    drop_piece (c);
+    delete_piece (c);
 }
 
 static void
-read_rows (struct cleaning *c)
+read_rows (struct expiry *c)
 {
   struct wy_rows_range range
       = { .table = c->table, .partition = c->record->id, .limit = PAGE_ROWS };
@@ -138,36 +138,38 @@
 }
 
 static bool
-is_old (struct wy_jobs *j, const struct wy_job_record *r, int64_t store_ms)
+is_expired (struct wy_jobs *j, const struct wy_job_record *r, int64_t store_ms)
 {
-  return r->accepted_ms && store_ms - r->accepted_ms > j->keep_ms + SLACK_MS
+  return r->accepted_ms
+         && store_ms - r->accepted_ms > j->result_retention_ms + SLACK_MS
          && r->state != WY_JOB_OPEN
          && wy_members_rank (j->members, r->id) == 0;
 }
 
-/* Begin to remove one old job, if there is one and none is being removed.  */
+/* Start to remove one expired job, if there is one and no removal is in
+   progress.  */
 void
-wy_jobs_clean (struct wy_jobs *j)
+wy_jobs_expire (struct wy_jobs *j)
 {
   int64_t now_ms = wy_clock_mono_ms (j->env->clock);
   int64_t store_ms = wy_rows_store_now_ms (j->env->rows);
-  struct cleaning *c;
+  struct expiry *c;
   GHashTableIter it;
   gpointer p;
 
-  if (j->cleaning || !store_ms || now_ms < j->clean_due_ms)
+  if (j->expiring || !store_ms || now_ms < j->expire_due_ms)
     return;
-  j->clean_due_ms = now_ms + EVERY_MS;
+  j->expire_due_ms = now_ms + INTERVAL_MS;
   g_hash_table_iter_init (&it, j->records);
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
-      if (!is_old (j, p, store_ms))
+      if (!is_expired (j, p, store_ms))
         continue;
-      c = g_new0 (struct cleaning, 1);
+      c = g_new0 (struct expiry, 1);
       c->jobs = j;
       c->record = wy_job_record_copy (p);
       c->table = WY_RESULTS_TABLE;
-      j->cleaning = true;
+      j->expiring = true;
       read_rows (c);
       return;
     }
--- a/src/jobs/finish.c
+++ b/src/jobs/finish.c
@@ -1,20 +1,19 @@
-/* Marks jobs done in the store when all their results are listed.
+/* Marks jobs as done in the store when all their results are listed.
 
-   The row then saves the next start, and this entry itself, from taking up a
-   job with nothing left to do: its body, some hundred KB, and all its results
-   would be read for it.  Nothing else depends on it, so a write that fails is
-   made again at leisure.  */
+   Without the mark, this entry or its next start would load a job with nothing
+   left to do: its body of some hundred KB and all its results.  Nothing else
+   depends on the mark, so a failed write is simply retried later.  */
 #include "jobs/state.h"
 
 #include <string.h>
 
 #include "trace/json_log.h"
 
-/* A job that was run here to its end.  */
+/* A job that this entry has completed.  */
 struct finished
 {
   struct wy_jobs *jobs;
-  char *id; /* the key in jobs->finished */
+  char *id; /* also the key in jobs->finished */
   bool writing;
 };
 
@@ -42,7 +41,7 @@
   done = wy_job_record_copy (known);
   done->state = WY_JOB_DONE;
   done->row_version = r->version;
-  wy_jobs_learn (f->jobs, done);
+  wy_jobs_update_record (f->jobs, done);
 }
 
 static void
@@ -56,9 +55,9 @@
   wy_job_record_free (r);
 }
 
-/* The job of R, run here, has all its results listed.  */
+/* Mark the job of R, which runs here, as done: all its results are listed.  */
 void
-wy_jobs_finish (struct wy_jobs *j, const struct wy_job_record *r)
+wy_jobs_mark_done (struct wy_jobs *j, const struct wy_job_record *r)
 {
   struct finished *f = g_new0 (struct finished, 1);
 
@@ -68,9 +67,9 @@
   write_done (f, r);
 }
 
-/* Mark the finished jobs that the store still calls open.  */
+/* Retry to mark the completed jobs that are still open in the store.  */
 void
-wy_jobs_finish_again (struct wy_jobs *j)
+wy_jobs_retry_mark_done (struct wy_jobs *j)
 {
   GHashTableIter it;
   gpointer p;
@@ -86,7 +85,7 @@
     }
 }
 
-/* The job ID is no longer in the store.  */
+/* Forget the job ID, which is no longer in the store.  */
 void
 wy_jobs_forget_finished (struct wy_jobs *j, const char *id)
 {
--- a/src/jobs/handoff.c
+++ b/src/jobs/handoff.c
@@ -1,8 +1,8 @@
-/* Hands a job that has just been accepted to the entry that is to run it.
+/* Hands a job that has just been accepted off to the entry that is to run it.
 
-   The row in the store already names that entry; this only saves it the time
-   to notice and to fetch the body.  If it does not answer, the job is taken
-   over here, as from an entry that is gone.  */
+   The row in the store already names that entry; the handoff only saves it the
+   time to notice the row and fetch the body.  If it doesn't respond, the job
+   is taken over here, as from a failed entry.  */
 #include "jobs/state.h"
 
 #include <stdio.h>
@@ -13,16 +13,16 @@
 #include "platform/job_wire.h"
 #include "trace/json_log.h"
 
-#define HAND_ON_TARGET "/jobs/run"
+#define HANDOFF_TARGET "/jobs/run"
 
 enum
 {
-  /* A peer answers in some ms; the step waits meanwhile.  */
+  /* A peer responds within some ms; the training step waits meanwhile.  */
   TIMEOUT_MS = 400,
-  STATUS_TAKEN = 204
+  STATUS_ACCEPTED = 204
 };
 
-struct hand_on
+struct handoff
 {
   struct wy_jobs *jobs;
   struct wy_job_record *record;
@@ -38,14 +38,14 @@
 }
 
 static void
-end (struct hand_on *h, const char *outcome)
+end (struct handoff *h, const char *outcome)
 {
-  bool taken = h->status == STATUS_TAKEN;
+  bool accepted = h->status == STATUS_ACCEPTED;
   const struct wy_job_record *known = wy_jobs_find (h->jobs, h->record->id);
 
   wy_json_log ("job.handed_on", "id=%s to=%s outcome=%s status=%d",
                h->record->id, h->record->holder, outcome, h->status);
-  if (!taken && known && known->state == WY_JOB_OPEN
+  if (!accepted && known && known->state == WY_JOB_OPEN
       && known->row_version == h->record->row_version)
     wy_jobs_take_over (h->jobs, known);
   wy_job_record_free (h->record);
@@ -55,7 +55,7 @@
 static void
 on_head (void *ctx, const struct wy_h1_response *a)
 {
-  ((struct hand_on *)ctx)->status = a->status;
+  ((struct handoff *)ctx)->status = a->status;
 }
 
 static void
@@ -67,20 +67,21 @@
 static void
 on_timeout (uv_timer_t *t)
 {
-  struct hand_on *h = t->data;
+  struct handoff *h = t->data;
 
   wy_h1_call_cancel (h->call);
   h->status = 0;
   end (h, "timeout");
 }
 
-/* Send the job of R with its BODY of N bytes to the entry at ADDRESS, which
-   R names as its holder.  */
+/* Send the job of R with its BODY of N bytes to the entry at ADDRESS, which R
+   names as the holder.  */
 void
-wy_jobs_hand_on (struct wy_jobs *j, const struct wy_job_record *r,
-                 const struct sockaddr_in *address, const char *body, size_t n)
+wy_jobs_hand_off (struct wy_jobs *j, const struct wy_job_record *r,
+                  const struct sockaddr_in *address, const char *body,
+                  size_t n)
 {
-  struct hand_on *h = g_new0 (struct hand_on, 1);
+  struct handoff *h = g_new0 (struct handoff, 1);
   char *record = wy_job_record_encode (r);
   char version[32];
   struct wy_h1_header fields[] = { { "Host", "entry" },
@@ -89,7 +90,7 @@
                                    { "Job-Record", record } };
   struct wy_h1_call_options o = { .address = *address,
                                   .method = "POST",
-                                  .target = HAND_ON_TARGET,
+                                  .target = HANDOFF_TARGET,
                                   .fields = fields,
                                   .n_fields = G_N_ELEMENTS (fields),
                                   .body = body,
@@ -108,7 +109,7 @@
   g_free (record);
 }
 
-struct start
+struct handoff_start
 {
   struct wy_jobs *jobs;
   struct wy_job_record *record;
@@ -116,26 +117,26 @@
 };
 
 static void
-on_carry (void *ctx, struct wy_carry *c)
+on_checkpoint (void *ctx, struct wy_checkpoint *c)
 {
-  struct start *s = ctx;
+  struct handoff_start *s = ctx;
   struct wy_jobs *j = s->jobs;
   const struct wy_job_record *known = wy_jobs_find (j, s->record->id);
 
-  g_hash_table_remove (j->taking, s->record->id);
+  g_hash_table_remove (j->starting, s->record->id);
   if (known && known->row_version == s->record->row_version
-      && !g_hash_table_contains (j->owned, s->record->id))
+      && !g_hash_table_contains (j->active, s->record->id))
     {
-      struct wy_owned *o = wy_jobs_own (j, s->record, s->spec);
+      struct wy_active_job *o = wy_jobs_activate (j, s->record, s->spec);
 
       s->spec = NULL;
       wy_json_log ("job.running", "id=%s items=%u text_taken=%u",
-                   s->record->id, o->n_items, wy_carry_apply (c, o));
-      wy_owned_pump (o);
+                   s->record->id, o->n_items, wy_checkpoint_apply (c, o));
+      wy_active_job_start_items (o);
     }
   wy_job_spec_free (s->spec);
   wy_job_record_free (s->record);
-  wy_carry_free (c);
+  wy_checkpoint_free (c);
   g_free (s);
 }
 
@@ -143,14 +144,14 @@
 start_job (struct wy_jobs *j, struct wy_job_record *r,
            struct wy_job_spec *spec)
 {
-  struct start *s = g_new0 (struct start, 1);
+  struct handoff_start *s = g_new0 (struct handoff_start, 1);
 
   s->jobs = j;
   s->record = r;
   s->spec = spec;
-  wy_jobs_learn (j, wy_job_record_copy (r));
-  g_hash_table_add (j->taking, g_strdup (r->id));
-  wy_carry_read (j->env, spec->model, on_carry, s);
+  wy_jobs_update_record (j, wy_job_record_copy (r));
+  g_hash_table_add (j->starting, g_strdup (r->id));
+  wy_checkpoint_read (j->env, spec->model, on_checkpoint, s);
 }
 
 static struct wy_job_record *
@@ -171,7 +172,8 @@
   return wy_job_record_decode (&row);
 }
 
-/* Take a job that another entry hands on.  False: R is no such call.  */
+/* Accept a job that another entry hands off.  Return false if R is no handoff
+   request.  */
 bool
 wy_jobs_accept_handoff (struct wy_jobs *j, struct wy_h1_request *r)
 {
@@ -181,12 +183,12 @@
   const char *body;
   size_t n;
 
-  if (strcmp (wy_h1_target (r), HAND_ON_TARGET) != 0)
+  if (strcmp (wy_h1_target (r), HANDOFF_TARGET) != 0)
     return false;
   record = read_record (r);
   body = wy_h1_body (r, &n);
   if (record && !strcmp (record->holder, j->env->holder) && !j->env->stopping
-      && wy_jobs_have_room (j, n))
+      && wy_jobs_has_memory_for (j, n))
     spec = wy_job_decode (body, n, &why);
   if (!spec)
     {
@@ -194,9 +196,9 @@
       wy_respond_status (r, 409, "not_holder", 0);
       return true;
     }
-  wy_h1_respond (r, STATUS_TAKEN, NULL, 0, "", 0);
-  if (g_hash_table_contains (j->owned, record->id)
-      || g_hash_table_contains (j->taking, record->id))
+  wy_h1_respond (r, STATUS_ACCEPTED, NULL, 0, "", 0);
+  if (g_hash_table_contains (j->active, record->id)
+      || g_hash_table_contains (j->starting, record->id))
     {
       wy_job_spec_free (spec);
       wy_job_record_free (record);
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,5 +1,5 @@
-/* All jobs as an entry sees them: their rows, the ones it runs, and the calls
-   on them.  */
+/* The jobs in the store, the ones that this entry runs, and the requests about
+   them.  */
 #ifndef WY_JOBS_JOBS_H
 #define WY_JOBS_JOBS_H
 
@@ -18,37 +18,37 @@
   struct wy_gate_env *env;
   struct wy_members *members;
   uint64_t seed;
-  uint32_t max_object_bytes;   /* largest object that the store takes */
-  uint32_t max_row_bytes;      /* largest row */
-  int64_t result_retention_ms; /* results, from their job's submission */
-  uint64_t memory_limit_bytes; /* for jobs at a time; 0: no limit */
+  uint32_t max_object_bytes;   /* that the store accepts */
+  uint32_t max_row_bytes;      /* that the store accepts */
+  int64_t result_retention_ms; /* from the job's submission */
+  uint64_t memory_limit_bytes; /* for all jobs together; 0: no limit */
 };
 
 struct wy_jobs *wy_jobs_new (const struct wy_jobs_options *o);
 void wy_jobs_free (struct wy_jobs *j);
 bool wy_jobs_is_synced (const struct wy_jobs *j);
 
-/* What is run here and not done.  */
+/* Unfinished work of the jobs that run here.  */
 struct wy_jobs_backlog
 {
   int64_t oldest_ms; /* age of the oldest job; 0: none */
   uint32_t waiting;  /* items without a run */
   uint32_t scoring;  /* items whose text waits for its score */
-  uint32_t unlisted; /* items with a result that is not listed */
+  uint32_t unlisted; /* items with a result that is not listed yet */
 };
 
 void wy_jobs_backlog (const struct wy_jobs *j, struct wy_jobs_backlog *out);
 
-/* One job as it is known.  */
+/* A job, for the status page.  */
 struct wy_job_view
 {
   const char *id;
   const char *state;
   const char *holder;
-  bool runs_here; /* it is run by this entry */
+  bool runs_here; /* this entry runs it */
   uint32_t listed;
   uint32_t total_items;
-  int64_t age_ms; /* since it runs here; -1: elsewhere */
+  int64_t age_ms; /* since it started here; -1: runs elsewhere */
 };
 
 void wy_jobs_each (const struct wy_jobs *j, bool here,
--- a/src/jobs/record.c
+++ b/src/jobs/record.c
@@ -1,4 +1,4 @@
-/* The row of a job.  */
+/* The row of a job in the store.  */
 #include "jobs/record.h"
 
 #include <stdlib.h>
@@ -11,22 +11,23 @@
 
 static const char *const state_names[] = { "open", "ended", "done" };
 
-/* The word for STATE in rows and logs.  */
+/* Return the name of STATE in rows and logs.  */
 const char *
 wy_job_state_name (enum wy_job_state state)
 {
   return state_names[state];
 }
 
-/* The key in the store of the job that callers of ORGANISATION know as NAME.
-   Names are the callers' own: two organisations may choose the same, and
-   neither can reach the other's job by it.  NAME holds no slash.  */
+/* Write to OUT the key in the store of the job that callers of ORGANISATION
+   know as NAME, which contains no slash.  The organisation is part of the key,
+   so two organisations may use the same name without reaching each other's
+   job.  */
 void
 wy_job_key (const char *organisation, const char *name, char *out, size_t size)
 {
   char *digest = NULL;
 
-  /* A part of the store has a limited length.  */
+  /* The name of a partition of the store has a limited length.  */
   if (strlen (organisation) + 1 + WY_JOB_NAME_SIZE_BYTES > size)
     {
       digest = g_compute_checksum_for_string (G_CHECKSUM_SHA256, organisation,
@@ -38,14 +39,14 @@
   g_free (digest);
 }
 
-/* The organisation that R runs for; NULL: none.  */
+/* Return the organisation that R runs for, or NULL.  */
 const char *
 wy_job_organisation (const struct wy_job_record *r)
 {
   return r->organisation && *r->organisation ? r->organisation : NULL;
 }
 
-/* A copy of R.  */
+/* Return a copy of R.  */
 struct wy_job_record *
 wy_job_record_copy (const struct wy_job_record *r)
 {
@@ -75,7 +76,7 @@
   g_free (r);
 }
 
-/* R as the store keeps it; the caller frees it.  */
+/* Return R as JSON for the store; the caller frees it.  */
 char *
 wy_job_record_encode (const struct wy_job_record *r)
 {
@@ -101,7 +102,7 @@
   return g_strdup (v ? v : "");
 }
 
-/* Read the record of a job from its row; NULL: it can't be read.  */
+/* Parse the record of a job from its row; NULL if it is malformed.  */
 struct wy_job_record *
 wy_job_record_decode (const struct wy_row *row)
 {
@@ -132,7 +133,8 @@
   return r;
 }
 
-/* Write R on the condition that its row still has the version in R.  */
+/* Write R on the condition that its row still has the version in R (0: no
+   row).  */
 void
 wy_job_record_write (struct wy_rows *rows, const struct wy_job_record *r,
                      wy_rows_cb *cb, void *ctx)
--- a/src/jobs/record.h
+++ b/src/jobs/record.h
@@ -1,5 +1,5 @@
-/* What the store keeps of a job beside its items and results: one row, whose
-   version is the condition of every write for the job.  */
+/* The row of a job in the store.  Its version is a condition of each later
+   write of the row or of results.  */
 #ifndef WY_JOBS_RECORD_H
 #define WY_JOBS_RECORD_H
 
@@ -22,15 +22,15 @@
 
 struct wy_job_record
 {
-  char *id;           /* its key in the store: wy_job_key */
-  char *organisation; /* that it runs for; "": none */
+  char *id;           /* key in the store, see wy_job_key */
+  char *organisation; /* that the job runs for; "": none */
   char *holder;       /* entry that runs it, "NODE/INCARNATION" */
   enum wy_job_state state;
-  char *host; /* these two find its route */
+  char *host; /* host and path determine its route */
   char *path;
-  char *object;        /* name of the submitted body in the store */
-  uint32_t pieces;     /* that the body is cut into */
-  uint64_t total;      /* items */
+  char *object;        /* name prefix of the body's objects in the store */
+  uint32_t pieces;     /* of the body, one object each */
+  uint64_t total;      /* number of items */
   int64_t accepted_ms; /* by the store's clock */
   int64_t row_version;
 };
--- a/src/jobs/result.c
+++ b/src/jobs/result.c
@@ -1,11 +1,11 @@
-/* Result of one item.  */
+/* The result of an item.  */
 #include "jobs/result.h"
 
 #include <stdlib.h>
 
 #include <jansson.h>
 
-/* An empty result of ITEM.  */
+/* Return an empty result of ITEM.  */
 struct wy_result *
 wy_result_new (const char *item)
 {
@@ -29,7 +29,7 @@
   g_free (r);
 }
 
-/* Part of the text was made under VERSION.  */
+/* Add VERSION to the weights that generated the text.  */
 void
 wy_result_add_version (struct wy_result *r, int64_t version)
 {
@@ -39,7 +39,7 @@
   g_array_append_val (r->versions, version);
 }
 
-/* R as the store keeps it; the caller frees it.  */
+/* Return R as JSON for the store; the caller frees it.  */
 char *
 wy_result_encode (const struct wy_result *r)
 {
@@ -63,7 +63,7 @@
   return out;
 }
 
-/* Read a result back; NULL: it can't be read.  */
+/* Parse a result; NULL if it is malformed.  */
 struct wy_result *
 wy_result_decode (const void *p, size_t n)
 {
--- a/src/jobs/result.h
+++ b/src/jobs/result.h
@@ -1,4 +1,4 @@
-/* Result of one item, as it is kept in the store.  */
+/* The result of an item, as stored.  */
 #ifndef WY_JOBS_RESULT_H
 #define WY_JOBS_RESULT_H
 
@@ -13,8 +13,9 @@
   char *item;
   bool given_up;
   char *text;
-  char *score;      /* mark of the answer that scored the text; NULL: none */
-  GArray *versions; /* int64_t, of the weights that made the text, rising */
+  char *score;      /* Response-Stamp of the score response; NULL: none */
+  GArray *versions; /* int64_t, of the weights that generated the text, by
+                       first use */
 };
 
 struct wy_result *wy_result_new (const char *item);
--- a/src/jobs/result_list.c
+++ b/src/jobs/result_list.c
@@ -1,11 +1,11 @@
-/* Lists results: writes them to the store's log of the job, at positions that
-   never change.
-
-   Each write carries the job's row at the version under which this entry
-   holds the job, so that an entry that has been taken for gone writes nothing
-   more, and the absence of a row at the first position it writes to, so that
-   a write whose answer was lost can be sent again: whichever of the two is
-   performed first, the other does nothing.  */
+/* The result list of a job: results in the store at consecutive positions,
+   which never change.  A result is listed once it is stored there.
+
+   Each write has two conditions.  The job's row must have the version that
+   this entry knows, so an entry that lost the job to a takeover can't write
+   any more.  The first position written must be empty, so a write whose
+   response was lost can be sent again: whichever of the two takes effect
+   first, the other one fails.  */
 #include "jobs/active_job.h"
 
 #include <string.h>
@@ -16,69 +16,71 @@
 
 enum
 {
-  /* Results that end close together share a transaction; a part of the store
-     takes some hundred a second.  */
-  GATHER_MS = 15,
+  /* Results that are complete within this time share a transaction; a
+     partition of the store takes some hundred a second.  */
+  BATCH_DELAY_MS = 15,
   BATCH_MAX = 90,
-  /* Of results in one transaction, before base64; the store takes 1 MB.  */
+  /* Of a transaction's results before base64; the store takes 1 MB.  */
   BATCH_BYTES = 500000,
   RETRY_MIN_MS = 50,
   RETRY_MAX_MS = 500
 };
 
-static void write_batch (struct wy_owned *o);
+static void write_batch (struct wy_active_job *o);
 
 static void
 on_flush (uv_timer_t *t)
 {
-  struct wy_owned *o = t->data;
+  struct wy_active_job *o = t->data;
 
-  o->scheduled = false;
-  if (!o->writing && !o->dropped && !o->lingering)
+  o->flush_scheduled = false;
+  if (!o->writing && !o->closed && !o->lingering)
     write_batch (o);
 }
 
 static void
-schedule (struct wy_owned *o, uint32_t delay_ms)
+schedule (struct wy_active_job *o, uint32_t delay_ms)
 {
-  if (o->scheduled || o->writing || o->dropped || o->lingering)
+  if (o->flush_scheduled || o->writing || o->closed || o->lingering)
     return;
-  o->scheduled = true;
+  o->flush_scheduled = true;
   uv_timer_start (&o->flush, on_flush, delay_ms, 0);
 }
 
 static bool
-waits_for_others (const struct wy_owned *o)
+listing_is_deferred (const struct wy_active_job *o)
 {
-  const struct wy_route *route = wy_owned_route (o);
+  const struct wy_route *route = wy_active_job_route (o);
   struct wy_listing_options l = { .items = o->n_items,
-                                  .results = o->n_listed + o->ended.length,
-                                  .complete_groups = o->whole_groups,
+                                  .results = o->n_listed + o->unlisted.length,
+                                  .complete_groups = o->complete_groups,
                                   .wanted_groups = o->spec->wanted_groups,
-                                  .age_ms = wy_owned_age_ms (o),
+                                  .age_ms = wy_active_job_age_ms (o),
                                   .stopping = o->env->stopping };
 
   l.due_ms = route ? route->result_deadline_ms : 0;
   return wy_listing_is_deferred (&l);
 }
 
-/* Results wait to be listed: now, or with others that are still to come.  */
+/* Schedule a write of the unlisted results, unless listing is deferred until
+   more results are complete.  */
 void
-wy_lister_schedule (struct wy_owned *o)
+wy_result_list_schedule (struct wy_active_job *o)
 {
-  if (!waits_for_others (o))
-    schedule (o, GATHER_MS);
+  if (!listing_is_deferred (o))
+    schedule (o, BATCH_DELAY_MS);
 }
 
-/* Take results off the queue for one transaction, up to its limits; their rows
-   go to ROWS.  */
+/* Fill the batch with results for one transaction, up to its limits, and
+   append their rows to ROWS.  */
 static void
-take_batch (struct wy_owned *o, GArray *rows)
+fill_batch (struct wy_active_job *o, GArray *rows)
 {
   size_t size = 0;
 
   g_ptr_array_set_size (o->batch, 0);
-  for (GList *l = o->ended.head; l && o->batch->len < BATCH_MAX; l = l->next)
+  for (GList *l = o->unlisted.head; l && o->batch->len < BATCH_MAX;
+       l = l->next)
     {
       struct wy_item *i = l->data;
       char *value = wy_result_encode (i->result);
@@ -99,40 +101,40 @@
 }
 
 static void
-listed (struct wy_owned *o, struct wy_item *i)
+mark_listed (struct wy_active_job *o, struct wy_item *i)
 {
   i->state = WY_ITEM_LISTED;
   o->n_listed++;
   wy_result_free (i->result);
   i->result = NULL;
-  g_queue_remove (&o->ended, i);
+  g_queue_remove (&o->unlisted, i);
   g_string_free (i->text, TRUE);
   i->text = g_string_new (NULL);
 }
 
 static void
-lose (struct wy_owned *o, const char *why)
+report_lost (struct wy_active_job *o, const char *why)
 {
   wy_json_log ("job.lost", "id=%s reason=%s listed=%u of=%u", o->record->id,
                why, o->n_listed, o->n_items);
-  o->on_end (o->ctx, o, WY_OWNED_LOST);
+  o->on_end (o->ctx, o, WY_ACTIVE_JOB_LOST);
 }
 
 static void
-progressed (struct wy_owned *o)
+after_listing (struct wy_active_job *o)
 {
   o->write_failures = 0;
   o->on_listed (o->ctx, o);
-  if (o->dropped)
+  if (o->closed)
     return;
-  if (wy_owned_is_done (o))
-    o->on_end (o->ctx, o, WY_OWNED_DONE);
-  else if (o->ended.length && !waits_for_others (o))
+  if (wy_active_job_is_done (o))
+    o->on_end (o->ctx, o, WY_ACTIVE_JOB_DONE);
+  else if (o->unlisted.length && !listing_is_deferred (o))
     schedule (o, 0);
 }
 
 static void
-retry (struct wy_owned *o)
+retry (struct wy_active_job *o)
 {
   uint32_t n = MIN (o->write_failures, 4);
 
@@ -146,47 +148,48 @@
   wy_result_free (p);
 }
 
-/* The result RES stands in the store: whether it was still waiting here.  */
+/* Mark the item of RES, which is in the store, as listed.  Return false if it
+   was not unlisted here.  */
 static bool
-list_known (struct wy_owned *o, const struct wy_result *res)
+mark_listed_by_id (struct wy_active_job *o, const struct wy_result *res)
 {
-  for (GList *l = o->ended.head; l; l = l->next)
+  for (GList *l = o->unlisted.head; l; l = l->next)
     {
       struct wy_item *i = l->data;
 
       if (strcmp (i->spec->id, res->item) != 0)
         continue;
-      listed (o, i);
+      mark_listed (o, i);
       return true;
     }
   return false;
 }
 
-/* Rows that a write of ours with a lost answer has left: what they list is
-   listed.  */
+/* Handle the rows that an earlier write of ours has left although its response
+   was lost: their items are listed.  */
 static void
 on_read_back (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_owned *o = ctx;
+  struct wy_active_job *o = ctx;
   GPtrArray *results;
   bool any = false;
 
-  if (!wy_owned_write_ended (o) || o->lingering)
+  if (!wy_active_job_store_call_ended (o) || o->lingering)
     return;
   results = g_ptr_array_new_with_free_func (free_result);
   if (!r->err)
     wy_result_join (r, results);
   for (guint k = 0; k < results->len; k++)
-    any = list_known (o, g_ptr_array_index (results, k)) || any;
+    any = mark_listed_by_id (o, g_ptr_array_index (results, k)) || any;
   g_ptr_array_free (results, TRUE);
   if (any)
-    progressed (o);
+    after_listing (o);
   else
     retry (o);
 }
 
 static void
-read_back (struct wy_owned *o)
+read_back (struct wy_active_job *o)
 {
   char from[WY_RESULT_KEY_SIZE_BYTES];
   struct wy_rows_range range = { .table = WY_RESULTS_TABLE,
@@ -198,10 +201,10 @@
   wy_rows_get (o->env->rows, &range, on_read_back, o);
 }
 
-/* A condition did not hold: the job is another's, has been ended, or an
-   earlier write of ours was performed after all.  */
+/* A condition failed: another entry took the job over, the job has been ended,
+   or an earlier write of ours took effect after all.  */
 static void
-conflict (struct wy_owned *o, const struct wy_rows_result *r)
+on_conflict (struct wy_active_job *o, const struct wy_rows_result *r)
 {
   bool present = false;
 
@@ -224,7 +227,7 @@
                                                          : "taken_over";
 
           wy_job_record_free (rec);
-          lose (o, why);
+          report_lost (o, why);
           return;
         }
       o->record->row_version = rec->row_version;
@@ -239,19 +242,19 @@
 static void
 on_written (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_owned *o = ctx;
+  struct wy_active_job *o = ctx;
 
-  if (!wy_owned_write_ended (o) || o->lingering)
+  if (!wy_active_job_store_call_ended (o) || o->lingering)
     return;
   if (r->err == WY_ROWS_ECONFLICT)
-    conflict (o, r);
+    on_conflict (o, r);
   else if (r->err)
     retry (o);
   else
     {
       for (guint k = 0; k < o->batch->len; k++)
-        listed (o, g_ptr_array_index (o->batch, k));
-      progressed (o);
+        mark_listed (o, g_ptr_array_index (o->batch, k));
+      after_listing (o);
     }
 }
 
@@ -264,7 +267,7 @@
 }
 
 static void
-write_batch (struct wy_owned *o)
+write_batch (struct wy_active_job *o)
 {
   GArray *rows;
   struct wy_row_write *writes;
@@ -277,11 +280,11 @@
                            .conditions = conditions,
                            .n_conditions = 2 };
 
-  if (o->ended.length == 0)
+  if (o->unlisted.length == 0)
     return;
   wy_result_key (o->n_listed, first);
   rows = g_array_new (FALSE, FALSE, sizeof (struct wy_result_row));
-  take_batch (o, rows);
+  fill_batch (o, rows);
   writes = g_new0 (struct wy_row_write, rows->len);
   for (guint k = 0; k < rows->len; k++)
     {
--- a/src/jobs/result_rows.c
+++ b/src/jobs/result_rows.c
@@ -1,8 +1,8 @@
 /* Results as rows of the store.
 
-   The first row of a result has the position as its key; what does not fit
-   follows under the same key with a number behind it, so that rows read in
-   the order of their keys join again.  */
+   The key of a result's first row is its position.  What does not fit follows
+   in rows whose keys have a number appended, so that the rows in the order of
+   their keys yield the result.  */
 #include "jobs/result_rows.h"
 
 #include <stdio.h>
@@ -13,7 +13,7 @@
   POSITION_DIGITS = 10
 };
 
-/* Key of the first row of the result at POSITION.  */
+/* Write to OUT the key of the first row of the result at POSITION.  */
 void
 wy_result_key (uint64_t position, char out[WY_RESULT_KEY_SIZE_BYTES])
 {
@@ -21,7 +21,7 @@
             (unsigned long long)position);
 }
 
-/* Rows of ROW_BYTES that SIZE_BYTES take up.  */
+/* Return the number of rows of ROW_BYTES that SIZE_BYTES take.  */
 uint32_t
 wy_result_row_count (size_t size_bytes, size_t row_bytes)
 {
@@ -60,9 +60,9 @@
   return !strncmp (a->key, b->key, POSITION_DIGITS);
 }
 
-/* Append to OUT (struct wy_result) the results whose rows are all in R, and
-   stop at the first that can't be read.  The last one of a page that has
-   more behind it may lack rows, and is left for the next page.  */
+/* Append to OUT (struct wy_result *) the results whose rows are all in R, up
+   to the first that is malformed.  The last result of a page that has a next
+   page may be incomplete and is left for that page.  */
 void
 wy_result_join (const struct wy_rows_result *r, GPtrArray *out)
 {
@@ -88,8 +88,8 @@
   g_string_free (value, TRUE);
 }
 
-/* Key from which to read on, POSITION results having been joined; the caller
-   frees it.  NULL: R was the last page.  */
+/* Return the key from which the next page is to be read after POSITION
+   results; the caller frees it.  NULL: R was the last page.  */
 char *
 wy_result_next_from (const struct wy_rows_result *r, uint64_t position)
 {
--- a/src/jobs/result_rows.h
+++ b/src/jobs/result_rows.h
@@ -1,4 +1,4 @@
-/* Results as rows of the store: one row each, or several where the text is
+/* Results as rows of the store: one row each, or several if the result is
    longer than a row may be.  */
 #ifndef WY_JOBS_RESULT_ROWS_H
 #define WY_JOBS_RESULT_ROWS_H
@@ -11,7 +11,7 @@
   WY_RESULT_KEY_SIZE_BYTES = 24
 };
 
-/* A row to be written, with its key and bytes.  */
+/* A row to be written.  */
 struct wy_result_row
 {
   char key[WY_RESULT_KEY_SIZE_BYTES];
--- a/src/jobs/run.c
+++ b/src/jobs/run.c
@@ -1,9 +1,9 @@
-/* One run of an item on a replica.
+/* A run of an item on a replica.
 
-   The text so far outlives the run: when a run breaks off, another replica
-   goes on behind the last whole event.  What a run adds counts only if its
-   weights are new enough, and if the route wants one version alone, only if
-   they are the ones that made the text before it.  */
+   The text outlives the run: if a run fails, another replica continues after
+   the last complete event.  What a run generates is kept only if its weights
+   are new enough and, on a route that requires a single version, only if they
+   are those that generated the text before it.  */
 #include "jobs/run_state.h"
 
 #include <string.h>
@@ -14,19 +14,19 @@
 
 enum
 {
-  /* Pauses before another run, so that a fault that stays is not met in a
+  /* Delays before the next run, so that a persistent fault doesn't cause a
      tight loop.  */
   RETRY_MS = 20,
   RETRY_FAILED_MS = 100,
-  /* An item that others saw crash replicas starts with the pause of so many
-     runs that broke off.  */
-  SUSPECT_BREAKS = 6,
+  /* An item under which replicas crashed at other entries starts with the
+     backoff of this many failed runs.  */
+  SUSPECT_RUNS_WITHOUT_EVENT = 6,
   STATUS_OK = 200,
-  STATUS_NEVER = 422,
-  STATUS_FAILED = 500
+  STATUS_UNPROCESSABLE = 422,
+  STATUS_INTERNAL_ERROR = 500
 };
 
-/* Monotonic time in ms.  */
+/* Return the monotonic time in ms.  */
 int64_t
 wy_run_now_ms (const struct wy_run *r)
 {
@@ -38,22 +38,22 @@
 {
   switch (f)
     {
-    case RUN_SOUND:
+    case RUN_FAULT_NONE:
       return "sound";
-    case RUN_STALE:
+    case RUN_FAULT_STALE_WEIGHTS:
       return "stale_weights";
-    case RUN_MIXED:
+    case RUN_FAULT_OTHER_WEIGHTS:
       return "other_weights";
-    case RUN_FOREIGN:
+    case RUN_FAULT_OTHER_REQUEST:
       return "foreign_answer";
-    case RUN_GAP:
+    case RUN_FAULT_EVENT_MISSING:
       return "event_missing";
     }
   return "";
 }
 
 static void
-free_run (struct wy_run *r, enum wy_target_outcome outcome)
+end_run (struct wy_run *r, enum wy_target_outcome outcome)
 {
   struct wy_gate_env *env = r->item->job->env;
 
@@ -79,7 +79,7 @@
       r->n_events, (long long)i->last_event, (long long)r->version,
       (long long)i->job->spec->min_version, i->runs,
       (long long)(wy_run_now_ms (r) - r->started_ms),
-      (long long)(wy_run_now_ms (r) - r->heard_ms),
+      (long long)(wy_run_now_ms (r) - r->progress_ms),
       (long long)(wy_run_now_ms (r) - i->job->started_ms));
 }
 
@@ -93,11 +93,11 @@
     wy_target_ref (g);
 }
 
-/* End R with OUTCOME for its target; its item waits PAUSE_MS at least for
-   another run.  */
+/* End R with OUTCOME for its target.  Its item waits for another run, which
+   starts after DELAY_MS at the earliest.  */
 void
-wy_run_again (struct wy_run *r, enum wy_target_outcome outcome,
-              int64_t pause_ms, const char *why)
+wy_run_end_for_retry (struct wy_run *r, enum wy_target_outcome outcome,
+                      int64_t delay_ms, const char *why)
 {
   struct wy_item *i = r->item;
 
@@ -105,31 +105,32 @@
   (*i->job->env->count.item_runs_failed)++;
   i->state = WY_ITEM_WAITING;
   i->job->n_waiting++;
-  i->not_before_ms = wy_run_now_ms (r) + pause_ms;
+  i->not_before_ms = wy_run_now_ms (r) + delay_ms;
   set_avoid (i, r->target);
-  free_run (r, outcome);
+  end_run (r, outcome);
 }
 
 static void
-forget_text (struct wy_item *i)
+discard_text (struct wy_item *i)
 {
   g_string_truncate (i->text, 0);
   g_array_set_size (i->versions, 0);
   i->last_event = -1;
   i->text_id = 0;
-  i->kept_bytes = 0;
+  i->saved_bytes = 0;
   i->sent_bytes = 0;
-  i->kept_event = -1;
-  i->kept_whole = false;
+  i->saved_event = -1;
+  i->saved_complete = false;
 }
 
-/* Stop R without a word; its item is gone or ends otherwise.  */
+/* Cancel R without logging or counting it.  The caller sets the state of the
+   item.  */
 void
 wy_run_cancel (struct wy_run *r)
 {
   if (r->call)
     wy_h1_call_cancel (r->call);
-  free_run (r, WY_TARGET_CANCELLED);
+  end_run (r, WY_TARGET_CANCELLED);
 }
 
 static bool
@@ -150,9 +151,9 @@
     return;
   wy_target_record_version (r->target, spec->model, r->version);
   if (r->version < spec->min_version)
-    r->fault = RUN_STALE;
+    r->fault = RUN_FAULT_STALE_WEIGHTS;
   else if (r->single_version && has_other_version (r->item, r->version))
-    r->fault = RUN_MIXED;
+    r->fault = RUN_FAULT_OTHER_WEIGHTS;
 }
 
 static void
@@ -167,9 +168,9 @@
   r->not_run = info.not_run;
   if (info.has_load)
     wy_target_record_load (r->target, info.running + info.waiting,
-                           r->heard_ms);
+                           r->progress_ms);
   if (info.id && strcmp (info.id, r->item->spec->id) != 0)
-    r->fault = RUN_FOREIGN;
+    r->fault = RUN_FAULT_OTHER_REQUEST;
   if (a->status != STATUS_OK || r->fault)
     return;
   r->target->refusals = 0;
@@ -205,33 +206,35 @@
     return;
   if (i->last_event >= 0 && ev->id != i->last_event + 1)
     {
-      r->fault = RUN_GAP;
+      r->fault = RUN_FAULT_EVENT_MISSING;
       return;
     }
   if (i->last_event >= 0)
     g_string_append_c (i->text, '\n');
   g_string_append_len (i->text, ev->data, (gssize)ev->data_n);
   i->last_event = ev->id;
-  i->unstarted = 0;
+  i->runs_without_event = 0;
   r->n_events++;
   if (r->version >= 0)
     add_version (i, r->version);
 }
 
 static void
-stop_faulty (struct wy_run *r)
+abort_faulty_run (struct wy_run *r)
 {
   struct wy_item *i = r->item;
   enum run_fault fault = r->fault;
 
   wy_h1_call_cancel (r->call);
   r->call = NULL;
-  if (fault == RUN_MIXED)
-    forget_text (i);
-  wy_run_again (r,
-                fault == RUN_FOREIGN || fault == RUN_GAP ? WY_TARGET_FAILED
-                                                         : WY_TARGET_CANCELLED,
-                RETRY_MS, fault_name (fault));
+  if (fault == RUN_FAULT_OTHER_WEIGHTS)
+    discard_text (i);
+  wy_run_end_for_retry (r,
+                        fault == RUN_FAULT_OTHER_REQUEST
+                                || fault == RUN_FAULT_EVENT_MISSING
+                            ? WY_TARGET_FAILED
+                            : WY_TARGET_CANCELLED,
+                        RETRY_MS, fault_name (fault));
 }
 
 static void
@@ -246,15 +249,16 @@
   if (before && r->n_events > before)
     {
       uint32_t n = r->n_events - before;
-      double event_ms = (double)(now_ms - r->heard_ms) / n;
+      double event_duration_ms = (double)(now_ms - r->progress_ms) / n;
 
-      wy_run_paced (r, n, event_ms);
-      wy_target_record_pace (r->target, WY_WORK_EVENT, event_ms, now_ms);
+      wy_run_record_pace (r, n, event_duration_ms);
+      wy_target_record_pace (r->target, WY_WORK_EVENT, event_duration_ms,
+                             now_ms);
     }
   if (r->n_events > before)
-    r->heard_ms = now_ms;
+    r->progress_ms = now_ms;
   if (r->fault)
-    stop_faulty (r);
+    abort_faulty_run (r);
 }
 
 static void
@@ -262,30 +266,31 @@
 {
   struct wy_item *i = r->item;
   log_run (r, "completed");
-  free_run (r, WY_TARGET_ANSWERED);
-  wy_item_text_whole (i);
+  end_run (r, WY_TARGET_ANSWERED);
+  wy_item_text_complete (i);
 }
 
 static void
-refused_by_replica (struct wy_run *r)
+on_error_status (struct wy_run *r)
 {
   struct wy_item *i = r->item;
 
-  if (r->status == STATUS_NEVER)
+  if (r->status == STATUS_UNPROCESSABLE)
     {
       log_run (r, "never");
-      free_run (r, WY_TARGET_ANSWERED);
+      end_run (r, WY_TARGET_ANSWERED);
       wy_item_give_up (i);
     }
-  else if (r->status == STATUS_FAILED
+  else if (r->status == STATUS_INTERNAL_ERROR
            && ++i->failed_runs >= r->allowed_failures)
     {
       log_run (r, "failed");
-      free_run (r, WY_TARGET_ANSWERED);
+      end_run (r, WY_TARGET_ANSWERED);
       wy_item_give_up (i);
     }
   else
-    wy_run_again (r, WY_TARGET_ANSWERED, RETRY_FAILED_MS, "replica_failed");
+    wy_run_end_for_retry (r, WY_TARGET_ANSWERED, RETRY_FAILED_MS,
+                          "replica_failed");
 }
 
 static uint64_t
@@ -294,39 +299,41 @@
   return wy_fingerprint (i->spec->id, NULL, 0);
 }
 
-/* The run ended without a word.  Its replica may have crashed, and if it did
-   so before it made anything, perhaps because of this item.  */
+/* The connection was lost.  The replica may have crashed, and if no event had
+   arrived, possibly because of this item.  */
 static void
-broken_off (struct wy_run *r)
+on_interrupted (struct wy_run *r)
 {
   struct wy_item *i = r->item;
 
   if (r->n_events == 0)
     {
-      i->unstarted++;
+      i->runs_without_event++;
       wy_crash_tracker_run_interrupted (&i->job->env->crashes,
                                         fingerprint_of (i), r->target->info.id,
                                         wy_run_now_ms (r));
     }
-  wy_run_again (r, WY_TARGET_FAILED,
-                MAX (RETRY_MS, wy_crash_tracker_backoff_ms (i->unstarted)),
-                "broken_off");
+  wy_run_end_for_retry (
+      r, WY_TARGET_FAILED,
+      MAX (RETRY_MS, wy_crash_tracker_backoff_ms (i->runs_without_event)),
+      "broken_off");
 }
 
-/* Whether I must wait because replicas crashed under it where it ran before,
-   at this entry or another; the pause grows from run to run.  */
+/* Return whether I must wait because replicas crashed while running it, here
+   or at other entries.  The delay grows with each such run.  */
 bool
 wy_run_is_held_back (struct wy_item *i)
 {
   struct wy_gate_env *env = i->job->env;
   int64_t now_ms = wy_clock_mono_ms (env->clock);
 
-  if (i->unstarted || !wy_crash_tracker_has_suspects (&env->crashes)
+  if (i->runs_without_event || !wy_crash_tracker_has_suspects (&env->crashes)
       || !wy_crash_tracker_is_blocked (&env->crashes, fingerprint_of (i),
                                        now_ms))
     return false;
-  i->unstarted = SUSPECT_BREAKS;
-  i->not_before_ms = now_ms + wy_crash_tracker_backoff_ms (i->unstarted);
+  i->runs_without_event = SUSPECT_RUNS_WITHOUT_EVENT;
+  i->not_before_ms
+      = now_ms + wy_crash_tracker_backoff_ms (i->runs_without_event);
   (*env->count.held_back)++;
   wy_json_log ("item.held_back", "id=%s job=%s ms=%lld", i->spec->id,
                i->job->record->id, (long long)(i->not_before_ms - now_ms));
@@ -337,26 +344,27 @@
 on_end (void *ctx, int err)
 {
   struct wy_run *r = ctx;
-  struct wy_owned *job = r->item->job;
+  struct wy_active_job *job = r->item->job;
 
   r->call = NULL;
   if (r->fault)
-    wy_run_again (r, WY_TARGET_FAILED, RETRY_MS, fault_name (r->fault));
+    wy_run_end_for_retry (r, WY_TARGET_FAILED, RETRY_MS,
+                          fault_name (r->fault));
   else if (err == WY_H1_ECONNECT)
-    wy_run_again (r, WY_TARGET_FAILED, RETRY_MS, "no_connection");
+    wy_run_end_for_retry (r, WY_TARGET_FAILED, RETRY_MS, "no_connection");
   else if (err)
-    broken_off (r);
+    on_interrupted (r);
   else if (r->not_run)
-    wy_run_again (
+    wy_run_end_for_retry (
         r, r->status == 421 ? WY_TARGET_MISDIRECTED : WY_TARGET_REJECTED,
         RETRY_MS, r->status == 421 ? "not_there" : "full");
   else if (r->status != STATUS_OK)
-    refused_by_replica (r);
+    on_error_status (r);
   else if (wy_sse_has_partial (&r->events) || r->item->last_event < 0)
-    wy_run_again (r, WY_TARGET_FAILED, RETRY_MS, "cut_short");
+    wy_run_end_for_retry (r, WY_TARGET_FAILED, RETRY_MS, "cut_short");
   else
     complete (r);
-  wy_owned_pump (job);
+  wy_active_job_start_items (job);
 }
 
 static void
@@ -377,7 +385,7 @@
                (long long)wy_target_version (g, i->job->spec->model));
 }
 
-/* Run I on G, behind the text that it has.  */
+/* Run I on G, from the end of its text on.  */
 void
 wy_run_start (struct wy_item *i, struct wy_target *g,
               const struct wy_route *route)
@@ -410,7 +418,7 @@
   r->single_version = route->single_version;
   r->allowed_failures = route->attempts;
   r->started_ms = wy_run_now_ms (r);
-  r->heard_ms = r->started_ms;
+  r->progress_ms = r->started_ms;
   wy_sse_init (&r->events);
   i->run = r;
   i->runs++;
--- a/src/jobs/run_state.h
+++ b/src/jobs/run_state.h
@@ -1,17 +1,17 @@
-/* Inside of a run.  */
+/* Private declarations of a run.  */
 #ifndef WY_JOBS_RUN_STATE_H
 #define WY_JOBS_RUN_STATE_H
 
 #include "jobs/active_job.h"
 
-/* Why a run is of no more use, found while its bytes are read.  */
+/* Why the data of a run can't be used, found while it is read.  */
 enum run_fault
 {
-  RUN_SOUND,
-  RUN_STALE,   /* weights older than the job allows */
-  RUN_MIXED,   /* other weights than the text so far, on a route for one */
-  RUN_FOREIGN, /* an answer to another request */
-  RUN_GAP      /* an event is missing */
+  RUN_FAULT_NONE,
+  RUN_FAULT_STALE_WEIGHTS, /* older than the job allows */
+  RUN_FAULT_OTHER_WEIGHTS, /* not those of the text; single-version route */
+  RUN_FAULT_OTHER_REQUEST, /* the response belongs to another request */
+  RUN_FAULT_EVENT_MISSING  /* a gap in the event ids */
 };
 
 struct wy_run
@@ -21,21 +21,22 @@
   struct wy_h1_call *call;
   struct wy_sse_parser events;
   int status;
-  bool not_run;
+  bool not_run; /* the replica states that it did not run the request */
   bool single_version;
   enum run_fault fault;
   int64_t version;
   int64_t started_ms;
-  int64_t heard_ms;
+  int64_t progress_ms; /* time of the last event, or of the start */
   uint32_t n_events;
-  double event_ms; /* that the last event took; 0: not known */
-  double event_before_ms;
-  uint32_t allowed_failures;
+  double event_duration_ms; /* that the last event took; 0: unknown */
+  double previous_event_duration_ms;
+  uint32_t allowed_failures; /* runs of the item with status 500 */
 };
 
 int64_t wy_run_now_ms (const struct wy_run *r);
-void wy_run_paced (struct wy_run *r, uint32_t n, double event_ms);
-void wy_run_again (struct wy_run *r, enum wy_target_outcome outcome,
-                   int64_t pause_ms, const char *why);
+void wy_run_record_pace (struct wy_run *r, uint32_t n,
+                         double event_duration_ms);
+void wy_run_end_for_retry (struct wy_run *r, enum wy_target_outcome outcome,
+                           int64_t delay_ms, const char *why);
 
 #endif
--- a/src/jobs/score.c
+++ b/src/jobs/score.c
@@ -1,13 +1,14 @@
 /* Calls that score the texts of a job's items.
 
-   A score holds for the text it was asked for: it is asked when the text is
-   whole, and a text that is whole is never made again, so no answer can belong
-   to an older one.  An item keeps its text, in memory and in the store, while
-   its score is still to come; whoever takes the job over asks anew.
-
-   A call may run any number of times.  Only an answer of the scoring service
-   itself that the text can't be scored counts against the item; a full
-   replica, a broken connection or a spoilt answer costs time alone.  */
+   A score is requested when the text is complete.  A complete text is never
+   generated again, so no response can belong to an older text.  The text stays
+   in memory and in the store until its score is known; after a takeover, the
+   new holder requests the score again.
+
+   A call may be repeated any number of times.  Only a response of the scoring
+   service itself that the text can't be scored counts against the item; an
+   overloaded replica, a lost connection or an invalid response only costs
+   time.  */
 #include "jobs/score.h"
 
 #include <string.h>
@@ -18,39 +19,39 @@
 
 enum
 {
-  TRIES_MAX = 2, /* at once */
-  /* A replica without an answer for so long has lost the call, where the route
-     names no time of its own.  */
+  ATTEMPTS_MAX = 2, /* at the same time */
+  /* A replica without a response after this time has lost the call; used where
+     the route has no timeout.  */
   DEFAULT_TIMEOUT_MS = 3000,
-  /* Pause after an answer that says neither yes nor no.  */
-  ODD_ANSWER_MS = 100,
+  /* Delay after a response that is neither a score nor a failure to score.  */
+  UNEXPECTED_STATUS_DELAY_MS = 100,
   STATUS_OK = 200,
-  STATUS_FAILED = 500,
-  STATUS_NOT_HERE = 421
+  STATUS_INTERNAL_ERROR = 500,
+  STATUS_MISDIRECTED = 421
 };
 
-struct score_try
+struct score_attempt
 {
   struct wy_score *score;
-  struct wy_target *target; /* NULL: free */
+  struct wy_target *target; /* NULL: unused */
   struct wy_h1_call *call;
   int64_t started_ms;
   int status;
   bool not_run;
-  bool spoilt;
-  char *mark;
+  bool invalid;
+  char *stamp;
 };
 
 struct wy_score
 {
   struct wy_item *item;
-  struct score_try tries[TRIES_MAX];
-  GPtrArray *failed_at; /* struct wy_target, held */
-  int64_t since_ms;
-  int64_t not_before_ms;
-  uint32_t asked;
-  uint32_t failed; /* answers that the text can't be scored */
-  uint32_t broken; /* calls in a row that brought nothing */
+  struct score_attempt attempts[ATTEMPTS_MAX];
+  GPtrArray *failed_targets; /* struct wy_target, referenced */
+  int64_t since_ms;          /* when the text was complete */
+  int64_t not_before_ms;     /* earliest start of the next attempt */
+  uint32_t calls;
+  uint32_t scoring_errors;  /* responses that the text can't be scored */
+  uint32_t failures_in_row; /* consecutive calls without a usable response */
 };
 
 static int64_t
@@ -59,7 +60,7 @@
   return wy_clock_mono_ms (s->item->job->env->clock);
 }
 
-/* The route by which the score of S is asked; NULL: none.  */
+/* Return the route to the scorer S, or NULL.  */
 const struct wy_route *
 wy_scorer_route (const struct wy_routing *r, const struct wy_scorer_spec *s)
 {
@@ -68,20 +69,21 @@
   return route && route->kind != WY_ROUTE_JOB ? route : NULL;
 }
 
-/* The text of I is whole: its score is to be asked for.  */
+/* Return a new score for I, whose text is complete; no call is started
+   yet.  */
 struct wy_score *
 wy_score_new (struct wy_item *i)
 {
   struct wy_score *s = g_new0 (struct wy_score, 1);
 
   s->item = i;
-  s->failed_at = g_ptr_array_new ();
+  s->failed_targets = g_ptr_array_new ();
   s->since_ms = now_of (s);
   return s;
 }
 
 static void
-end_try (struct score_try *t, enum wy_target_outcome outcome)
+end_attempt (struct score_attempt *t, enum wy_target_outcome outcome)
 {
   struct wy_target *g = t->target;
   struct wy_score *s = t->score;
@@ -90,17 +92,17 @@
     return;
   if (t->call)
     wy_h1_call_cancel (t->call);
-  g_free (t->mark);
+  g_free (t->stamp);
   memset (t, 0, sizeof *t);
   wy_target_request_ended (s->item->job->env->targets, g, outcome, now_of (s));
 }
 
-/* Stop the calls of S that are under way.  */
+/* Cancel the calls of S in progress.  */
 void
-wy_score_pause (struct wy_score *s)
+wy_score_cancel_calls (struct wy_score *s)
 {
-  for (int k = 0; k < TRIES_MAX; k++)
-    end_try (&s->tries[k], WY_TARGET_CANCELLED);
+  for (int k = 0; k < ATTEMPTS_MAX; k++)
+    end_attempt (&s->attempts[k], WY_TARGET_CANCELLED);
 }
 
 /* Free S, which may be NULL.  */
@@ -109,25 +111,25 @@
 {
   if (!s)
     return;
-  wy_score_pause (s);
-  for (guint k = 0; k < s->failed_at->len; k++)
+  wy_score_cancel_calls (s);
+  for (guint k = 0; k < s->failed_targets->len; k++)
     wy_target_unref (s->item->job->env->targets,
-                     g_ptr_array_index (s->failed_at, k));
-  g_ptr_array_free (s->failed_at, TRUE);
+                     g_ptr_array_index (s->failed_targets, k));
+  g_ptr_array_free (s->failed_targets, TRUE);
   g_free (s);
 }
 
 static bool
-is_asking (const struct wy_score *s)
+has_attempt (const struct wy_score *s)
 {
-  for (int k = 0; k < TRIES_MAX; k++)
-    if (s->tries[k].target)
+  for (int k = 0; k < ATTEMPTS_MAX; k++)
+    if (s->attempts[k].target)
       return true;
   return false;
 }
 
 static void
-log_failed (const struct score_try *t, const char *outcome)
+log_attempt_failed (const struct score_attempt *t, const char *outcome)
 {
   const struct wy_score *s = t->score;
   const struct wy_item *i = s->item;
@@ -136,48 +138,50 @@
                "id=%s job=%s call=%s target=%s outcome=%s status=%d asked=%u "
                "failed=%u ms=%lld",
                i->spec->id, i->job->record->id, i->spec->scorer->id,
-               t->target->info.id, outcome, t->status, s->asked, s->failed,
-               (long long)(now_of (s) - t->started_ms));
+               t->target->info.id, outcome, t->status, s->calls,
+               s->scoring_errors, (long long)(now_of (s) - t->started_ms));
 }
 
-/* T brought nothing; its score is asked for again after PAUSE_MS at least,
-   unless another call is still under way.  */
+/* End T, which got no score.  The next attempt for its score starts after
+   DELAY_MS at the earliest, unless another one is still in progress.  */
 static void
-try_failed (struct score_try *t, enum wy_target_outcome outcome,
-            int64_t pause_ms, const char *why)
+attempt_failed (struct score_attempt *t, enum wy_target_outcome outcome,
+                int64_t delay_ms, const char *why)
 {
   struct wy_score *s = t->score;
-  struct wy_owned *o = s->item->job;
+  struct wy_active_job *o = s->item->job;
 
-  log_failed (t, why);
+  log_attempt_failed (t, why);
   (*o->env->count.score_calls_failed)++;
-  end_try (t, outcome);
-  s->not_before_ms = now_of (s) + pause_ms;
+  end_attempt (t, outcome);
+  s->not_before_ms = now_of (s) + delay_ms;
 }
 
-/* A call that took so long that another was asked for tells that its target is
-   slow, though not how slow.  */
+/* Cancel the other attempts after one has succeeded.  If such an attempt took
+   HEDGE_MS or longer, its target is recorded as slow, with the time so far,
+   since the full duration is unknown.  */
 static void
-stop_slower (struct wy_score *s, int64_t after_ms)
+cancel_slower_attempts (struct wy_score *s, int64_t hedge_ms)
 {
   int64_t now_ms = now_of (s);
 
-  for (int k = 0; k < TRIES_MAX; k++)
+  for (int k = 0; k < ATTEMPTS_MAX; k++)
     {
-      struct score_try *t = &s->tries[k];
+      struct score_attempt *t = &s->attempts[k];
       int64_t ms = now_ms - t->started_ms;
 
       if (!t->target)
         continue;
-      if (ms >= after_ms)
+      if (ms >= hedge_ms)
         wy_target_record_pace (t->target, WY_WORK_SCORE, (double)ms, now_ms);
-      end_try (t, ms >= after_ms ? WY_TARGET_STALLED : WY_TARGET_CANCELLED);
+      end_attempt (t,
+                   ms >= hedge_ms ? WY_TARGET_STALLED : WY_TARGET_CANCELLED);
     }
 }
 
 static int64_t
-second_ms (const struct wy_score *s, const struct wy_route *route,
-           const char *service)
+hedge_delay_ms (const struct wy_score *s, const struct wy_route *route,
+                const char *service)
 {
   double typical_ms = wy_targets_median_pace_ms (s->item->job->env->targets,
                                                  service, WY_WORK_SCORE);
@@ -186,7 +190,7 @@
 }
 
 static void
-scored (struct score_try *t)
+on_scored (struct score_attempt *t)
 {
   struct wy_score *s = t->score;
   struct wy_item *i = s->item;
@@ -194,42 +198,42 @@
   const struct wy_route *route
       = wy_scorer_route (env->routing, i->spec->scorer);
   int64_t now_ms = now_of (s);
-  int64_t after_ms
-      = route ? second_ms (s, route, t->target->info.service) : INT64_MAX;
-  char *mark = g_steal_pointer (&t->mark);
+  int64_t hedge_ms
+      = route ? hedge_delay_ms (s, route, t->target->info.service) : INT64_MAX;
+  char *stamp = g_steal_pointer (&t->stamp);
 
   wy_json_log (
       "item.scored",
       "id=%s job=%s call=%s target=%s asked=%u ms=%lld waited_ms=%lld",
       i->spec->id, i->job->record->id, i->spec->scorer->id, t->target->info.id,
-      s->asked, (long long)(now_ms - t->started_ms),
+      s->calls, (long long)(now_ms - t->started_ms),
       (long long)(now_ms - s->since_ms));
   wy_hist_add (env->count.score_us,
                (uint64_t)(now_ms - s->since_ms) * WY_US_PER_MS);
   wy_target_record_pace (t->target, WY_WORK_SCORE,
                          (double)(now_ms - t->started_ms), now_ms);
-  end_try (t, WY_TARGET_ANSWERED);
-  stop_slower (s, after_ms);
-  wy_item_scored (i, mark);
-  g_free (mark);
+  end_attempt (t, WY_TARGET_ANSWERED);
+  cancel_slower_attempts (s, hedge_ms);
+  wy_item_scored (i, stamp);
+  g_free (stamp);
 }
 
-/* The scoring service has failed on the text.  */
+/* The scoring service failed to score the text.  */
 static void
-answered_failed (struct score_try *t)
+on_scoring_error (struct score_attempt *t)
 {
   struct wy_score *s = t->score;
   struct wy_item *i = s->item;
 
-  s->failed++;
+  s->scoring_errors++;
   wy_target_ref (t->target);
-  g_ptr_array_add (s->failed_at, t->target);
-  try_failed (t, WY_TARGET_ANSWERED, 0, "failed");
-  if (s->failed < wy_owned_allowed_failures (i))
+  g_ptr_array_add (s->failed_targets, t->target);
+  attempt_failed (t, WY_TARGET_ANSWERED, 0, "failed");
+  if (s->scoring_errors < wy_item_max_score_failures (i))
     return;
   wy_json_log ("item.unscored",
                "id=%s job=%s call=%s failed=%u waited_ms=%lld", i->spec->id,
-               i->job->record->id, i->spec->scorer->id, s->failed,
+               i->job->record->id, i->spec->scorer->id, s->scoring_errors,
                (long long)(now_of (s) - s->since_ms));
   wy_item_give_up (i);
 }
@@ -237,7 +241,7 @@
 static void
 on_head (void *ctx, const struct wy_h1_response *a)
 {
-  struct score_try *t = ctx;
+  struct score_attempt *t = ctx;
   struct wy_response_info info;
 
   t->status = a->status;
@@ -247,11 +251,11 @@
     wy_target_record_load (t->target, info.running + info.waiting,
                            now_of (t->score));
   t->not_run = info.not_run;
-  t->spoilt
+  t->invalid
       = (info.id && strcmp (info.id, t->score->item->spec->scorer->id) != 0)
         || (a->status == STATUS_OK && (info.encoded || !info.stamp));
-  g_free (t->mark);
-  t->mark = g_strdup (info.stamp);
+  g_free (t->stamp);
+  t->stamp = g_strdup (info.stamp);
 }
 
 static void
@@ -262,53 +266,54 @@
 static void
 on_end (void *ctx, int err)
 {
-  struct score_try *t = ctx;
+  struct score_attempt *t = ctx;
   struct wy_score *s = t->score;
-  struct wy_owned *o = s->item->job;
-  int64_t pause_ms = wy_scoring_backoff_ms (s->broken);
+  struct wy_active_job *o = s->item->job;
+  int64_t delay_ms = wy_scoring_backoff_ms (s->failures_in_row);
 
   t->call = NULL;
-  if (err || t->spoilt || t->not_run)
-    s->broken++;
+  if (err || t->invalid || t->not_run)
+    s->failures_in_row++;
   else
-    s->broken = 0;
+    s->failures_in_row = 0;
   if (err)
-    try_failed (t, WY_TARGET_FAILED, pause_ms,
-                err == WY_H1_ECONNECT ? "no_connection" : "broken_off");
-  else if (t->spoilt)
-    try_failed (t, WY_TARGET_FAILED, pause_ms, "spoilt_answer");
-  else if (t->not_run && t->status == STATUS_NOT_HERE)
-    try_failed (t, WY_TARGET_MISDIRECTED, pause_ms, "not_there");
+    attempt_failed (t, WY_TARGET_FAILED, delay_ms,
+                    err == WY_H1_ECONNECT ? "no_connection" : "broken_off");
+  else if (t->invalid)
+    attempt_failed (t, WY_TARGET_FAILED, delay_ms, "spoilt_answer");
+  else if (t->not_run && t->status == STATUS_MISDIRECTED)
+    attempt_failed (t, WY_TARGET_MISDIRECTED, delay_ms, "not_there");
   else if (t->not_run)
-    try_failed (t, WY_TARGET_REJECTED, pause_ms, "full");
+    attempt_failed (t, WY_TARGET_REJECTED, delay_ms, "full");
   else if (t->status == STATUS_OK)
-    scored (t);
-  else if (t->status == STATUS_FAILED)
-    answered_failed (t);
+    on_scored (t);
+  else if (t->status == STATUS_INTERNAL_ERROR)
+    on_scoring_error (t);
   else
-    try_failed (t, WY_TARGET_ANSWERED, ODD_ANSWER_MS, "odd_answer");
-  wy_owned_pump (o);
+    attempt_failed (t, WY_TARGET_ANSWERED, UNEXPECTED_STATUS_DELAY_MS,
+                    "odd_answer");
+  wy_active_job_start_items (o);
 }
 
-static struct score_try *
-free_try (struct wy_score *s)
+static struct score_attempt *
+unused_attempt (struct wy_score *s)
 {
-  for (int k = 0; k < TRIES_MAX; k++)
-    if (!s->tries[k].target)
-      return &s->tries[k];
+  for (int k = 0; k < ATTEMPTS_MAX; k++)
+    if (!s->attempts[k].target)
+      return &s->attempts[k];
   return NULL;
 }
 
 static void
-ask (struct wy_score *s, struct wy_target *g)
+start_attempt (struct wy_score *s, struct wy_target *g)
 {
   struct wy_item *i = s->item;
   const struct wy_scorer_spec *spec = i->spec->scorer;
-  struct score_try *t = free_try (s);
+  struct score_attempt *t = unused_attempt (s);
   GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
   struct wy_forward_info f
       = { .replica = g->info.id,
-          .time_left_ms = wy_owned_time_left_ms (i->job),
+          .time_left_ms = wy_active_job_time_left_ms (i->job),
           .after_event = -1,
           .id = spec->id,
           .host = spec->host,
@@ -328,12 +333,12 @@
   t->score = s;
   t->target = g;
   t->started_ms = now_of (s);
-  s->asked++;
+  s->calls++;
   wy_json_log (
       "score.asked",
       "id=%s job=%s call=%s target=%s asked=%u in_flight=%u load=%u "
       "load_age_ms=%lld pace_ms=%.0f waited_ms=%lld",
-      i->spec->id, i->job->record->id, spec->id, g->info.id, s->asked,
+      i->spec->id, i->job->record->id, spec->id, g->info.id, s->calls,
       g->in_flight, g->reported_load,
       g->reported_ms ? (long long)(t->started_ms - g->reported_ms) : -1LL,
       g->pace[WY_WORK_SCORE].ms, (long long)(t->started_ms - s->since_ms));
@@ -346,10 +351,11 @@
   g_array_free (fields, TRUE);
 }
 
-/* A target for a call for S that is not asked already; without AGAIN, none
-   that has failed on it.  NULL: none has a slot to spare.  */
+/* Pick a target that has no call for S in progress; without ALLOW_FAILED, also
+   none that has failed to score its text.  Return NULL if no such target has a
+   slot to spare.  */
 static struct wy_target *
-pick_one (struct wy_score *s, const char *service, bool again)
+pick_target_among (struct wy_score *s, const char *service, bool allow_failed)
 {
   struct wy_gate_env *env = s->item->job->env;
   double typical_ms
@@ -365,11 +371,11 @@
           .pace_limit_ms = wy_scoring_latency_limit_ms (typical_ms) };
   struct wy_target *g;
 
-  for (int k = 0; k < TRIES_MAX; k++)
-    if (s->tries[k].target)
-      g_ptr_array_add (tried, s->tries[k].target);
-  for (guint k = 0; !again && k < s->failed_at->len; k++)
-    g_ptr_array_add (tried, g_ptr_array_index (s->failed_at, k));
+  for (int k = 0; k < ATTEMPTS_MAX; k++)
+    if (s->attempts[k].target)
+      g_ptr_array_add (tried, s->attempts[k].target);
+  for (guint k = 0; !allow_failed && k < s->failed_targets->len; k++)
+    g_ptr_array_add (tried, g_ptr_array_index (s->failed_targets, k));
   q.tried = (const struct wy_target *const *)tried->pdata;
   q.n_tried = tried->len;
   g = wy_targets_pick (env->targets, &q, now_of (s));
@@ -377,42 +383,45 @@
   return g;
 }
 
-/* The same, one that has failed on S only where there is no other.  */
+/* Pick a target like pick_target_among.  One that failed to score the text is
+   used only if there is no other.  */
 static struct wy_target *
-pick (struct wy_score *s, const struct wy_route *route)
+pick_target (struct wy_score *s, const struct wy_route *route)
 {
   struct wy_gate_env *env = s->item->job->env;
   const char *service
       = wy_route_pick_service (route, wy_rng_below (&env->rng, UINT32_MAX));
-  struct wy_target *g = pick_one (s, service, false);
+  struct wy_target *g = pick_target_among (s, service, false);
 
-  if (g || wy_targets_count_ready (env->targets, service) > s->failed_at->len)
+  if (g
+      || wy_targets_count_ready (env->targets, service)
+             > s->failed_targets->len)
     return g;
-  return pick_one (s, service, true);
+  return pick_target_among (s, service, true);
 }
 
-/* Ask a second target where the first takes long; end calls that got lost.  */
+/* End attempts that timed out and hedge a slow one with a second target.  */
 void
-wy_score_check (struct wy_score *s)
+wy_score_check_calls (struct wy_score *s)
 {
-  struct wy_owned *o = s->item->job;
+  struct wy_active_job *o = s->item->job;
   const struct wy_route *route
       = wy_scorer_route (o->env->routing, s->item->spec->scorer);
   int64_t limit_ms
       = route && route->timeout_ms ? route->timeout_ms : DEFAULT_TIMEOUT_MS;
-  struct score_try *running = NULL;
+  struct score_attempt *running = NULL;
   struct wy_target *g;
   uint32_t n = 0;
 
-  for (int k = 0; k < TRIES_MAX; k++)
+  for (int k = 0; k < ATTEMPTS_MAX; k++)
     {
-      struct score_try *t = &s->tries[k];
+      struct score_attempt *t = &s->attempts[k];
 
       if (!t->target)
         continue;
       if (now_of (s) - t->started_ms >= limit_ms)
         {
-          try_failed (t, WY_TARGET_TIMED_OUT, 0, "silent");
+          attempt_failed (t, WY_TARGET_TIMED_OUT, 0, "silent");
           continue;
         }
       running = t;
@@ -420,68 +429,69 @@
     }
   if (!route || n != 1
       || now_of (s) - running->started_ms
-             < second_ms (s, route, running->target->info.service))
+             < hedge_delay_ms (s, route, running->target->info.service))
     return;
-  g = pick (s, route);
-  if (!g || wy_retry_take (&o->second_scores) != 0)
+  g = pick_target (s, route);
+  if (!g || wy_retry_take (&o->hedge_budget) != 0)
     return;
   (*o->env->count.score_hedges)++;
-  ask (s, g);
+  start_attempt (s, g);
 }
 
-/* The text to be scored next; NULL: none.  */
+/* Return the item to be scored next, or NULL.  */
 static struct wy_item *
-next_of (const struct wy_owned *o, int64_t now_ms)
+next_to_score (const struct wy_active_job *o, int64_t now_ms)
 {
   struct wy_item *best = NULL;
-  struct wy_scoring_candidate best_turn = { 0 };
+  struct wy_scoring_candidate best_candidate = { 0 };
 
   for (uint32_t k = 0; k < o->n_items; k++)
     {
       struct wy_item *i = &o->items[k];
-      struct wy_scoring_candidate turn;
+      struct wy_scoring_candidate candidate;
 
-      if (i->state != WY_ITEM_SCORING || is_asking (i->score)
+      if (i->state != WY_ITEM_SCORING || has_attempt (i->score)
           || i->score->not_before_ms > now_ms)
         continue;
-      turn = (struct wy_scoring_candidate){ i->group->missing,
-                                            i->score->since_ms };
-      if (best && !wy_scoring_precedes (&turn, &best_turn))
+      candidate = (struct wy_scoring_candidate){ i->group->missing,
+                                                 i->score->since_ms };
+      if (best && !wy_scoring_precedes (&candidate, &best_candidate))
         continue;
       best = i;
-      best_turn = turn;
+      best_candidate = candidate;
     }
   return best;
 }
 
-/* Ask for the scores of O's whole texts, as many as the service has room
+/* Start calls for the complete texts of O, as many as the service has slots
    for.  */
 void
-wy_scores_pump (struct wy_owned *o)
+wy_scores_start_calls (struct wy_active_job *o)
 {
   int64_t now_ms = wy_clock_mono_ms (o->env->clock);
 
-  if (o->dropped || o->lingering || !o->n_scoring || !o->env->routing)
+  if (o->closed || o->lingering || !o->n_scoring || !o->env->routing)
     return;
   for (;;)
     {
-      struct wy_item *i = next_of (o, now_ms);
+      struct wy_item *i = next_to_score (o, now_ms);
       const struct wy_route *route;
       struct wy_target *g;
 
       if (!i)
         return;
       route = wy_scorer_route (o->env->routing, i->spec->scorer);
-      g = route ? pick (i->score, route) : NULL;
-      if (!g && i->score->failed_at->len == 0)
+      g = route ? pick_target (i->score, route) : NULL;
+      if (!g && i->score->failed_targets->len == 0)
         return;
       if (!g)
         {
-          /* The replicas that it may still ask have no room; others may.  */
+          /* The replicas that have not failed on this text are busy; those for
+             other texts may be free.  */
           i->score->not_before_ms = now_ms + wy_scoring_backoff_ms (0);
           continue;
         }
-      wy_retry_request (&o->second_scores);
-      ask (i->score, g);
+      wy_retry_request (&o->hedge_budget);
+      start_attempt (i->score, g);
     }
 }
--- a/src/jobs/spec.c
+++ b/src/jobs/spec.c
@@ -1,4 +1,4 @@
-/* A job as its trainer submitted it.  */
+/* A job as submitted by its trainer.  */
 #include "jobs/spec.h"
 
 static void
@@ -35,7 +35,7 @@
   g_free (i);
 }
 
-/* An empty job.  */
+/* Return an empty job.  */
 struct wy_job_spec *
 wy_job_spec_new (void)
 {
@@ -45,7 +45,7 @@
   return s;
 }
 
-/* Add an empty item to S.  */
+/* Add an empty item to S and return it.  */
 struct wy_item_spec *
 wy_job_spec_add (struct wy_job_spec *s)
 {
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -1,4 +1,4 @@
-/* A job as its trainer submitted it: many requests, run later.  */
+/* A job as submitted by its trainer: many requests, to be run later.  */
 #ifndef WY_JOBS_SPEC_H
 #define WY_JOBS_SPEC_H
 
@@ -9,11 +9,11 @@
 
 #include "h1/head.h"
 
-/* A request whose answer scores an item's text.  */
+/* A request whose response scores an item's text.  */
 struct wy_scorer_spec
 {
   char *id;
-  char *host; /* these two find its route */
+  char *host; /* host and path determine its route */
   char *path;
   unsigned char *body;
   size_t body_size_bytes;
@@ -23,12 +23,12 @@
 {
   char *id;
   char *path;
-  char *group;    /* items that share a prompt and count together */
-  GArray *fields; /* struct wy_h1_header, owned texts */
+  char *group; /* of items that the trainer uses together; default: its id */
+  GArray *fields; /* struct wy_h1_header, with owned strings */
   unsigned char *body;
   size_t body_size_bytes;
-  uint32_t expected_tokens;      /* the submitter's guess; 0: none */
-  struct wy_scorer_spec *scorer; /* NULL: the text alone is the result */
+  uint32_t expected_tokens;      /* the submitter's estimate; 0: none */
+  struct wy_scorer_spec *scorer; /* NULL: the result has no score */
 };
 
 struct wy_job_spec
@@ -36,9 +36,9 @@
   int64_t step;
   char *model;            /* "": none */
   int64_t min_version;    /* of the weights */
-  uint32_t wanted_groups; /* after which the trainer ends the job */
+  uint32_t wanted_groups; /* complete ones at which the trainer ends the job */
   GPtrArray *items;       /* struct wy_item_spec */
-  size_t size_bytes;      /* as submitted */
+  size_t size_bytes;      /* of the submitted body */
 };
 
 struct wy_job_spec *wy_job_spec_new (void);
--- a/src/jobs/staleness.c
+++ b/src/jobs/staleness.c
@@ -1,9 +1,11 @@
-/* How far behind the newest weights the jobs of a model may lie.
-
-   The bound is not configured anywhere: it shows in what trainers ask for.
-   A model has a row for each observed lag, with the time at which an entry
-   last observed it; the least of the fresh rows applies.  Each orderer reads
-   all rows of a model, so their number must not grow with the entries.  */
+/* Staleness that the jobs of a model allow: how many versions the weights may
+   lag behind the newest.
+
+   The bound is not configured; it is derived from the minimum versions that
+   trainers request.  A model has one row per observed lag, with the time at
+   which an entry last observed it, and the least lag whose row is still valid
+   applies.  Every orderer reads all rows of a model, so their number must not
+   grow with the number of entries.  */
 #include "jobs/staleness.h"
 
 #include <stdio.h>
@@ -13,31 +15,31 @@
 
 enum
 {
-  /* A row counts for so long, and is renewed at half of it while jobs come;
-     trainers submit every few seconds.  */
-  FRESH_MS = 60000,
+  /* A row is valid for this long and renewed after half of it while jobs
+     arrive; trainers submit every few seconds.  */
+  VALID_MS = 60000,
   RENEW_MS = 30000,
-  /* An entry sees some of a model's jobs only, so it keeps the least lag of
-     this time.  */
-  WINDOW_MS = 30000
+  /* Each entry sees only some of a model's jobs, so it uses the least lag of
+     this period.  */
+  MIN_LAG_WINDOW_MS = 30000
 };
 
-struct lag
+struct model_staleness
 {
-  int64_t named; /* newest version named */
-  int64_t least; /* lag in this window; -1: none */
-  int64_t window_ms;
-  int64_t told; /* -1: never */
-  int64_t told_ms;
+  int64_t newest_version; /* announced */
+  int64_t min_lag;        /* in the current window; -1: none */
+  int64_t window_start_ms;
+  int64_t published_lag; /* -1: never */
+  int64_t published_ms;
 };
 
 struct wy_staleness
 {
   struct wy_gate_env *env;
-  GHashTable *by_model; /* struct lag */
+  GHashTable *by_model; /* struct model_staleness */
 };
 
-/* Lags as seen by the entry of ENV.  */
+/* Return an empty set of observed lags for the entry of ENV.  */
 struct wy_staleness *
 wy_staleness_new (struct wy_gate_env *env)
 {
@@ -49,8 +51,8 @@
   return l;
 }
 
-/* Free L.  What it has told may still be under way, so the lags themselves
-   stay.  */
+/* Free L.  The per-model structs are not freed, since writes in progress may
+   refer to them.  */
 void
 wy_staleness_free (struct wy_staleness *l)
 {
@@ -59,51 +61,52 @@
   g_free (l);
 }
 
-static struct lag *
-lag_for (struct wy_staleness *l, const char *model)
+static struct model_staleness *
+find_or_add (struct wy_staleness *l, const char *model)
 {
-  struct lag *g = g_hash_table_lookup (l->by_model, model);
+  struct model_staleness *g = g_hash_table_lookup (l->by_model, model);
 
   if (g)
     return g;
-  g = g_new0 (struct lag, 1);
-  g->named = 1;
-  g->least = -1;
-  g->told = -1;
+  g = g_new0 (struct model_staleness, 1);
+  g->newest_version = 1;
+  g->min_lag = -1;
+  g->published_lag = -1;
   g_hash_table_insert (l->by_model, g_strdup (model), g);
   return g;
 }
 
-/* VERSION of MODEL has been named.  */
+/* Record that VERSION of MODEL has been announced.  */
 void
 wy_staleness_version_announced (struct wy_staleness *l, const char *model,
                                 int64_t version)
 {
-  struct lag *g = lag_for (l, model);
+  struct model_staleness *g = find_or_add (l, model);
 
-  if (g->named < version)
-    g->named = version;
+  if (g->newest_version < version)
+    g->newest_version = version;
 }
 
-/* The newest version of MODEL that has been named.  */
+/* Return the newest version of MODEL that has been announced.  */
 int64_t
 wy_staleness_newest_version (struct wy_staleness *l, const char *model)
 {
-  return lag_for (l, model)->named;
+  return find_or_add (l, model)->newest_version;
 }
 
 static void
-on_told (void *ctx, const struct wy_rows_result *r)
+on_published (void *ctx, const struct wy_rows_result *r)
 {
-  struct lag *g = ctx;
+  struct model_staleness *g = ctx;
 
-  /* The next job tells it again.  */
+  /* The next job publishes it again.  */
   if (r->err)
-    g->told = -1;
+    g->published_lag = -1;
 }
 
 static void
-tell (struct wy_staleness *l, struct lag *g, const char *model, int64_t now_ms)
+publish (struct wy_staleness *l, struct model_staleness *g, const char *model,
+         int64_t now_ms)
 {
   char key[24];
   char value[96];
@@ -111,43 +114,46 @@
       = { .table = WY_STALENESS_TABLE, .key = key, .value = value };
   struct wy_rows_tx tx = { .partition = model, .writes = &w, .n_writes = 1 };
 
-  snprintf (key, sizeof key, "%lld", (long long)g->least);
+  snprintf (key, sizeof key, "%lld", (long long)g->min_lag);
   snprintf (value, sizeof value, "{\"lag\":%lld,\"at_ms\":%lld}",
-            (long long)g->least,
+            (long long)g->min_lag,
             (long long)wy_rows_store_now_ms (l->env->rows));
   w.size_bytes = strlen (value);
-  g->told = g->least;
-  g->told_ms = now_ms;
-  wy_rows_tx (l->env->rows, &tx, on_told, g);
+  g->published_lag = g->min_lag;
+  g->published_ms = now_ms;
+  wy_rows_tx (l->env->rows, &tx, on_published, g);
 }
 
-/* A job of MODEL that takes weights from MIN_VERSION on has been accepted.  */
+/* Record that a job of MODEL has been accepted that allows weights from
+   MIN_VERSION on.  */
 void
 wy_staleness_job_accepted (struct wy_staleness *l, const char *model,
                            int64_t min_version)
 {
-  struct lag *g = lag_for (l, model);
+  struct model_staleness *g = find_or_add (l, model);
   int64_t now_ms = wy_clock_mono_ms (l->env->clock);
-  int64_t lag = MAX (g->named - min_version, 0);
+  int64_t lag = MAX (g->newest_version - min_version, 0);
 
-  /* Before the first version is named there is nothing to be behind of.  */
-  if (g->named <= 1)
+  /* Before the first announcement there is no version to lag behind.  */
+  if (g->newest_version <= 1)
     return;
-  if (g->least < 0 || lag < g->least || now_ms - g->window_ms > WINDOW_MS)
+  if (g->min_lag < 0 || lag < g->min_lag
+      || now_ms - g->window_start_ms > MIN_LAG_WINDOW_MS)
     {
-      g->least = lag;
-      g->window_ms = now_ms;
+      g->min_lag = lag;
+      g->window_start_ms = now_ms;
     }
-  if (g->least != g->told || now_ms - g->told_ms > RENEW_MS)
-    tell (l, g, model, now_ms);
+  if (g->min_lag != g->published_lag || now_ms - g->published_ms > RENEW_MS)
+    publish (l, g, model, now_ms);
 }
 
-/* The lag that the rows R, all of a model's part, tell; 0 when none is fresh,
-   which asks for every version at once.  */
+/* Return the least lag among the valid rows of R, which are all rows of a
+   model's partition.  Return 0 if none is valid, so that every version is
+   loaded at once.  */
 uint32_t
 wy_staleness_allowed (const struct wy_rows_result *r)
 {
-  int64_t least = -1;
+  int64_t min_lag = -1;
 
   for (size_t i = 0; i < r->n; i++)
     {
@@ -157,8 +163,9 @@
       int64_t at_ms = json_integer_value (json_object_get (doc, "at_ms"));
 
       json_decref (doc);
-      if (r->store_now_ms - at_ms <= FRESH_MS && (least < 0 || lag < least))
-        least = lag;
+      if (r->store_now_ms - at_ms <= VALID_MS
+          && (min_lag < 0 || lag < min_lag))
+        min_lag = lag;
     }
-  return least < 0 ? 0 : (uint32_t)least;
+  return min_lag < 0 ? 0 : (uint32_t)min_lag;
 }
--- a/src/jobs/staleness.h
+++ b/src/jobs/staleness.h
@@ -1,5 +1,6 @@
-/* How far behind the newest weights the jobs of a model may lie: told by the
-   entries that accept them, read by those who load weights.  */
+/* Staleness that the jobs of a model allow: how many versions the weights may
+   lag behind the newest.  Published by the entries that accept jobs, read by
+   the orderers that schedule the loading of weights.  */
 #ifndef WY_JOBS_STALENESS_H
 #define WY_JOBS_STALENESS_H
 
--- a/src/jobs/state.h
+++ b/src/jobs/state.h
@@ -1,4 +1,5 @@
-/* Inside of src/jobs: the records known and the jobs run here.  */
+/* Private declarations of src/jobs: the known records and the jobs run
+   here.  */
 #ifndef WY_JOBS_STATE_H
 #define WY_JOBS_STATE_H
 
@@ -11,48 +12,49 @@
   struct wy_members *members;
   uint32_t piece_bytes;
   size_t row_bytes;
-  uint64_t memory_bytes;
-  uint64_t accepting_bytes; /* of submissions not yet answered */
+  uint64_t memory_limit_bytes;
+  uint64_t submissions_bytes; /* bodies of submissions in progress */
   struct wy_watch *watch;
-  struct wy_staleness *lags;
+  struct wy_staleness *staleness;
   uv_timer_t tick;
-  int64_t ticked_ms;
+  int64_t last_tick_ms;
   uint64_t ticks;
-  int64_t keep_ms; /* results, from their job's submission */
-  int64_t clean_due_ms;
-  bool cleaning;
-  GHashTable *records;  /* struct wy_job_record by id */
-  GHashTable *owned;    /* struct wy_owned by id */
-  GPtrArray *lingering; /* struct wy_owned whose jobs have been ended */
-  GPtrArray *accepting; /* struct accept */
-  GHashTable *finished; /* struct finished by id */
-  GHashTable *taking;   /* ids whose takeover or load is under way */
-  GQueue waiting;       /* struct read: callers waiting for results */
+  int64_t result_retention_ms; /* from the job's submission */
+  int64_t expire_due_ms;
+  bool expiring;
+  GHashTable *records;    /* struct wy_job_record by id */
+  GHashTable *active;     /* struct wy_active_job by id */
+  GPtrArray *lingering;   /* struct wy_active_job, ended by their trainers */
+  GPtrArray *submissions; /* struct submission */
+  GHashTable *finished;   /* struct finished by id */
+  GHashTable *starting;   /* ids of jobs being taken over or loaded */
+  GQueue waiting_calls; /* struct call_state: callers that wait for results */
 };
 
 const struct wy_job_record *wy_jobs_find (const struct wy_jobs *j,
                                           const char *id);
-void wy_jobs_learn (struct wy_jobs *j, struct wy_job_record *r);
-struct wy_owned *wy_jobs_own (struct wy_jobs *j, const struct wy_job_record *r,
-                              struct wy_job_spec *spec);
-void wy_jobs_on_listed (void *ctx, struct wy_owned *o);
-void wy_jobs_on_owned_end (void *ctx, struct wy_owned *o,
-                           enum wy_owned_end why);
-void wy_jobs_finish (struct wy_jobs *j, const struct wy_job_record *r);
-void wy_jobs_finish_again (struct wy_jobs *j);
+void wy_jobs_update_record (struct wy_jobs *j, struct wy_job_record *r);
+struct wy_active_job *wy_jobs_activate (struct wy_jobs *j,
+                                        const struct wy_job_record *r,
+                                        struct wy_job_spec *spec);
+void wy_jobs_on_listed (void *ctx, struct wy_active_job *o);
+void wy_jobs_on_job_end (void *ctx, struct wy_active_job *o,
+                         enum wy_active_job_end why);
+void wy_jobs_mark_done (struct wy_jobs *j, const struct wy_job_record *r);
+void wy_jobs_retry_mark_done (struct wy_jobs *j);
 void wy_jobs_forget_finished (struct wy_jobs *j, const char *id);
 void wy_jobs_accept_tick (struct wy_jobs *j);
 void wy_jobs_take_over (struct wy_jobs *j, const struct wy_job_record *r);
-void wy_jobs_hand_on (struct wy_jobs *j, const struct wy_job_record *r,
-                      const struct sockaddr_in *address, const char *body,
-                      size_t n);
-bool wy_jobs_have_room (const struct wy_jobs *j, size_t body_bytes);
-void wy_jobs_clean (struct wy_jobs *j);
+void wy_jobs_hand_off (struct wy_jobs *j, const struct wy_job_record *r,
+                       const struct sockaddr_in *address, const char *body,
+                       size_t n);
+bool wy_jobs_has_memory_for (const struct wy_jobs *j, size_t body_bytes);
+void wy_jobs_expire (struct wy_jobs *j);
 void wy_jobs_wake_readers (struct wy_jobs *j, const char *id);
 
-void wy_job_load (struct wy_jobs *j, const struct wy_job_record *r,
-                  void (*on_done) (void *ctx, int err,
-                                   struct wy_job_spec *spec),
-                  void *ctx);
+void wy_job_fetch (struct wy_jobs *j, const struct wy_job_record *r,
+                   void (*on_done) (void *ctx, int err,
+                                    struct wy_job_spec *spec),
+                   void *ctx);
 
 #endif
--- a/src/jobs/text_rows.c
+++ b/src/jobs/text_rows.c
@@ -1,10 +1,10 @@
-/* Pieces of texts as rows.
+/* Partial texts as rows.
 
-   A text grows at its end, so only what is new is written; a whole text of
-   ninety events written again with every few of them would be some hundred
-   kilobytes.  A piece follows another only at the byte where that ends and
-   under the same making: what a broken off and forgotten text has left in the
-   store is never taken for the rest of the next one.  */
+   A text only grows at its end, so only the new part is written; rewriting a
+   complete text of ninety events after every few events would add up to some
+   hundred kilobytes.  A piece is appended only at the byte where the previous
+   one ends and only under the same text id, so what remains in the store of a
+   discarded text is never taken for the rest of the next one.  */
 #include "jobs/text_rows.h"
 
 #include <stdio.h>
@@ -15,15 +15,15 @@
 
 enum
 {
-  AT_DIGITS = 11, /* ".0000000000" */
-  ID_SIZE = 17,
-  CHARACTER_BYTES = 4 /* of UTF-8, at most */
+  OFFSET_SUFFIX_BYTES = 11, /* ".0000000000" */
+  TEXT_ID_SIZE_BYTES = 17,
+  CHARACTER_BYTES = 4 /* maximum in UTF-8 */
 };
 
 static char *
 encode (const char *bytes, size_t n, const struct wy_text_state *s, bool last)
 {
-  char id[ID_SIZE];
+  char id[TEXT_ID_SIZE_BYTES];
   json_t *doc = json_object ();
   char *text;
   char *out;
@@ -40,7 +40,7 @@
         json_array_append_new (versions, json_integer (s->versions[k]));
       json_object_set_new (doc, "versions", versions);
       json_object_set_new (doc, "last", json_integer (s->last_event));
-      json_object_set_new (doc, "whole", json_boolean (s->whole));
+      json_object_set_new (doc, "whole", json_boolean (s->complete));
     }
   text = json_dumps (doc, JSON_COMPACT);
   json_decref (doc);
@@ -49,7 +49,8 @@
   return out;
 }
 
-/* Where the character at AT begins; AT, if the bytes there are none.  */
+/* Return the start of the character that contains the byte at AT, or AT if the
+   bytes there are no UTF-8.  */
 static size_t
 character_start (const char *text, size_t at, size_t from)
 {
@@ -61,9 +62,9 @@
   return start > from && at - start < CHARACTER_BYTES ? start : at;
 }
 
-/* Append rows (struct wy_row_write of TABLE) with the bytes of TEXT from
-   FROM_BYTES to TO_BYTES, its end, to WRITES; STATE holds with the last of
-   them. The keys and values are copies.  */
+/* Append rows (struct wy_row_write of TABLE) to WRITES with the bytes of TEXT
+   from FROM_BYTES to TO_BYTES, its end.  The last row has STATE.  The keys and
+   values are copies.  */
 void
 wy_text_rows_add (GArray *writes, const char *table, const char *item,
                   const char *text, size_t from_bytes, size_t to_bytes,
@@ -73,7 +74,7 @@
 
   do
     {
-      /* Quoted characters take more bytes than they are.  */
+      /* Escaped characters take more bytes.  */
       size_t end = MIN (to_bytes, at + row_bytes / 2);
       struct wy_row_write w = { .table = table };
 
@@ -101,23 +102,23 @@
   g_array_set_size (writes, 0);
 }
 
-/* Bytes of KEY that name its item.  */
+/* Return how many bytes of KEY are the item's id.  */
 size_t
-wy_text_item_size (const char *key)
+wy_text_key_item_bytes (const char *key)
 {
   size_t n = strlen (key);
 
-  return n > AT_DIGITS ? n - AT_DIGITS : n;
+  return n > OFFSET_SUFFIX_BYTES ? n - OFFSET_SUFFIX_BYTES : n;
 }
 
 static void
-take_state (struct wy_kept_text *t, json_t *doc)
+decode_state (struct wy_saved_text *t, json_t *doc)
 {
   json_t *v;
   size_t k;
 
   t->last_event = json_integer_value (json_object_get (doc, "last"));
-  t->whole = json_is_true (json_object_get (doc, "whole"));
+  t->complete = json_is_true (json_object_get (doc, "whole"));
   g_array_set_size (t->versions, 0);
   json_array_foreach (json_object_get (doc, "versions"), k, v)
   {
@@ -127,12 +128,12 @@
   }
 }
 
-static struct wy_kept_text *
-new_text (const char *key)
+static struct wy_saved_text *
+saved_text_new (const char *key)
 {
-  struct wy_kept_text *t = g_new0 (struct wy_kept_text, 1);
+  struct wy_saved_text *t = g_new0 (struct wy_saved_text, 1);
 
-  t->item = g_strndup (key, wy_text_item_size (key));
+  t->item = g_strndup (key, wy_text_key_item_bytes (key));
   t->text = g_string_new (NULL);
   t->versions = g_array_new (FALSE, FALSE, sizeof (int64_t));
   t->keys = g_ptr_array_new_with_free_func (g_free);
@@ -140,13 +141,13 @@
   return t;
 }
 
-/* Take the piece ROW in if it fits behind T.  SOUND_BYTES is as far as the
-   text is known to end with an event.  */
+/* Append the piece in ROW to T if it belongs there. *EVENT_END_BYTES is the
+   length up to which the text is known to end with an event.  */
 static void
-add_piece (struct wy_kept_text *t, const struct wy_row *row,
-           size_t *sound_bytes)
+append_piece (struct wy_saved_text *t, const struct wy_row *row,
+              size_t *event_end_bytes)
 {
-  const char *at = row->key + wy_text_item_size (row->key) + 1;
+  const char *at = row->key + wy_text_key_item_bytes (row->key) + 1;
   json_t *doc = json_loadb (row->value, row->size_bytes, 0, NULL);
   const char *text = json_string_value (json_object_get (doc, "text"));
   const char *id = json_string_value (json_object_get (doc, "id"));
@@ -160,33 +161,33 @@
       g_string_append (t->text, text);
       if (json_object_get (doc, "last"))
         {
-          take_state (t, doc);
-          *sound_bytes = t->text->len;
+          decode_state (t, doc);
+          *event_end_bytes = t->text->len;
         }
     }
   json_decref (doc);
 }
 
-/* The text in the N rows ROWS of one item, in the order of their keys, as far
-   as it goes on without a gap; NULL: there is none.  */
-struct wy_kept_text *
+/* Return the text in the N rows ROWS of one item, which are in the order of
+   their keys, up to the first gap; NULL if there is none.  */
+struct wy_saved_text *
 wy_text_rows_join (const struct wy_row *rows, size_t n)
 {
-  struct wy_kept_text *t = new_text (rows[0].key);
-  size_t sound_bytes = 0;
+  struct wy_saved_text *t = saved_text_new (rows[0].key);
+  size_t event_end_bytes = 0;
 
   for (size_t k = 0; k < n; k++)
-    add_piece (t, &rows[k], &sound_bytes);
-  g_string_truncate (t->text, sound_bytes);
+    append_piece (t, &rows[k], &event_end_bytes);
+  g_string_truncate (t->text, event_end_bytes);
   if (t->last_event >= 0)
     return t;
-  wy_kept_text_free (t);
+  wy_saved_text_free (t);
   return NULL;
 }
 
 /* Free T, which may be NULL.  */
 void
-wy_kept_text_free (struct wy_kept_text *t)
+wy_saved_text_free (struct wy_saved_text *t)
 {
   if (!t)
     return;
--- a/src/jobs/view.c
+++ b/src/jobs/view.c
@@ -1,9 +1,9 @@
-/* What is known of jobs, for metrics and the status page.  */
+/* Summaries of jobs for metrics and the status page.  */
 #include <string.h>
 
 #include "jobs/state.h"
 
-/* Sum up what is run here.  */
+/* Sum up the unfinished work of the jobs that run here.  */
 void
 wy_jobs_backlog (const struct wy_jobs *j, struct wy_jobs_backlog *out)
 {
@@ -12,20 +12,20 @@
   gpointer p;
 
   memset (out, 0, sizeof *out);
-  g_hash_table_iter_init (&it, j->owned);
+  g_hash_table_iter_init (&it, j->active);
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
-      const struct wy_owned *o = p;
+      const struct wy_active_job *o = p;
 
       out->oldest_ms = MAX (out->oldest_ms, now_ms - o->started_ms);
       out->waiting += o->n_waiting;
       out->scoring += o->n_scoring;
-      out->unlisted += o->ended.length;
+      out->unlisted += o->unlisted.length;
     }
 }
 
-/* Tell FN of the jobs that are run here, or, without HERE, of those known that
-   are not.  */
+/* Call FN for each job that runs here or, without HERE, for each known one
+   that doesn't.  */
 void
 wy_jobs_each (const struct wy_jobs *j, bool here,
               void (*fn) (void *ctx, const struct wy_job_view *v), void *ctx)
@@ -38,7 +38,7 @@
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
       const struct wy_job_record *r = p;
-      const struct wy_owned *o = g_hash_table_lookup (j->owned, r->id);
+      const struct wy_active_job *o = g_hash_table_lookup (j->active, r->id);
       struct wy_job_view v = { .id = r->id,
                                .state = wy_job_state_name (r->state),
                                .holder = r->holder,
--- a/tests/test_jobs.c
+++ b/tests/test_jobs.c
@@ -1,10 +1,11 @@
-/* Jobs: accepted once, run whole, listed at fixed positions.  */
+/* Jobs: accepted once, all items run to the end, results listed at fixed
+   positions.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
 #include "support/job_world.h"
 
-Test (jobs, whole_and_once)
+Test (jobs, accepted_and_listed_once)
 {
   job_world_start (2);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
@@ -18,8 +19,9 @@
   job_world_stop ();
 }
 
-/* Replicas break off, stand still, fail and answer for others while a job
-   runs.  The trainer must get each text once and whole all the same.  */
+/* Replicas cut streams, stall, reject, fail and respond to other requests
+   while a job runs.  Guards against a trainer that gets a text twice,
+   incomplete or not at all.  */
 Test (jobs, replica_faults)
 {
   struct wy_platform_replica_faults *f;
@@ -40,15 +42,15 @@
   job_world_stop ();
 }
 
-/* The answer to the write that accepts a job is lost, though the job is kept.
-   The submitter must not hear "does not run"; once settled it hears that the
-   job is kept, and it runs once.  */
-Test (jobs, lost_answer_to_acceptance)
+/* The response to the write that accepts a job is lost although the write took
+   effect.  Guards against telling the submitter that the job was not accepted,
+   and against running it twice.  */
+Test (jobs, lost_response_to_acceptance)
 {
   job_world_start (2);
   platform_world_run_ms (&job_world, 700);
-  /* The next transaction may be a heartbeat; all of them lose their answers
-     for a while.  */
+  /* The next transaction may be a heartbeat, so all of them lose their
+     responses for a while.  */
   wy_platform_store_faults (job_world.store)->lose = 2;
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   job_world_check_all ("j1");
@@ -56,10 +58,10 @@
   job_world_stop ();
 }
 
-/* The store is silent for one submission; its submitter tries again and is
-   accepted.  When the store then refuses the first attempt, that one must not
-   be told "does not run", since the job does.  */
-Test (jobs, refused_attempt_of_a_kept_job)
+/* The store doesn't respond to one submission; the submitter's second attempt
+   is accepted.  When the store then refuses a write of the first attempt, its
+   response must not say that the job was not accepted, since it runs.  */
+Test (jobs, refused_attempt_of_an_accepted_job)
 {
   struct wy_h1_header fields[] = { { "Host", "h" }, { "Attempt-Id", "j1" } };
   struct wy_platform_store_faults *f;
@@ -85,7 +87,7 @@
 }
 
 static void
-expect_away (struct platform_answer *a)
+expect_store_unavailable (struct platform_answer *a)
 {
   cr_assert (platform_world_until (&job_world, platform_answer_done, a));
   cr_expect_eq (a->status, 503);
@@ -94,11 +96,12 @@
   platform_answer_free (a);
 }
 
-/* The store falls silent while a job is submitted.  A submitter that hears
-   nothing gives up after some attempts, and its step is lost; it must hear in
-   good time that the job does not run, and, once the store is known to be
-   away, at once.  The body that was sent late must not make the job run.  */
-Test (jobs, store_falls_silent)
+/* The store stops responding while a job is submitted.  A submitter that gets
+   no response gives up after some attempts and loses its step, so it must be
+   told in time that the job was not accepted, and immediately once the store
+   is known to be unreachable.  The body that was sent late must not make the
+   job run.  */
+Test (jobs, store_stops_responding)
 {
   struct wy_h1_header fields[] = { { "Host", "h" }, { "Attempt-Id", "j1" } };
   uint16_t port;
@@ -108,8 +111,8 @@
   port = wy_h1_server_port (job_entry.server);
   wy_platform_store_faults (job_world.store)->silent = true;
   for (int i = 0; i < 2; i++)
-    expect_away (platform_world_call (&job_world, port, "POST", "/p/job",
-                                      fields, 2, body));
+    expect_store_unavailable (platform_world_call (&job_world, port, "POST",
+                                                   "/p/job", fields, 2, body));
   wy_platform_store_faults (job_world.store)->silent = false;
   platform_world_run_ms (&job_world, 1500);
   cr_expect_eq (wy_jobs_running (job_entry.jobs), 0);
@@ -119,8 +122,8 @@
   job_world_stop ();
 }
 
-/* Writes of results are performed without an answer, or seconds late.  Each
-   item must stand at one position, and a position never change.  */
+/* Writes of results take effect without a response, or late.  Each item must
+   have one position, and a position must never change.  */
 Test (jobs, lost_and_late_results)
 {
   struct wy_platform_store_faults *f;
@@ -137,9 +140,9 @@
   job_world_stop ();
 }
 
-/* The store is away while a job runs.  Results wait for it; a submitter hears
-   that its job does not run and when to come back.  */
-Test (jobs, store_away)
+/* The store is unavailable while a job runs.  Results wait until it is back; a
+   submitter is told that its job was not accepted and when to retry.  */
+Test (jobs, store_unavailable)
 {
   struct wy_platform_store_faults *f;
   char *body = job_world_body (1);
@@ -161,8 +164,9 @@
   job_world_stop ();
 }
 
-/* Replicas have older weights than the job allows.  Nothing made under them
-   may reach the trainer; when one has the weights, the job is run there.  */
+/* The replicas have older weights than the job allows.  Nothing generated with
+   them may reach the trainer; once a replica has the new weights, the job runs
+   there.  */
 Test (jobs, weights_too_old)
 {
   json_t *r;
@@ -185,8 +189,9 @@
   job_world_stop ();
 }
 
-/* An item can never be done.  It is listed as given up and holds up nobody. */
-Test (jobs, hopeless_item_is_given_up)
+/* A replica rejects an item for good.  It must be listed as given up and must
+   not delay the other items.  */
+Test (jobs, unprocessable_item_is_given_up)
 {
   uint32_t given_up = 0;
 
@@ -204,8 +209,8 @@
   job_world_stop ();
 }
 
-/* Bodies that are no job are refused for what they are and kept nowhere.  */
-Test (jobs, what_is_no_job)
+/* Malformed jobs are rejected with status 400 and not stored.  */
+Test (jobs, malformed_jobs_are_rejected)
 {
   static const char *const bodies[]
       = { "",
@@ -229,10 +234,11 @@
   job_world_stop ();
 }
 
-/* Trainers submit hundreds of jobs while the replicas stand still.  An entry
-   must not die of them: beyond its memory it refuses, says when to come back,
-   and takes jobs again when it has room.  What it took is done.  */
-Test (jobs, hundreds_beyond_the_memory)
+/* Trainers submit hundreds of jobs while the replicas are stalled.  Guards
+   against an entry that runs out of memory: beyond its limit it must reject
+   jobs, say when to retry, and accept jobs again once it has memory.  The
+   accepted ones must be completed.  */
+Test (jobs, memory_limit)
 {
   enum
   {
@@ -241,8 +247,8 @@
   };
   char *body = job_world_body (1);
   char id[16];
-  uint32_t taken = 0;
-  uint32_t refused = 0;
+  uint32_t accepted = 0;
+  uint32_t rejected = 0;
 
   job_memory_bytes = strlen (body) * 4 * FITTING;
   job_world_start (1);
@@ -253,12 +259,12 @@
 
       g_snprintf (id, sizeof id, "m%d", i);
       a = job_world_call ("POST", "/p/job", id, body);
-      taken += a->status == 202;
-      refused += a->status == 503 && a->retry_after;
+      accepted += a->status == 202;
+      rejected += a->status == 503 && a->retry_after;
       platform_answer_free (a);
     }
-  cr_expect_eq (taken, FITTING);
-  cr_expect_eq (refused, SUBMISSIONS - FITTING);
+  cr_expect_eq (accepted, FITTING);
+  cr_expect_eq (rejected, SUBMISSIONS - FITTING);
   cr_expect_eq (wy_jobs_running (job_entry.jobs), FITTING);
   wy_platform_replica_faults (job_world.replicas[0])->silent = false;
   job_world_check_all ("m0");
--- a/tests/test_jobs_orgs.c
+++ b/tests/test_jobs_orgs.c
@@ -29,9 +29,9 @@
   cr_expect_str_neq (a, b);
 }
 
-/* Two organisations choose the same name for a job.  Guards against one of
-   them being told that its job is kept when only the other's is, and against
-   reading or ending the other's.  */
+/* Two organisations choose the same name for a job.  Guards against confirming
+   one's job when only the other's is stored, and against reading or ending the
+   other's job.  */
 Test (job_orgs, equal_names)
 {
   job_organisation = "acme";
@@ -52,8 +52,8 @@
   job_world_stop ();
 }
 
-/* A job was accepted before jobs belonged to organisations; its submitter has
-   a key by now and must still reach it.  */
+/* A job was accepted without an organisation.  Its submitter, which has an
+   access key by now, must still reach it.  */
 Test (job_orgs, job_without_organisation)
 {
   job_organisation = "";
@@ -66,8 +66,8 @@
   job_world_stop ();
 }
 
-/* The entry that takes a job over needs no key: the organisation is read from
-   the job's row.  */
+/* The entry that takes a job over doesn't need a key: the organisation is read
+   from the job's row.  */
 Test (job_orgs, takeover)
 {
   job_organisation = "acme";
--- a/tests/test_jobs_takeover.c
+++ b/tests/test_jobs_takeover.c
@@ -1,12 +1,12 @@
-/* Jobs: who runs them, and how they end: deaths, takeovers, removal.  */
+/* Jobs: their holders, and their ends: crashes, takeovers, removal.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
 #include "support/job_world.h"
 
-/* An entry dies with half of a job done.  The next one to come up must list
-   the rest behind what is listed, and nothing twice.  */
-Test (jobs, taken_over_after_a_death)
+/* An entry crashes with half of a job done.  Its successor must list the
+   remaining results after the existing ones, and none twice.  */
+Test (jobs, taken_over_after_a_crash)
 {
   json_t *first;
   json_t *again;
@@ -29,9 +29,9 @@
   job_world_stop ();
 }
 
-/* An entry dies while a long item runs.  The next one must go on from the text
-   that was stored, not make the trainer wait for all of it again.  */
-Test (jobs, taken_over_with_its_text)
+/* An entry crashes while a long item runs.  Its successor must continue from
+   the stored text, or the trainer would wait for all of it again.  */
+Test (jobs, takeover_resumes_text)
 {
   enum
   {
@@ -53,12 +53,13 @@
   job_world_start_entry ();
   platform_world_run_ms (&job_world, 1000);
   resumed_at = wy_platform_replica_last_resume (job_world.replicas[0]);
-  cr_expect_gt (resumed_at, 20, "went on from %lld", (long long)resumed_at);
+  cr_expect_gt (resumed_at, 20, "resumed after event %lld",
+                (long long)resumed_at);
   job_world_stop ();
 }
 
-/* Another entry has taken the job over while this one stood still.  What this
-   one still writes must change nothing.  */
+/* Another entry has taken the job over while this one was suspended.  The
+   former holder's writes must have no effect.  */
 Test (jobs, former_holder_writes_nothing)
 {
   char *record;
@@ -84,11 +85,10 @@
   job_world_stop ();
 }
 
-/* The store turns another entry away, whose calls go through peers.  Given a
-   new job, it would take a detour with each result, and be taken for gone as
-   soon as a few heartbeats are lost: its step would be begun anew elsewhere.
- */
-Test (jobs, none_for_an_entry_that_is_turned_away)
+/* The store rejects the calls of another entry, which reaches it through peers
+   only.  Given a new job, that entry would relay every result, and a few lost
+   heartbeats would cause a takeover, which restarts the step elsewhere.  */
+Test (jobs, none_for_an_entry_behind_peers)
 {
   char *record;
 
@@ -123,9 +123,10 @@
 }
 
 /* Half of the entries are small instances with a fifth of the processor time
-   of the others.  By their number they would get every fifth job; each of its
-   results would then be listed some hundred ms late, and its trainer idle.  */
-Test (jobs, none_for_weak_entries)
+   of the others.  Chosen by number alone, they would get every fifth job;
+   their results would be listed some hundred ms late while the trainer is
+   idle.  */
+Test (jobs, none_for_small_entries)
 {
   char node[8];
 
@@ -143,10 +144,10 @@
   job_world_stop ();
 }
 
-/* A holder dies.  Whoever takes its jobs over should be able to carry them:
-   with as many small instances as large ones, every second job would else go
-   from one that can to one that can't.  */
-Test (jobs, weak_entries_take_over_last)
+/* A holder fails.  Entries with enough processor time must take its jobs over
+   first: with as many small instances as large ones, every second job would
+   otherwise move to an instance that is too slow for it.  */
+Test (jobs, small_entries_take_over_last)
 {
   char node[8];
 
@@ -165,17 +166,17 @@
 }
 
 static bool
-hears_the_store (void *ctx)
+store_is_back (void *ctx)
 {
   int64_t age_ms = wy_members_age_ms (job_entry.members);
 
   return age_ms >= 0 && age_ms < 100;
 }
 
-/* The store was away, and every entry's heartbeats with it.  Taken for gone a
-   few beats after its return, all entries would have all their jobs taken over
-   at once, and each step would wait for that.  */
-Test (jobs, nobody_is_gone_for_an_outage)
+/* The store was unavailable, so no entry could write heartbeats.  If entries
+   were considered failed shortly after its return, all jobs would be taken
+   over at once and each step would wait for that.  */
+Test (jobs, no_entry_fails_by_a_store_outage)
 {
   struct wy_platform_store_faults *f;
 
@@ -188,25 +189,26 @@
   f->silent = true;
   platform_world_run_ms (&job_world, 2500);
   f->silent = false;
-  cr_assert (platform_world_until (&job_world, hears_the_store, NULL));
+  cr_assert (platform_world_until (&job_world, store_is_back, NULL));
   platform_world_run_ms (&job_world, 700);
   cr_expect_eq (wy_members_count_alive (job_entry.members), 2);
-  /* It is silent all the same, and known to be gone in the end.  */
+  /* The entry still writes no heartbeat and is considered failed in the
+     end.  */
   platform_world_run_ms (&job_world, 1600);
   cr_expect_eq (wy_members_count_alive (job_entry.members), 1);
   job_world_stop ();
 }
 
 static bool
-all_is_listed (void *ctx)
+all_results_are_listed (void *ctx)
 {
   return job_world_listed ("j1") == JOB_ITEMS;
 }
 
-/* All results are listed, and the answer to the write that marks the job done
-   is lost.  The entry must not take it for a job without a holder: its body
-   and all its results would be read again, over and over.  */
-Test (jobs, a_finished_one_is_not_taken_up)
+/* All results are listed, and the response to the write that marks the job as
+   done is lost.  Guards against taking it for a job without a holder: its body
+   and all its results would be read again and again.  */
+Test (jobs, done_job_is_not_loaded_again)
 {
   struct wy_platform_store_faults *f;
 
@@ -214,7 +216,7 @@
   f = wy_platform_store_faults (job_world.store);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   f->deaf = true;
-  cr_assert (platform_world_until (&job_world, all_is_listed, NULL));
+  cr_assert (platform_world_until (&job_world, all_results_are_listed, NULL));
   f->lose = 4;
   platform_world_run_ms (&job_world, 700);
   cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
@@ -227,8 +229,8 @@
   job_world_stop ();
 }
 
-/* The trainer ends its job while items run.  Nothing more may start, and what
-   is listed stays.  */
+/* The trainer ends its job while items run.  No further run may start, and
+   listed results must stay.  */
 Test (jobs, nothing_starts_after_the_end)
 {
   uint32_t runs;
@@ -247,16 +249,16 @@
   job_world_stop ();
 }
 
-/* Results may be read for a while; then the job must go, or the store fills up
-   and takes no more jobs.  */
-Test (jobs, old_ones_are_removed)
+/* Results may be read for a limited time; then the job must be removed, or the
+   store fills up and accepts no more jobs.  */
+Test (jobs, expired_job_is_removed)
 {
   job_world_start (2);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   job_world_check_all ("j1");
   cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
   cr_expect_gt (wy_platform_store_objects (job_world.store), 0);
-  /* As if it had been accepted an hour ago.  */
+  /* As if it had been accepted long ago.  */
   {
     char *value = wy_platform_store_value (job_world.store, WY_JOBS_TABLE,
                                            "j1", WY_JOB_ROW_KEY);
--- a/tests/test_results.c
+++ b/tests/test_results.c
@@ -1,4 +1,5 @@
-/* Results as rows: cut, read page by page, joined again; lags as told.  */
+/* Results as rows: split, read page by page and joined again.  Staleness that
+   jobs allow, as published by entries.  */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -20,7 +21,7 @@
   wy_result_free (p);
 }
 
-/* The rows of RESULTS results whose texts differ in length.  */
+/* Return the rows of RESULTS results with texts of different lengths.  */
 static GArray *
 make_rows (void)
 {
@@ -54,7 +55,7 @@
   g_array_free (rows, TRUE);
 }
 
-/* Read ROWS from the key FROM on, PAGE rows at most, as the store would.  */
+/* Read ROWS from the key FROM on, up to PAGE rows, as the store would.  */
 static guint
 page_of (const GArray *rows, const char *from, guint page, struct wy_row *out,
          struct wy_rows_result *r)
@@ -83,9 +84,9 @@
   return n;
 }
 
-/* The store cuts its pages wherever they are full, also inside a result.  A
-   reader must get each result whole and once, whatever the size of a page.  */
-Test (results, whole_whatever_the_pages)
+/* Pages of the store end wherever they are full, even within a result.  A
+   reader must get each result complete and once, for any page size.  */
+Test (results, complete_for_any_page_size)
 {
   GArray *rows = make_rows ();
   struct wy_row buffer[64];
@@ -120,7 +121,7 @@
   free_rows (rows);
 }
 
-Test (results, what_is_none)
+Test (results, malformed_results)
 {
   static const char *const texts[] = { "", "{", "[]", "{\"text\":\"a\"}" };
 
@@ -128,10 +129,10 @@
     cr_expect_null (wy_result_decode (texts[i], strlen (texts[i])));
 }
 
-/* Entries tell how far behind the newest weights a model's jobs may lie.  The
-   least of what is fresh counts; without any, every version is wanted, or a
-   job might find no replica that it allows.  */
-Test (lag, least_of_the_fresh)
+/* Entries publish how many versions a model's jobs may lag behind the newest.
+   The least valid value applies; without any, every version must be loaded, or
+   a job might find no replica with weights that it allows.  */
+Test (staleness, least_valid_applies)
 {
   static const char two[] = "{\"lag\":2,\"at_ms\":100000}";
   static const char one[] = "{\"lag\":1,\"at_ms\":100000}";
@@ -151,27 +152,27 @@
   cr_expect_eq (wy_staleness_allowed (&r), 0);
 }
 
-/* Guards against a row for each entry, all of which every orderer would read
-   for each version.  */
-Test (lag, rows_do_not_grow_with_entries)
+/* Guards against one row per entry: every orderer would read all of them for
+   each version.  */
+Test (staleness, rows_do_not_grow_with_entries)
 {
   static struct platform_world w;
   char node[16];
-  struct wy_staleness *lags[ENTRIES];
+  struct wy_staleness *staleness[ENTRIES];
 
   platform_world_init (&w);
   platform_world_add_env (&w, node);
   for (int i = 0; i < ENTRIES; i++)
     {
       snprintf (node, sizeof node, "e%d", i);
-      lags[i] = wy_staleness_new (&w.env);
-      wy_staleness_version_announced (lags[i], "m", 5);
-      wy_staleness_job_accepted (lags[i], "m", 4);
+      staleness[i] = wy_staleness_new (&w.env);
+      wy_staleness_version_announced (staleness[i], "m", 5);
+      wy_staleness_job_accepted (staleness[i], "m", 4);
       platform_world_run_ms (&w, 5);
     }
   platform_world_run_ms (&w, 100);
   cr_expect_eq (wy_platform_store_count (w.store, WY_STALENESS_TABLE, "m"), 1);
   for (int i = 0; i < ENTRIES; i++)
-    wy_staleness_free (lags[i]);
+    wy_staleness_free (staleness[i]);
   platform_world_free (&w);
 }
--- a/tests/test_scores.c
+++ b/tests/test_scores.c
@@ -1,11 +1,12 @@
-/* Scores of items: asked when the text is whole, kept apart from those of
-   other texts, and never a reason to make a text again.  */
+/* Scores of items: requested when the text is complete, never those of another
+   text, and never a reason to generate a text again.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
 #include "support/job_world.h"
 
-/* In base64: what is answered with its score, and what never is.  */
+/* In base64: a body that the stand-in scores, and one that it fails to
+   score.  */
 #define SCORED "c2NvcmU="
 #define UNSCORED "ZmFpbA=="
 
@@ -46,7 +47,8 @@
   return wy_platform_replica_runs (job_world.replicas[replica]);
 }
 
-/* Each result has the mark of an answer to its own item's call.  */
+/* Check that each result has the stamp of the response to its own item's
+   call.  */
 static void
 check_scores (void)
 {
@@ -65,14 +67,14 @@
 }
 
 static bool
-engine_is_done (void *ctx)
+texts_are_complete (void *ctx)
 {
   return runs (ENGINE) >= JOB_ITEMS
          && wy_platform_replica_running (job_world.replicas[ENGINE]) == 0;
 }
 
 static void
-start_next_entry (void)
+start_successor (void)
 {
   job_world_stop_entry ();
   platform_world_run_ms (&job_world, 50);
@@ -81,7 +83,7 @@
   job_world_start_entry ();
 }
 
-Test (scores, each_text_has_its_own)
+Test (scores, each_text_has_its_own_score)
 {
   start (2);
   submit (SCORED);
@@ -91,11 +93,11 @@
   job_world_stop ();
 }
 
-/* The scoring service turns calls away, loses answers, cuts connections,
-   answers for others and leaves its mark out.  Nothing of this says that a
-   text can't be scored: the trainer must get every item, whole and with its
-   own score, and no text is made twice.  */
-Test (scores, a_service_that_fails_calls)
+/* The scoring service rejects calls, loses responses, cuts connections,
+   responds to other requests and omits its stamp.  None of this means that a
+   text can't be scored: the trainer must get every item, complete and with its
+   own score, and no text may be generated twice.  */
+Test (scores, service_fails_calls)
 {
   start (2);
   for (int i = SCORER; i <= OTHER_SCORER; i++)
@@ -112,9 +114,9 @@
   job_world_stop ();
 }
 
-/* The service fails on a text itself, each time it is asked.  The item is
-   given up once it has failed as often as both routes name, not before and not
-   much later, or its group would never be whole.  */
+/* The service itself fails to score a text each time.  The item must be given
+   up after as many failures as the larger limit of both routes, not before and
+   not much later, or its group would never be complete.  */
 Test (scores, texts_that_can_not_be_scored)
 {
   start (2);
@@ -150,9 +152,9 @@
   return g_string_free (s, FALSE);
 }
 
-/* One replica has failed on some texts, and the only other one is not to be
-   had now.  These texts come first, as little lacks to their groups; they must
-   not keep those behind them from the replica that is free.  */
+/* One replica has failed to score some texts, and the only other one is not
+   available now.  These texts precede the others, as their groups lack the
+   fewest items; they must not keep the others from the free replica.  */
 Test (scores, texts_that_wait_for_another_replica)
 {
   enum
@@ -178,9 +180,10 @@
   job_world_stop ();
 }
 
-/* A replica takes calls and never answers.  Each is asked for again elsewhere
-   long before its time limit, or the whole step would wait for it.  */
-Test (scores, a_replica_that_hangs)
+/* A replica accepts calls and never responds.  Each call must be hedged at
+   another replica long before its time limit, or the whole step would wait for
+   it.  */
+Test (scores, replica_hangs)
 {
   start (2);
   faults (SCORER)->hang = 1000;
@@ -192,45 +195,46 @@
   job_world_stop ();
 }
 
-/* The holder of a job dies while all its texts wait for their scores.  The
-   next one must ask for the scores alone: made again, the texts would cost the
-   step the time of its longest.  */
-Test (scores, holder_dies_while_scoring)
+/* The holder of a job crashes while all its texts wait for their scores.  Its
+   successor must request only the scores: generating the texts again would
+   take as long as the longest one.  */
+Test (scores, holder_crashes_while_scoring)
 {
   start (1);
   faults (SCORER)->silent = true;
   submit (SCORED);
-  cr_assert (platform_world_until (&job_world, engine_is_done, NULL));
-  /* Two looks for text worth keeping.  */
+  cr_assert (platform_world_until (&job_world, texts_are_complete, NULL));
+  /* Two intervals between checkpoints.  */
   platform_world_run_ms (&job_world, 1200);
   faults (SCORER)->silent = false;
-  start_next_entry ();
+  start_successor ();
   check_scores ();
-  cr_expect_eq (runs (ENGINE), JOB_ITEMS, "%u texts made", runs (ENGINE));
+  cr_expect_eq (runs (ENGINE), JOB_ITEMS, "%u texts generated", runs (ENGINE));
   job_world_stop ();
 }
 
-/* The trainer ends its job while scores are asked for.  No further call may
-   reach the service for it.  */
-Test (scores, nothing_asked_after_the_end)
+/* The trainer ends its job while scores are requested.  No further call for it
+   may reach the service.  */
+Test (scores, no_call_after_the_end)
 {
-  uint32_t asked;
+  uint32_t calls;
 
   start (1);
   faults (SCORER)->answer_ms = 200;
   submit (SCORED);
-  cr_assert (platform_world_until (&job_world, engine_is_done, NULL));
+  cr_assert (platform_world_until (&job_world, texts_are_complete, NULL));
   cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
   platform_world_run_ms (&job_world, 50);
-  asked = runs (SCORER);
+  calls = runs (SCORER);
   platform_world_run_ms (&job_world, 800);
-  cr_expect_eq (runs (SCORER), asked);
+  cr_expect_eq (runs (SCORER), calls);
   cr_expect_eq (wy_platform_replica_running (job_world.replicas[SCORER]), 0);
   job_world_stop ();
 }
 
-/* A scorer's host is none of ours, or its route leads to jobs.  The submitter
-   hears so at once; accepted, the job could never be listed.  */
+/* A scorer's host is unknown, or its route leads to jobs.  The submitter must
+   be told at once; if the job were accepted, its results could never be
+   listed.  */
 Test (scores, scorers_without_a_route)
 {
   char *unknown = job_world_scored_body ("elsewhere", SCORED);
@@ -247,8 +251,8 @@
   job_world_stop ();
 }
 
-/* The scorer's route is taken back while texts wait, and given again.  The
-   items wait for it; none is given up.  */
+/* The scorer's route is removed while texts wait, and added again.  The items
+   must wait for it; none may be given up.  */
 Test (scores, route_gone_for_a_while)
 {
   struct wy_routing *with;
@@ -262,7 +266,7 @@
   job_world.env.routing = with;
   faults (SCORER)->refuse = 1000;
   submit (SCORED);
-  cr_assert (platform_world_until (&job_world, engine_is_done, NULL));
+  cr_assert (platform_world_until (&job_world, texts_are_complete, NULL));
   job_world.env.routing = without;
   platform_world_run_ms (&job_world, 400);
   faults (SCORER)->refuse = 0;
@@ -273,10 +277,10 @@
   job_world_stop ();
 }
 
-/* People ask at the service while a whole step waits for its scores.  Scores
-   must never take the last slot of a replica, nor wait in its queue, where
-   each person would wait for them.  */
-Test (scores, a_slot_stays_free)
+/* Callers use the service interactively while a whole step waits for its
+   scores.  Scores must never take the last slot of a replica nor wait in its
+   queue, where they would delay each caller.  */
+Test (scores, one_slot_stays_free)
 {
   start (1);
   faults (SCORER)->answer_ms = 60;
