--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -14,7 +14,7 @@
 #include "agent/run.h"
 #include "agent/state.h"
 #include "agent/target.h"
-#include "agent/weights.h"
+#include "agent/weight_relay.h"
 
 enum
 {
@@ -76,7 +76,7 @@
   id->heartbeat_ms = (uint32_t)a->s->heartbeat_ms;
   id->silence_limit_ms = (uint32_t)a->s->silence_limit_ms;
   id->send_limit_bytes = (size_t)a->s->send_limit_bytes;
-  id->stamp = wy_trace_timestamp;
+  id->timestamp = wy_trace_timestamp;
   id->observe = wy_trace_observe;
   id->trace = a->trace;
 }
--- a/src/agent/once.c
+++ b/src/agent/at_most_once.c
@@ -12,7 +12,7 @@
 
    The clocks of our processes differ by at most clock_skew_ms.  Those of
    callers, who may make the keys, needn't.  */
-#include "agent/once.h"
+#include "agent/at_most_once.h"
 
 #include <glib.h>
 
--- a/src/agent/once.h
+++ b/src/agent/at_most_once.h
@@ -1,6 +1,6 @@
 /* Whether a non-idempotent request may run here; pure, without I/O.  */
-#ifndef WY_AGENT_ONCE_H
-#define WY_AGENT_ONCE_H
+#ifndef WY_AGENT_AT_MOST_ONCE_H
+#define WY_AGENT_AT_MOST_ONCE_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/agent/links.c
+++ b/src/agent/links.c
@@ -77,7 +77,7 @@
   struct wy_agent *a = l->agent;
   int64_t revision = wy_config_feed_revision (a->feed);
 
-  wy_trace_observe (a->trace, f->u.ping.stamp);
+  wy_trace_observe (a->trace, f->u.ping.timestamp);
   if (f->kind == WY_FRAME_PONG)
     l->heard_seq = f->u.ping.seq;
   if (f->u.ping.config_revision < revision)
@@ -225,7 +225,7 @@
 {
   struct wy_agent *a = ((struct wy_link *)ctx)->agent;
 
-  p->stamp = wy_trace_timestamp (a->trace);
+  p->timestamp = wy_trace_timestamp (a->trace);
   p->config_revision = wy_config_feed_revision (a->feed);
   p->config_confirmed_ms = wy_config_feed_confirmed_ms (a->feed);
   p->has_load = true;
--- a/src/agent/orders.c
+++ b/src/agent/orders.c
@@ -12,7 +12,7 @@
 
 #include "agent/drain.h"
 #include "agent/target.h"
-#include "agent/weights.h"
+#include "agent/weight_relay.h"
 #include "http/error.h"
 #include "trace/log.h"
 
--- a/src/agent/cache.c
+++ b/src/agent/prefix_cache.c
@@ -2,7 +2,7 @@
 
    The engine tells of them late and leaves some out, so the list is a hint
    for placement and nothing depends on it.  */
-#include "agent/cache.h"
+#include "agent/prefix_cache.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/agent/cache.h
+++ b/src/agent/prefix_cache.h
@@ -1,6 +1,6 @@
 /* Prompt prefixes that the engine has cached.  */
-#ifndef WY_AGENT_CACHE_H
-#define WY_AGENT_CACHE_H
+#ifndef WY_AGENT_PREFIX_CACHE_H
+#define WY_AGENT_PREFIX_CACHE_H
 
 #include "agent/state.h"
 
--- a/src/agent/state.h
+++ b/src/agent/state.h
@@ -11,8 +11,8 @@
 
 #include "agent/agent.h"
 #include "agent/fence.h"
-#include "agent/once.h"
-#include "agent/tokens.h"
+#include "agent/at_most_once.h"
+#include "agent/token_stream.h"
 #include "base/id.h"
 #include "config/feed.h"
 #include "decide/queue.h"
--- a/src/agent/target.c
+++ b/src/agent/target.c
@@ -10,7 +10,7 @@
 
 #include <jansson.h>
 
-#include "agent/cache.h"
+#include "agent/prefix_cache.h"
 #include "agent/dispatch.h"
 #include "agent/probe.h"
 #include "agent/run.h"
--- a/src/agent/tokens.c
+++ b/src/agent/token_stream.c
@@ -6,7 +6,7 @@
    differ, the sample's versions aren't proven.  A token of another run, left
    out or repeated would put foreign text into a caller's answer; it ends the
    run.  */
-#include "agent/tokens.h"
+#include "agent/token_stream.h"
 
 #include <string.h>
 
--- a/src/agent/tokens.h
+++ b/src/agent/token_stream.h
@@ -1,6 +1,6 @@
 /* Event stream of a model run; pure.  */
-#ifndef WY_AGENT_TOKENS_H
-#define WY_AGENT_TOKENS_H
+#ifndef WY_AGENT_TOKEN_STREAM_H
+#define WY_AGENT_TOKEN_STREAM_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/agent/weights.c
+++ b/src/agent/weight_relay.c
@@ -5,7 +5,7 @@
    which keeps the parts that went by, up to a limit, for the engine's own
    repeats and for other agents.  A part that was dropped is fetched
    again.  */
-#include "agent/weights.h"
+#include "agent/weight_relay.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/agent/weights.h
+++ b/src/agent/weight_relay.h
@@ -1,6 +1,6 @@
 /* Relay of weights.  */
-#ifndef WY_AGENT_WEIGHTS_H
-#define WY_AGENT_WEIGHTS_H
+#ifndef WY_AGENT_WEIGHT_RELAY_H
+#define WY_AGENT_WEIGHT_RELAY_H
 
 #include "agent/state.h"
 
--- a/src/cmd/wyentryd.c
+++ b/src/cmd/wyentryd.c
@@ -197,7 +197,7 @@
   struct wy_entry_hooks hooks = { .yard_http = yard_http,
                                   .config_http = config_http,
                                   .stop = on_entry_stop,
-                                  .busy = is_busy,
+                                  .is_busy = is_busy,
                                   .ctx = p };
   int err = wy_entry_new (&p->entry, &o);
 
--- a/src/entry/dispatch.c
+++ b/src/entry/dispatch.c
@@ -8,7 +8,7 @@
 #include "entry/dispatch.h"
 
 #include "entry/home.h"
-#include "entry/pace.h"
+#include "entry/token_latency.h"
 #include "entry/peers.h"
 #include "entry/pool.h"
 #include "entry/reports.h"
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -7,8 +7,8 @@
 #include "entry/acks.h"
 #include "entry/counters.h"
 #include "entry/dispatch.h"
-#include "entry/issue_rows.h"
-#include "entry/members.h"
+#include "entry/issue_times.h"
+#include "entry/instance_list.h"
 #include "entry/orderer.h"
 #include "entry/outcomes.h"
 #include "entry/peers.h"
@@ -86,7 +86,7 @@
   e->identity.heartbeat_ms = (uint32_t)s->heartbeat_ms;
   e->identity.silence_limit_ms = (uint32_t)s->silence_limit_ms;
   e->identity.send_limit_bytes = SEND_LIMIT_BYTES;
-  e->identity.stamp = wy_trace_timestamp;
+  e->identity.timestamp = wy_trace_timestamp;
   e->identity.observe = wy_trace_observe;
   e->identity.trace = e->trace;
   return err;
@@ -144,7 +144,7 @@
 {
   return e->open.length == 0 && e->starts.length == 0
          && wy_http_server_active (e->http) == 0
-         && !(e->hooks.busy && e->hooks.busy (e->hooks.ctx));
+         && !(e->hooks.is_busy && e->hooks.is_busy (e->hooks.ctx));
 }
 
 static void
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -44,7 +44,7 @@
   void (*stop) (void *ctx);
   /* Whether something of theirs, such as giving back a lease, must still end
      before the process does.  */
-  bool (*busy) (void *ctx);
+  bool (*is_busy) (void *ctx);
   void *ctx;
 };
 
--- a/src/entry/members.c
+++ b/src/entry/instance_list.c
@@ -4,7 +4,7 @@
    that tells itself that it is leaving counts as leaving before the list
    says so; one that the list no longer names is closed to new work and let
    go once its requests have ended; without a list the last one holds.  */
-#include "entry/members.h"
+#include "entry/instance_list.h"
 
 #include <string.h>
 
--- a/src/entry/members.h
+++ b/src/entry/instance_list.h
@@ -1,6 +1,6 @@
 /* The targets there are, by the instance list.  */
-#ifndef WY_ENTRY_MEMBERS_H
-#define WY_ENTRY_MEMBERS_H
+#ifndef WY_ENTRY_INSTANCE_LIST_H
+#define WY_ENTRY_INSTANCE_LIST_H
 
 #include <jansson.h>
 
--- a/src/entry/issue_rows.c
+++ b/src/entry/issue_times.c
@@ -16,7 +16,7 @@
    the outage, so that only a target that has been up all the time, and
    remembers, takes it.  The last outage is kept in a row too, for entries
    that start later.  */
-#include "entry/issue_rows.h"
+#include "entry/issue_times.h"
 
 #include <string.h>
 
--- a/src/entry/issue_rows.h
+++ b/src/entry/issue_times.h
@@ -1,6 +1,6 @@
 /* Issue times of keys that tell none.  */
-#ifndef WY_ENTRY_ISSUE_ROWS_H
-#define WY_ENTRY_ISSUE_ROWS_H
+#ifndef WY_ENTRY_ISSUE_TIMES_H
+#define WY_ENTRY_ISSUE_TIMES_H
 
 #include "entry/state.h"
 
--- a/src/entry/peers.c
+++ b/src/entry/peers.c
@@ -163,7 +163,7 @@
 {
   struct wy_entry *e = ((struct wy_peer *)ctx)->entry;
 
-  ping->stamp = wy_trace_timestamp (e->trace);
+  ping->timestamp = wy_trace_timestamp (e->trace);
   ping->config_revision = wy_config_feed_revision (e->feed);
   ping->config_confirmed_ms = wy_config_feed_confirmed_ms (e->feed);
 }
--- a/src/entry/reports.c
+++ b/src/entry/reports.c
@@ -77,7 +77,7 @@
   struct wy_entry *e = p->entry;
   int64_t now_ms = wy_clock_mono_ms (e->clock);
 
-  wy_trace_observe (e->trace, ping->stamp);
+  wy_trace_observe (e->trace, ping->timestamp);
   p->config_revision = ping->config_revision;
   if (ping->config_revision > wy_config_feed_revision (e->feed))
     wy_config_feed_poll (e->feed);
--- a/src/entry/request.c
+++ b/src/entry/request.c
@@ -6,7 +6,7 @@
 #include "entry/acks.h"
 #include "entry/dispatch.h"
 #include "entry/home.h"
-#include "entry/issue_rows.h"
+#include "entry/issue_times.h"
 #include "entry/outcomes.h"
 #include "entry/pool.h"
 #include "entry/problem.h"
--- a/src/entry/run.c
+++ b/src/entry/run.c
@@ -10,7 +10,7 @@
 
 #include "entry/acks.h"
 #include "entry/dispatch.h"
-#include "entry/pace.h"
+#include "entry/token_latency.h"
 #include "entry/problem.h"
 #include "entry/request.h"
 #include "entry/pool.h"
--- a/src/entry/pace.c
+++ b/src/entry/token_latency.c
@@ -5,7 +5,7 @@
    slowest streams end last.  A rollout that its agent holds back in favour of
    callers says nothing about the target; it shows as one long gap, and the
    tokens around it are left out.  */
-#include "entry/pace.h"
+#include "entry/token_latency.h"
 
 #include <string.h>
 
--- a/src/entry/pace.h
+++ b/src/entry/token_latency.h
@@ -1,6 +1,6 @@
 /* How fast the targets generate.  */
-#ifndef WY_ENTRY_PACE_H
-#define WY_ENTRY_PACE_H
+#ifndef WY_ENTRY_TOKEN_LATENCY_H
+#define WY_ENTRY_TOKEN_LATENCY_H
 
 #include "entry/state.h"
 
--- a/src/inner/conn.c
+++ b/src/inner/conn.c
@@ -151,7 +151,7 @@
   const struct wy_inner_identity *id = c->identity;
   struct wy_frame stamped = *f;
 
-  stamped.stamp = id->stamp ? id->stamp (id->trace) : 0;
+  stamped.timestamp = id->timestamp ? id->timestamp (id->trace) : 0;
   wy_frame_encode (&stamped, c->out);
   if (c->writing_bytes + c->out->len > id->send_limit_bytes)
     wy_conn_fail (c, WY_INNER_EBACKLOG);
@@ -176,8 +176,8 @@
       wy_conn_fail (c, WY_INNER_EMALFORMED);
       return;
     }
-  if (f->stamp && c->identity->observe)
-    c->identity->observe (c->identity->trace, f->stamp);
+  if (f->timestamp && c->identity->observe)
+    c->identity->observe (c->identity->trace, f->timestamp);
   if (f->kind == WY_FRAME_PONG)
     {
       if (f->u.ping.seq > c->seq)
--- a/src/inner/conn.h
+++ b/src/inner/conn.h
@@ -38,7 +38,7 @@
   size_t send_limit_bytes;   /* unsent bytes held before the peer is cut */
   /* Stamps of the timeline, carried by each frame, so that what a frame
      causes sorts after what caused the frame; may be NULL.  */
-  uint64_t (*stamp) (struct wy_trace *t);
+  uint64_t (*timestamp) (struct wy_trace *t);
   void (*observe) (struct wy_trace *t, uint64_t stamp);
   struct wy_trace *trace;
 };
--- a/src/inner/frame.c
+++ b/src/inner/frame.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #include "inner/frame_scan.h"
-#include "inner/walk.h"
+#include "inner/frame_fields.h"
 
 enum
 {
@@ -71,7 +71,7 @@
 walk_ping (struct wy_walk *w, struct wy_frame_ping *p)
 {
   wy_walk_u64 (w, &p->seq);
-  wy_walk_u64 (w, &p->stamp);
+  wy_walk_u64 (w, &p->timestamp);
   wy_walk_i64 (w, &p->config_revision);
   wy_walk_i64 (w, &p->config_confirmed_ms);
   wy_walk_bool (w, &p->has_load);
@@ -139,7 +139,7 @@
 static void
 walk_frame (struct wy_walk *w, struct wy_frame *f)
 {
-  wy_walk_u64 (w, &f->stamp);
+  wy_walk_u64 (w, &f->timestamp);
   switch (f->kind)
     {
     case WY_FRAME_HELLO:
--- a/src/inner/frame.h
+++ b/src/inner/frame.h
@@ -165,7 +165,7 @@
 struct wy_frame_ping /* PING and PONG */
 {
   uint64_t seq;
-  uint64_t stamp; /* of the timeline */
+  uint64_t timestamp; /* of the timeline */
   int64_t config_revision;
   int64_t config_confirmed_ms; /* wall time the store last confirmed it */
   bool has_load;
@@ -290,7 +290,7 @@
 struct wy_frame
 {
   enum wy_frame_kind kind;
-  uint64_t stamp; /* of the sender's timeline; set by the connection */
+  uint64_t timestamp; /* of the sender's timeline; set by the connection */
   union
   {
     struct wy_frame_hello hello; /* HELLO, WELCOME */
--- a/src/inner/walk.c
+++ b/src/inner/frame_fields.c
@@ -2,7 +2,7 @@
 
    A value that is read but doesn't fit marks the walk as bad and reads as
    zero; the caller looks once, at the end.  */
-#include "inner/walk.h"
+#include "inner/frame_fields.h"
 
 #include <string.h>
 
--- a/src/inner/walk.h
+++ b/src/inner/frame_fields.h
@@ -1,6 +1,6 @@
 /* Walk over the fields of a frame; inside the package only.  */
-#ifndef WY_INNER_WALK_H
-#define WY_INNER_WALK_H
+#ifndef WY_INNER_FRAME_FIELDS_H
+#define WY_INNER_FRAME_FIELDS_H
 
 #include <msgpack.h>
 
--- a/tests/test_once.c
+++ b/tests/test_at_most_once.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "agent/once.h"
+#include "agent/at_most_once.h"
 #include "base/id.h"
 #include "base/rng.h"
 #include "config/home.h"
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -38,7 +38,7 @@
     case WY_FRAME_PING:
     case WY_FRAME_PONG:
       f.u.ping = (struct wy_frame_ping){ .seq = UINT64_MAX,
-                                         .stamp = 5,
+                                         .timestamp = 5,
                                          .config_revision = 9,
                                          .config_confirmed_ms = -1,
                                          .has_load = kind == WY_FRAME_PONG,
