--- a/src/duties/calls.c
+++ b/src/duties/calls.c
@@ -1,9 +1,9 @@
-/* Calls to the platform under the lease of the duties.
+/* Duty calls: calls to the platform that only the leader may make.
 
-   A call ends before the lease does: a call that reaches the platform later
-   would bear a lower generation than the next holder's.  On a path that is
-   cut, what was sent waits in the connection, so an unanswered call resets
-   it.  */
+   A call times out before the leader's lease expires.  If it reached the
+   platform later, its generation would be lower than that of the next leader.
+   During a network partition the request stays in the connection's send
+   buffer, so a call without a response resets its connection.  */
 #include "duties/calls.h"
 
 #include <string.h>
@@ -16,21 +16,21 @@
 enum
 {
   CALL_TIMEOUT_MS = 1200,
-  /* A call is not begun with less of the lease left.  */
-  LEFT_MIN_MS = 200,
-  /* A holder that has not reached the platform for so long gives the duties
-     up to one that may.  */
-  UNREACHED_MS = 1500,
-  /* And is no candidate for so long.  */
-  PAUSE_MS = 10000
+  /* No call is started with less of the lease remaining.  */
+  REMAINING_MIN_MS = 200,
+  /* A leader that has had no response for this long resigns, so that an entry
+     that can reach the platform may be elected.  */
+  UNREACHABLE_RESIGN_MS = 1500,
+  /* It is no candidate for this long afterwards.  */
+  RESIGN_PAUSE_MS = 10000
 };
 
 struct wy_duty_calls
 {
   struct wy_duty_calls_options o;
   struct sockaddr_in address;
-  int64_t unreached_since_ms; /* 0: the last call was answered */
-  GPtrArray *active;          /* struct call */
+  int64_t unreachable_since_ms; /* 0: the last call had a response */
+  GPtrArray *active;            /* struct call */
 };
 
 struct call
@@ -45,7 +45,7 @@
   void *ctx;
 };
 
-/* A word for O in logs.  */
+/* The name of O in logs.  */
 const char *
 wy_duty_outcome_name (enum wy_duty_outcome o)
 {
@@ -55,8 +55,8 @@
   return names[o];
 }
 
-/* Prepare calls as O says and store the caller in OUT.  Returns 0, or
-   WY_H1_EBIND for an address that can't be read.  */
+/* Create the state for duty calls with options O and store it in OUT.  Returns
+   0, or WY_H1_EBIND for an address that can't be parsed.  */
 int
 wy_duty_calls_new (struct wy_duty_calls **out,
                    const struct wy_duty_calls_options *o)
@@ -74,7 +74,7 @@
   return 0;
 }
 
-/* Stop.  The memory of C stays, since a call may be under way.  */
+/* Stop.  C itself is not freed, since a call may be in progress.  */
 void
 wy_duty_calls_free (struct wy_duty_calls *c)
 {
@@ -90,26 +90,28 @@
   g_free (k);
 }
 
-/* Note how the platform is reached from here, and give the duties up where it
-   is not.  */
+/* Record whether the platform is reachable from this instance, and resign as
+   leader if it is not.  */
 static void
-judge_path (struct wy_duty_calls *c, enum wy_duty_outcome outcome)
+check_reachability (struct wy_duty_calls *c, enum wy_duty_outcome outcome)
 {
   int64_t now_ms = wy_clock_mono_ms (c->o.clock);
 
-  if (outcome != WY_DUTY_UNREACHED)
-    c->unreached_since_ms = 0;
-  else if (!c->unreached_since_ms)
-    c->unreached_since_ms = now_ms;
-  else if (now_ms - c->unreached_since_ms >= UNREACHED_MS && c->o.election)
+  if (outcome != WY_DUTY_NO_RESPONSE)
+    c->unreachable_since_ms = 0;
+  else if (!c->unreachable_since_ms)
+    c->unreachable_since_ms = now_ms;
+  else if (now_ms - c->unreachable_since_ms >= UNREACHABLE_RESIGN_MS
+           && c->o.election)
     {
-      c->unreached_since_ms = 0;
-      wy_election_resign (c->o.election, PAUSE_MS, "platform_unreached");
+      c->unreachable_since_ms = 0;
+      wy_election_resign (c->o.election, RESIGN_PAUSE_MS,
+                          "platform_unreached");
     }
 }
 
 static void
-end (struct call *k, enum wy_duty_outcome outcome)
+finish_call (struct call *k, enum wy_duty_outcome outcome)
 {
   struct wy_duty_calls *c = k->calls;
 
@@ -121,7 +123,7 @@
       (long long)(wy_clock_mono_ms (c->o.clock) - k->started_ms));
   k->call = NULL;
   g_ptr_array_remove_fast (c->active, k);
-  judge_path (c, outcome);
+  check_reachability (c, outcome);
   k->on_done (k->ctx, outcome, k->status);
   uv_close ((uv_handle_t *)&k->timer, on_timer_closed);
 }
@@ -141,22 +143,22 @@
 on_end (void *ctx, int err)
 {
   struct call *k = ctx;
-  enum wy_duty_outcome outcome = WY_DUTY_UNREACHED;
+  enum wy_duty_outcome outcome = WY_DUTY_NO_RESPONSE;
 
   if (k->status)
     switch (wy_duty_response_from_status (k->status))
       {
       case WY_DUTY_RESPONSE_DONE:
-        outcome = err ? WY_DUTY_UNREACHED : WY_DUTY_DONE;
+        outcome = err ? WY_DUTY_NO_RESPONSE : WY_DUTY_DONE;
         break;
       case WY_DUTY_RESPONSE_RETRY:
-        outcome = WY_DUTY_BUSY;
+        outcome = WY_DUTY_RETRY;
         break;
       case WY_DUTY_RESPONSE_REJECTED:
         outcome = WY_DUTY_REJECTED;
         break;
       }
-  end (k, outcome);
+  finish_call (k, outcome);
 }
 
 static void
@@ -165,10 +167,10 @@
   struct call *k = t->data;
 
   wy_h1_call_cancel (k->call);
-  end (k, WY_DUTY_UNREACHED);
+  finish_call (k, WY_DUTY_NO_RESPONSE);
 }
 
-/* Break all calls off: nothing of theirs reaches the platform any more.  */
+/* Cancel all calls.  Nothing more of them is sent to the platform.  */
 void
 wy_duty_calls_stop (struct wy_duty_calls *c)
 {
@@ -177,12 +179,12 @@
       struct call *k = g_ptr_array_index (c->active, 0);
 
       wy_h1_call_cancel (k->call);
-      end (k, WY_DUTY_UNREACHED);
+      finish_call (k, WY_DUTY_NO_RESPONSE);
     }
 }
 
-/* Make the call TARGET with the N bytes of BODY.  False: the lease is not held
-   for long enough, and ON_DONE does not come.  */
+/* Start a POST of the N bytes of BODY to the path TARGET.  Returns false if
+   too little of the lease remains; ON_DONE is not called then.  */
 bool
 wy_duty_call (struct wy_duty_calls *c, const char *target, const char *body,
               size_t n,
@@ -190,7 +192,7 @@
                                int status),
               void *ctx)
 {
-  struct wy_duty_caller who
+  struct wy_duty_caller caller
       = { .host = c->o.address,
           .holder = c->o.node,
           .generation = wy_election_generation (c->o.election) };
@@ -200,7 +202,7 @@
           .method = "POST",
           .target = target,
           .fields = fields,
-          .n_fields = wy_duty_header_fields (&who, fields),
+          .n_fields = wy_duty_header_fields (&caller, fields),
           .body = body,
           .body_size_bytes = n,
           .has_body = true,
@@ -208,10 +210,10 @@
           .on_head = on_head,
           .on_data = on_data,
           .on_end = on_end };
-  int64_t left_ms = wy_election_remaining_ms (c->o.election);
+  int64_t remaining_ms = wy_election_remaining_ms (c->o.election);
   struct call *k;
 
-  if (left_ms < LEFT_MIN_MS)
+  if (remaining_ms < REMAINING_MIN_MS)
     return false;
   k = g_new0 (struct call, 1);
   k->calls = c;
@@ -223,7 +225,7 @@
   k->timer.data = k;
   uv_update_time (c->o.loop);
   uv_timer_start (&k->timer, on_timeout,
-                  (uint64_t)MIN (left_ms, CALL_TIMEOUT_MS), 0);
+                  (uint64_t)MIN (remaining_ms, CALL_TIMEOUT_MS), 0);
   o.ctx = k;
   g_ptr_array_add (c->active, k);
   k->call = wy_h1_call_start (c->o.http, &o);
--- a/src/duties/calls.h
+++ b/src/duties/calls.h
@@ -1,4 +1,4 @@
-/* Calls to the platform under the lease of the duties.  */
+/* Duty calls: calls to the platform that only the leader may make.  */
 #ifndef WY_DUTIES_CALLS_H
 #define WY_DUTIES_CALLS_H
 
@@ -15,9 +15,9 @@
 enum wy_duty_outcome
 {
   WY_DUTY_DONE,
-  WY_DUTY_BUSY,
-  WY_DUTY_REJECTED,
-  WY_DUTY_UNREACHED /* no answer, or none in time */
+  WY_DUTY_RETRY,      /* rate limit reached, or temporarily unavailable */
+  WY_DUTY_REJECTED,   /* the same call would be rejected again */
+  WY_DUTY_NO_RESPONSE /* no response, or none in time */
 };
 
 struct wy_duty_calls;
@@ -28,7 +28,7 @@
   const struct wy_clock *clock;
   struct wy_h1_client *http;
   const char *address; /* "IP:PORT" */
-  const char *node;    /* that calls are made in the name of */
+  const char *node;    /* name of this instance */
   struct wy_election *election;
 };
 
--- a/src/duties/election.c
+++ b/src/duties/election.c
@@ -1,12 +1,12 @@
-/* The lease of the duties.
+/* Leader election by a lease in the store.
 
-   The decisions are those of src/lease/state.c.  They are fed with the time
-   since boot, which goes on while a machine is suspended: a holder that wakes
-   up must not count the time that it slept as time that it still has.
+   The state machine is src/lease/state.c.  Its clock is the time since boot,
+   which includes time spent suspended: a leader that resumes must not
+   consider its lease still valid.
 
-   A process that has just started is no candidate for as long as a lease
-   lasts, and neither is one that has given the lease up.  So two acts of one
-   instance, with another's between them, lie further apart than a lease.  */
+   A process that has just started, or has resigned, is no candidate for the
+   duration of one lease.  So if another instance acts as leader between two
+   calls of this one, the two calls are more than a lease apart.  */
 #include "duties/election.h"
 
 #include <stdio.h>
@@ -27,7 +27,7 @@
 enum
 {
   TICK_MS = 100,
-  /* Spread of the candidates' looks at the row.  */
+  /* Bound of the random delay added to the time of the next read.  */
   JITTER_MS = 100,
   NAME_SIZE_BYTES = 160
 };
@@ -38,238 +38,241 @@
   struct wy_lease_state state;
   struct wy_rng rng;
   uv_timer_t tick;
-  char seen_holder[NAME_SIZE_BYTES];
-  int64_t seen_generation;
-  int64_t sent_ms; /* the step under way */
-  int64_t taking;  /* generation that is being written */
+  char observed_holder[NAME_SIZE_BYTES];
+  int64_t observed_generation;
+  int64_t sent_ms;        /* when the step in progress was sent */
+  int64_t new_generation; /* in the write in progress */
   int64_t acquired_ms;
   int64_t candidate_from_ms;
-  bool told; /* on_acquired was called and on_lost was not */
+  bool notified; /* on_acquired was called, on_lost not yet */
   bool freed;
 };
 
 static int64_t
-now_of (const struct wy_election *h)
+boot_now_ms (const struct wy_election *e)
 {
-  return wy_clock_boot_ms (h->o.clock);
+  return wy_clock_boot_ms (e->o.clock);
 }
 
 static uint32_t
-jitter_ms (struct wy_election *h)
+jitter_ms (struct wy_election *e)
 {
-  return (uint32_t)wy_rng_below (&h->rng, JITTER_MS);
+  return (uint32_t)wy_rng_below (&e->rng, JITTER_MS);
 }
 
 static void
-read_row (struct wy_election *h, const struct wy_row *row,
-          struct wy_lease_row *out)
+parse_row (struct wy_election *e, const struct wy_row *row,
+           struct wy_lease_row *out)
 {
   json_t *doc = row ? json_loadb (row->value, row->size_bytes, 0, NULL) : NULL;
   const char *holder = json_string_value (json_object_get (doc, "holder"));
 
   memset (out, 0, sizeof *out);
   out->rev = row ? row->version : 0;
-  out->fence_rev = out->rev;
-  out->fence = json_integer_value (json_object_get (doc, "generation"));
+  out->token_rev = out->rev;
+  out->fencing_token
+      = json_integer_value (json_object_get (doc, "generation"));
   out->ttl_ms = (uint32_t)json_integer_value (json_object_get (doc, "ttl_ms"));
   out->released = json_is_true (json_object_get (doc, "released"));
-  out->own = holder && !strcmp (holder, h->o.holder);
-  g_strlcpy (h->seen_holder, holder ? holder : "", sizeof h->seen_holder);
-  h->seen_generation = out->fence;
+  out->own = holder && !strcmp (holder, e->o.holder);
+  g_strlcpy (e->observed_holder, holder ? holder : "",
+             sizeof e->observed_holder);
+  e->observed_generation = out->fencing_token;
   json_decref (doc);
 }
 
 static void
-on_read (void *ctx, const struct wy_rows_result *r)
+on_lease_read (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_election *h = ctx;
+  struct wy_election *e = ctx;
   struct wy_lease_row row;
 
-  if (h->freed)
+  if (e->freed)
     return;
   if (r->err)
     {
-      wy_lease_refused (&h->state, now_of (h), false, jitter_ms (h));
+      wy_lease_on_failed (&e->state, boot_now_ms (e), false, jitter_ms (e));
       return;
     }
-  read_row (h, r->n ? &r->rows[0] : NULL, &row);
-  wy_lease_seen (&h->state, now_of (h), &row, jitter_ms (h));
+  parse_row (e, r->n ? &r->rows[0] : NULL, &row);
+  wy_lease_on_read (&e->state, boot_now_ms (e), &row, jitter_ms (e));
 }
 
 static void
-read_lease (struct wy_election *h)
+read_lease (struct wy_election *e)
 {
-  struct wy_rows_range range = { .table = TABLE, .partition = h->o.subject };
+  struct wy_rows_range range = { .table = TABLE, .partition = e->o.subject };
 
-  wy_lease_sent (&h->state);
-  wy_rows_get (h->o.rows, &range, on_read, h);
+  wy_lease_on_sent (&e->state);
+  wy_rows_get (e->o.rows, &range, on_lease_read, e);
 }
 
 static void
-write_lease (struct wy_election *h, int64_t generation, bool released,
+write_lease (struct wy_election *e, int64_t generation, bool released,
              wy_rows_cb *cb)
 {
-  json_t *doc = json_pack ("{s:s, s:I, s:I, s:b}", "holder", h->o.holder,
+  json_t *doc = json_pack ("{s:s, s:I, s:I, s:b}", "holder", e->o.holder,
                            "generation", (json_int_t)generation, "ttl_ms",
-                           (json_int_t)h->state.ttl_ms, "released", released);
+                           (json_int_t)e->state.ttl_ms, "released", released);
   char *value = json_dumps (doc, JSON_COMPACT);
   struct wy_row_ref condition
-      = { .table = TABLE, .key = row_key, .version = h->state.row.rev };
+      = { .table = TABLE, .key = row_key, .version = e->state.row.rev };
   struct wy_row_write w = { .table = TABLE,
                             .key = row_key,
                             .value = value,
                             .size_bytes = strlen (value) };
-  struct wy_rows_tx tx = { .partition = h->o.subject,
+  struct wy_rows_tx tx = { .partition = e->o.subject,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &w,
                            .n_writes = 1 };
 
-  wy_rows_tx (h->o.rows, &tx, cb, h);
+  wy_rows_tx (e->o.rows, &tx, cb, e);
   free (value);
   json_decref (doc);
 }
 
 static void
-on_taken (void *ctx, const struct wy_rows_result *r)
+on_acquire_written (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_election *h = ctx;
+  struct wy_election *e = ctx;
   struct wy_lease_row row = { .rev = r->version,
-                              .fence_rev = r->version,
-                              .fence = h->taking,
-                              .ttl_ms = h->state.ttl_ms,
+                              .token_rev = r->version,
+                              .fencing_token = e->new_generation,
+                              .ttl_ms = e->state.ttl_ms,
                               .own = true };
 
-  if (h->freed)
+  if (e->freed)
     return;
   if (r->err)
     {
-      wy_lease_refused (&h->state, now_of (h), r->err == WY_ROWS_ECONFLICT,
-                        jitter_ms (h));
+      wy_lease_on_failed (&e->state, boot_now_ms (e),
+                          r->err == WY_ROWS_ECONFLICT, jitter_ms (e));
       return;
     }
-  wy_lease_taken (&h->state, h->sent_ms, now_of (h), &row);
-  g_strlcpy (h->seen_holder, h->o.holder, sizeof h->seen_holder);
-  h->seen_generation = h->taking;
-  if (!wy_election_is_leader (h))
+  wy_lease_on_acquired (&e->state, e->sent_ms, boot_now_ms (e), &row);
+  g_strlcpy (e->observed_holder, e->o.holder, sizeof e->observed_holder);
+  e->observed_generation = e->new_generation;
+  if (!wy_election_is_leader (e))
     return;
-  h->acquired_ms = now_of (h);
+  e->acquired_ms = boot_now_ms (e);
   wy_json_log ("duties.acquired", "subject=%s generation=%lld version=%lld",
-               h->o.subject, (long long)h->taking, (long long)r->version);
-  h->told = true;
-  h->o.on_acquired (h->o.ctx);
+               e->o.subject, (long long)e->new_generation,
+               (long long)r->version);
+  e->notified = true;
+  e->o.on_acquired (e->o.ctx);
 }
 
 static void
-on_renewed (void *ctx, const struct wy_rows_result *r)
+on_renew_written (void *ctx, const struct wy_rows_result *r)
 {
-  struct wy_election *h = ctx;
+  struct wy_election *e = ctx;
 
-  if (h->freed)
+  if (e->freed)
     return;
   if (r->err)
-    wy_lease_refused (&h->state, now_of (h), r->err == WY_ROWS_ECONFLICT,
-                      jitter_ms (h));
+    wy_lease_on_failed (&e->state, boot_now_ms (e),
+                        r->err == WY_ROWS_ECONFLICT, jitter_ms (e));
   else
-    wy_lease_renewed (&h->state, h->sent_ms, now_of (h), r->version);
+    wy_lease_on_renewed (&e->state, e->sent_ms, boot_now_ms (e), r->version);
 }
 
 static void
-stop (struct wy_election *h, const char *reason)
+notify_lost (struct wy_election *e, const char *reason)
 {
-  if (!h->told)
+  if (!e->notified)
     return;
-  h->told = false;
+  e->notified = false;
   wy_json_log ("duties.lost",
                "subject=%s generation=%lld reason=%s held_ms=%lld",
-               h->o.subject, (long long)h->state.row.fence, reason,
-               (long long)(now_of (h) - h->acquired_ms));
-  h->o.on_lost (h->o.ctx);
+               e->o.subject, (long long)e->state.row.fencing_token, reason,
+               (long long)(boot_now_ms (e) - e->acquired_ms));
+  e->o.on_lost (e->o.ctx);
 }
 
 static void
 on_tick (uv_timer_t *t)
 {
-  struct wy_election *h = t->data;
-  int64_t now_ms = now_of (h);
+  struct wy_election *e = t->data;
+  int64_t now_ms = boot_now_ms (e);
 
-  if (!h->state.held
-      && (now_ms < h->candidate_from_ms || !h->o.is_candidate (h->o.ctx)))
+  if (!e->state.held
+      && (now_ms < e->candidate_from_ms || !e->o.is_candidate (e->o.ctx)))
     return;
-  switch (wy_lease_next (&h->state, now_ms))
+  switch (wy_lease_next_step (&e->state, now_ms))
     {
     case WY_LEASE_WAIT:
       break;
-    case WY_LEASE_STOP:
-      stop (h, "lapsed");
+    case WY_LEASE_LOST:
+      notify_lost (e, "lapsed");
       break;
     case WY_LEASE_READ:
-      read_lease (h);
+      read_lease (e);
       break;
-    case WY_LEASE_TAKE:
-      wy_lease_sent (&h->state);
-      h->sent_ms = now_ms;
-      h->taking = h->state.row.fence + 1;
-      write_lease (h, h->taking, false, on_taken);
+    case WY_LEASE_ACQUIRE:
+      wy_lease_on_sent (&e->state);
+      e->sent_ms = now_ms;
+      e->new_generation = e->state.row.fencing_token + 1;
+      write_lease (e, e->new_generation, false, on_acquire_written);
       break;
     case WY_LEASE_RENEW:
-      wy_lease_sent (&h->state);
-      h->sent_ms = now_ms;
-      write_lease (h, h->state.row.fence, false, on_renewed);
+      wy_lease_on_sent (&e->state);
+      e->sent_ms = now_ms;
+      write_lease (e, e->state.row.fencing_token, false, on_renew_written);
       break;
     }
 }
 
-/* Follow the lease as O says, and hold it where nobody else does.  */
+/* Take part in the election with options O.  */
 struct wy_election *
 wy_election_new (const struct wy_election_options *o)
 {
-  struct wy_election *h = g_new0 (struct wy_election, 1);
-
-  h->o = *o;
-  wy_rng_seed (&h->rng, o->seed);
-  h->candidate_from_ms = now_of (h) + o->ttl_ms;
-  wy_lease_state_init (&h->state, o->ttl_ms, now_of (h));
-  uv_timer_init (o->loop, &h->tick);
-  h->tick.data = h;
-  uv_timer_start (&h->tick, on_tick, TICK_MS, TICK_MS);
-  return h;
+  struct wy_election *e = g_new0 (struct wy_election, 1);
+
+  e->o = *o;
+  wy_rng_seed (&e->rng, o->seed);
+  e->candidate_from_ms = boot_now_ms (e) + o->ttl_ms;
+  wy_lease_state_init (&e->state, o->ttl_ms, boot_now_ms (e));
+  uv_timer_init (o->loop, &e->tick);
+  e->tick.data = e;
+  uv_timer_start (&e->tick, on_tick, TICK_MS, TICK_MS);
+  return e;
 }
 
-/* Stop.  The memory of H stays, since a call of it may be under way.  */
+/* Stop.  E itself is not freed, since a store call may be in progress.  */
 void
-wy_election_free (struct wy_election *h)
+wy_election_free (struct wy_election *e)
 {
-  h->freed = true;
-  uv_close ((uv_handle_t *)&h->tick, NULL);
+  e->freed = true;
+  uv_close ((uv_handle_t *)&e->tick, NULL);
 }
 
-/* Whether this instance holds the lease now.  To be asked before each act.  */
+/* Whether this instance is the leader now.  Check before each duty call.  */
 bool
-wy_election_is_leader (const struct wy_election *h)
+wy_election_is_leader (const struct wy_election *e)
 {
-  return wy_lease_holds (&h->state, now_of (h));
+  return wy_lease_holds (&e->state, boot_now_ms (e));
 }
 
-/* For how long the lease is still held if it is not renewed.  */
+/* Remaining time of the lease if it is not renewed; 0: not held.  */
 int64_t
-wy_election_remaining_ms (const struct wy_election *h)
+wy_election_remaining_ms (const struct wy_election *e)
 {
-  return wy_election_is_leader (h) ? h->state.until_ms - now_of (h) : 0;
+  return wy_election_is_leader (e) ? e->state.until_ms - boot_now_ms (e) : 0;
 }
 
-/* For how long the lease has been held.  */
+/* Time since the lease was acquired; 0: not held.  */
 int64_t
-wy_election_held_ms (const struct wy_election *h)
+wy_election_held_ms (const struct wy_election *e)
 {
-  return wy_election_is_leader (h) ? now_of (h) - h->acquired_ms : 0;
+  return wy_election_is_leader (e) ? boot_now_ms (e) - e->acquired_ms : 0;
 }
 
-/* The generation under which the lease is held.  */
+/* Generation of the lease, last read or written.  */
 int64_t
-wy_election_generation (const struct wy_election *h)
+wy_election_generation (const struct wy_election *e)
 {
-  return h->state.row.fence;
+  return e->state.row.fencing_token;
 }
 
 static void
@@ -277,32 +280,33 @@
 {
 }
 
-/* Let another instance take the lease, and be no candidate for PAUSE_MS, or
-   for as long as a lease lasts.  */
+/* Release the lease, if held, and be no candidate for PAUSE_MS or the duration
+   of one lease, whichever is longer.  REASON is for the log.  */
 void
-wy_election_resign (struct wy_election *h, uint32_t pause_ms,
+wy_election_resign (struct wy_election *e, uint32_t pause_ms,
                     const char *reason)
 {
-  int64_t now_ms = now_of (h);
-  bool held = wy_election_is_leader (h);
+  int64_t now_ms = boot_now_ms (e);
+  bool held = wy_election_is_leader (e);
 
-  h->candidate_from_ms = now_ms + MAX (pause_ms, h->o.ttl_ms);
+  e->candidate_from_ms = now_ms + MAX (pause_ms, e->o.ttl_ms);
   if (!held)
     return;
-  h->state.until_ms = now_ms;
-  wy_lease_next (&h->state, now_ms);
-  stop (h, reason);
-  /* With a renewal under way the row's version is not known: it lapses.  */
-  if (!h->state.busy)
-    write_lease (h, h->state.row.fence, true, on_released);
+  e->state.until_ms = now_ms;
+  wy_lease_next_step (&e->state, now_ms);
+  notify_lost (e, reason);
+  /* While a renewal is in progress the row's version is unknown, so the row
+     can't be written and the lease expires instead.  */
+  if (!e->state.pending)
+    write_lease (e, e->state.row.fencing_token, true, on_released);
 }
 
-/* Tell what is known of the lease.  */
+/* Store the last known state of the lease in OUT.  */
 void
-wy_election_status (const struct wy_election *h,
+wy_election_status (const struct wy_election *e,
                     struct wy_election_status *out)
 {
-  out->holder = h->seen_holder;
-  out->generation = h->seen_generation;
-  out->held_here = wy_election_is_leader (h);
+  out->holder = e->observed_holder;
+  out->generation = e->observed_generation;
+  out->held_here = wy_election_is_leader (e);
 }
--- a/src/duties/scaler.h
+++ b/src/duties/scaler.h
@@ -1,4 +1,4 @@
-/* Orders for the number of replicas of services whose number may change.  */
+/* Sets the number of replicas of services with automatic scaling.  */
 #ifndef WY_DUTIES_SCALER_H
 #define WY_DUTIES_SCALER_H
 
@@ -14,12 +14,12 @@
 
 struct wy_scaler;
 
-/* One service in one availability zone, as it is now.  */
+/* Current state of one service in one availability zone.  */
 struct wy_scaler_input
 {
   const char *service;
   const char *availability_zone;
-  uint32_t replicas; /* listed and not leaving */
+  uint32_t replicas; /* listed and not draining */
   struct wy_scaling_load load;
 };
 
@@ -29,7 +29,7 @@
   const struct wy_clock *clock;
   struct wy_election *election;
   struct wy_duty_calls *calls;
-  /* Calls FN for all that is scaled.  */
+  /* Calls FN for each service and availability zone to be scaled.  */
   void (*for_each) (void *ctx,
                     void (*fn) (void *arg, const struct wy_scaler_input *s),
                     void *arg);
--- a/src/duties/usage.c
+++ b/src/duties/usage.c
@@ -1,4 +1,4 @@
-/* Usage: counting, and what drives storing and reporting.  */
+/* Counting of usage, and the timer that drives storage and reporting.  */
 #include "duties/usage_state.h"
 
 #include <inttypes.h>
@@ -11,18 +11,18 @@
   TICK_MS = 100
 };
 
-/* The part that the rows of WINDOW lie in.  OUT has WY_USAGE_PART_SIZE_BYTES.
- */
+/* Write the partition of WINDOW to OUT, WY_USAGE_PARTITION_SIZE_BYTES long. */
 void
 wy_usage_partition (int64_t window, char *out)
 {
   snprintf (out, WY_USAGE_PARTITION_SIZE_BYTES, "%" PRId64, window);
 }
 
-/* Time since the epoch, by the store's clock, which all entries share; the
-   time of day of one instance may be off or step.  0: not known yet.  */
+/* Wall-clock time in ms since the epoch, derived from the store's clock, which
+   all entries share: the wall clock of an instance may be wrong or step.  0:
+   not known yet.  */
 int64_t
-wy_usage_true_ms (const struct wy_usage *u)
+wy_usage_wall_ms (const struct wy_usage *u)
 {
   int64_t store_ms = wy_rows_store_now_ms (u->o.rows);
   int64_t epoch_ms = u->o.epoch_ms (u->o.ctx);
@@ -37,72 +37,72 @@
   return wy_clock_mono_ms (u->o.clock);
 }
 
-/* A request of ORGANISATION is sent to a target.  Returns the window that it
-   is counted in, for wy_usage_end; 0: it is not counted.  */
+/* Count a request of ORGANISATION that is being sent to a target.  Returns its
+   window, for wy_usage_end, or 0 if it is not counted.  */
 int64_t
 wy_usage_begin (struct wy_usage *u, const char *organisation)
 {
-  int64_t true_ms = wy_usage_true_ms (u);
+  int64_t wall_ms = wy_usage_wall_ms (u);
   int64_t window;
 
-  if (!true_ms)
+  if (!wall_ms)
     {
       wy_json_log ("usage.uncounted", "organisation=%s reason=no_time",
                    organisation);
       return 0;
     }
-  window = wy_usage_counts_begin (u->counts, organisation, true_ms);
-  wy_usage_store_soon (u);
+  window = wy_usage_counts_begin (u->counts, organisation, wall_ms);
+  wy_usage_schedule_store (u);
   return window;
 }
 
-/* The request of ORGANISATION that was counted in WINDOW, which may be 0, has
-   ended; BEGUN unless no target has run it.  */
+/* A request of ORGANISATION counted in WINDOW (0: not counted) has ended.
+   Unless EXECUTED, no target has run it and its count is taken back.  */
 void
 wy_usage_end (struct wy_usage *u, int64_t window, const char *organisation,
-              bool begun)
+              bool executed)
 {
   if (!window)
     return;
-  wy_usage_counts_end (u->counts, window, organisation, begun);
-  if (!begun)
-    wy_usage_store_soon (u);
+  wy_usage_counts_end (u->counts, window, organisation, executed);
+  if (!executed)
+    wy_usage_schedule_store (u);
 }
 
 static void
 on_tick (uv_timer_t *t)
 {
   struct wy_usage *u = t->data;
-  int64_t true_ms = wy_usage_true_ms (u);
+  int64_t wall_ms = wy_usage_wall_ms (u);
   int64_t complete;
 
-  if (!true_ms)
+  if (!wall_ms)
     return;
   if (wy_rows_is_unreachable (u->o.rows))
-    u->away_ms = wy_usage_now_ms (u);
-  complete = wy_usage_counts_complete (u->counts, true_ms);
-  if (complete != u->told_complete)
+    u->store_unreachable_ms = wy_usage_now_ms (u);
+  complete = wy_usage_counts_complete (u->counts, wall_ms);
+  if (complete != u->published_complete)
     {
-      u->told_complete = complete;
+      u->published_complete = complete;
       u->o.on_complete (u->o.ctx, complete);
     }
   if (!wy_election_is_leader (u->o.election))
     return;
   wy_usage_report_step (u);
-  wy_usage_clean (u);
+  wy_usage_cleanup (u);
 }
 
-/* The lease of the duties is held from now on: all windows whose reports are
-   not overdue are gone through, since it is not known which of them the holder
-   before has sent.  */
+/* This instance has become the leader.  It starts with the oldest window that
+   is not overdue, since it is unknown which reports the previous leader has
+   sent.  */
 void
 wy_usage_on_elected (struct wy_usage *u)
 {
-  /* A step of an earlier hold may still be under way.  */
+  /* A step of an earlier term may still be in progress.  */
   u->restart = true;
 }
 
-/* Count and report as O says.  */
+/* Start counting and reporting with options O.  */
 struct wy_usage *
 wy_usage_new (const struct wy_usage_options *o)
 {
@@ -118,7 +118,7 @@
   return u;
 }
 
-/* Stop.  The memory of U stays, since calls of it may be under way.  */
+/* Stop.  U itself is not freed, since calls may be in progress.  */
 void
 wy_usage_free (struct wy_usage *u)
 {
@@ -127,7 +127,7 @@
   uv_close ((uv_handle_t *)&u->store_timer, NULL);
 }
 
-/* Tell how reporting goes.  */
+/* Store the statistics of reporting in OUT.  */
 void
 wy_usage_stats (const struct wy_usage *u, struct wy_usage_stats *out)
 {
--- a/src/duties/usage_cleanup.c
+++ b/src/duties/usage_cleanup.c
@@ -1,4 +1,4 @@
-/* Removes the stored counts and reports of windows long past.  */
+/* Removes the stored counts and reports of old windows.  */
 #include "duties/usage_state.h"
 
 #include <stdlib.h>
@@ -8,21 +8,23 @@
 
 enum
 {
-  EVERY_MS = 20000,
-  /* While there is more to remove.  */
-  NEXT_MS = 1000,
-  /* Rows are kept well beyond the time that the store may perform a call late:
-     a report could else be fixed a second time.  */
-  KEPT_MS = 120000,
-  /* Entries that the store takes in one transaction.  */
+  CLEANUP_INTERVAL_MS = 20000,
+  /* While there may be more to remove.  */
+  CLEANUP_NEXT_MS = 1000,
+  /* Well above the longest delay with which the store may execute a write:
+     such a write would otherwise create a second report of the window.  */
+  RETENTION_MS = 120000,
+  /* Maximum number of rows removed in one transaction, within the store's
+     limit.  */
   REMOVALS_MAX = 99
 };
 
 static void
-end (struct wy_usage *u, bool more)
+finish (struct wy_usage *u, bool more)
 {
-  u->cleaning = false;
-  u->clean_due_ms = wy_usage_now_ms (u) + (more ? NEXT_MS : EVERY_MS);
+  u->cleanup_pending = false;
+  u->cleanup_due_ms
+      = wy_usage_now_ms (u) + (more ? CLEANUP_NEXT_MS : CLEANUP_INTERVAL_MS);
 }
 
 static void
@@ -34,7 +36,7 @@
     return;
   if (r->err)
     wy_json_log ("usage.unremoved", "err=%d", r->err);
-  end (u, !r->err);
+  finish (u, !r->err);
 }
 
 static void
@@ -42,23 +44,23 @@
 {
   struct wy_usage *u = ctx;
   struct wy_row_ref refs[REMOVALS_MAX + 1];
-  char part[WY_USAGE_PARTITION_SIZE_BYTES];
-  struct wy_rows_tx tx = { .partition = part, .removals = refs };
+  char partition[WY_USAGE_PARTITION_SIZE_BYTES];
+  struct wy_rows_tx tx = { .partition = partition, .removals = refs };
 
   if (u->freed)
     return;
   if (r->err)
     {
-      end (u, false);
+      finish (u, false);
       return;
     }
-  wy_usage_partition (u->removing, part);
+  wy_usage_partition (u->removing_window, partition);
   for (size_t i = 0; i < r->n && i < REMOVALS_MAX; i++)
     refs[tx.n_removals++]
         = (struct wy_row_ref){ .table = WY_USAGE_COUNTS_TABLE,
                                .key = r->rows[i].key };
-  /* The report goes last: its part shows that there is something to remove.
-   */
+  /* The report is removed last: windows to remove are found by the partitions
+     of the reports table.  */
   if (r->n < REMOVALS_MAX)
     refs[tx.n_removals++]
         = (struct wy_row_ref){ .table = WY_USAGE_REPORTS_TABLE,
@@ -67,19 +69,19 @@
 }
 
 static void
-on_parts (void *ctx, const struct wy_rows_result *r)
+on_partitions (void *ctx, const struct wy_rows_result *r)
 {
   struct wy_usage *u = ctx;
-  int64_t last = (wy_usage_true_ms (u) - KEPT_MS) / u->o.window_ms;
+  int64_t oldest_kept = (wy_usage_wall_ms (u) - RETENTION_MS) / u->o.window_ms;
 
   if (u->freed)
     return;
   for (size_t i = 0; !r->err && i < r->n_partitions; i++)
-    if (strtoll (r->partitions[i], NULL, 10) < last)
+    if (strtoll (r->partitions[i], NULL, 10) < oldest_kept)
       {
         struct wy_rows_range range;
 
-        u->removing = strtoll (r->partitions[i], NULL, 10);
+        u->removing_window = strtoll (r->partitions[i], NULL, 10);
         range = (struct wy_rows_range){ .table = WY_USAGE_COUNTS_TABLE,
                                         .partition = r->partitions[i],
                                         .limit = REMOVALS_MAX };
@@ -87,16 +89,16 @@
         wy_rows_get (u->o.rows, &range, on_rows, u);
         return;
       }
-  end (u, false);
+  finish (u, false);
 }
 
-/* Remove one old window, if there is any.  The lease is held.  */
+/* Remove one old window, if there is any.  Only the leader calls this.  */
 void
-wy_usage_clean (struct wy_usage *u)
+wy_usage_cleanup (struct wy_usage *u)
 {
-  if (u->cleaning || wy_usage_now_ms (u) < u->clean_due_ms)
+  if (u->cleanup_pending || wy_usage_now_ms (u) < u->cleanup_due_ms)
     return;
-  u->cleaning = true;
-  wy_rows_list_partitions (u->o.rows, WY_USAGE_REPORTS_TABLE, NULL, on_parts,
-                           u);
+  u->cleanup_pending = true;
+  wy_rows_list_partitions (u->o.rows, WY_USAGE_REPORTS_TABLE, NULL,
+                           on_partitions, u);
 }
--- a/src/duties/usage_counts.c
+++ b/src/duties/usage_counts.c
@@ -1,8 +1,8 @@
-/* Counts of begun requests by window and organisation.
+/* Counts of executed requests by window and organisation.
 
-   A request is counted when it is sent to a target, since an entry that is
-   killed must have told of it by then, and taken back when it turns out that
-   no target has run it.  */
+   A request is counted when it is sent to a target, so that the count can be
+   stored before the entry is killed.  The count is taken back if no target has
+   executed the request.  */
 #include "duties/usage_counts.h"
 
 #include <stdlib.h>
@@ -12,13 +12,13 @@
 
 enum
 {
-  /* The clocks of entries agree to a few ms.  */
-  SETTLE_MS = 150,
-  /* A request that is still open so long after its window's end stays counted
-     as it is.  */
+  /* Bound of the difference between the entries' clocks, which is a few ms. */
+  CLOCK_SKEW_MS = 150,
+  /* A request still open this long after its window's end no longer delays
+     the window's completion.  */
   OPEN_MAX_MS = 1500,
-  /* Windows kept after their end, for the store's outages.  */
-  KEPT_MS = 60000
+  /* Time that windows are kept after their end, to outlast a store outage.  */
+  RETENTION_MS = 60000
 };
 
 struct wy_usage_counts
@@ -36,14 +36,14 @@
   g_free (w);
 }
 
-/* An empty table of counts (gint64 *) by organisation.  */
+/* An empty hash table of counts (gint64 *) by organisation.  */
 GHashTable *
 wy_usage_counts_table_new (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* Counts for windows of WINDOW_MS.  */
+/* Create counts for windows of WINDOW_MS.  */
 struct wy_usage_counts *
 wy_usage_counts_new (uint32_t window_ms)
 {
@@ -78,7 +78,7 @@
   *v += n;
 }
 
-/* The window with the number WINDOW; NULL: nothing was counted in it.  */
+/* The window number WINDOW; NULL: nothing was counted in it.  */
 struct wy_usage_window *
 wy_usage_counts_find (struct wy_usage_counts *c, int64_t window)
 {
@@ -99,13 +99,13 @@
   return w;
 }
 
-/* A request of ORGANISATION is sent to a target at TRUE_MS since the epoch.
+/* Count a request of ORGANISATION sent to a target at WALL_MS since the epoch.
    Returns its window, for wy_usage_counts_end.  */
 int64_t
 wy_usage_counts_begin (struct wy_usage_counts *c, const char *organisation,
-                       int64_t true_ms)
+                       int64_t wall_ms)
 {
-  struct wy_usage_window *w = window_at (c, true_ms / c->window_ms);
+  struct wy_usage_window *w = window_at (c, wall_ms / c->window_ms);
 
   add (w->counts, organisation, 1);
   w->open++;
@@ -113,25 +113,24 @@
   return w->number;
 }
 
-/* The outcome of a request counted in WINDOW is known: whether a target has
-   BEGUN it.  */
+/* A request of ORGANISATION counted in WINDOW has ended.  Unless EXECUTED, its
+   count is taken back.  */
 void
 wy_usage_counts_end (struct wy_usage_counts *c, int64_t window,
-                     const char *organisation, bool begun)
+                     const char *organisation, bool executed)
 {
   struct wy_usage_window *w = wy_usage_counts_find (c, window);
 
   if (!w)
     return;
   w->open--;
-  if (begun)
+  if (executed)
     return;
   add (w->counts, organisation, -1);
   w->changes++;
 }
 
-/* A window with changes that are not stored and not being stored; NULL: none.
- */
+/* Oldest window with unstored changes and no write in progress; NULL: none. */
 struct wy_usage_window *
 wy_usage_counts_next (struct wy_usage_counts *c)
 {
@@ -158,12 +157,12 @@
          && (w->open == 0 || since_end_ms >= OPEN_MAX_MS);
 }
 
-/* The newest window such that all that was counted in it and before is in the
-   store and will not change, at TRUE_MS.  Forgets windows long past.  */
+/* The newest window that is complete at WALL_MS: its counts and those of all
+   earlier windows are stored and final.  Discards old windows.  */
 int64_t
-wy_usage_counts_complete (struct wy_usage_counts *c, int64_t true_ms)
+wy_usage_counts_complete (struct wy_usage_counts *c, int64_t wall_ms)
 {
-  int64_t complete = (true_ms - SETTLE_MS) / c->window_ms - 1;
+  int64_t complete = (wall_ms - CLOCK_SKEW_MS) / c->window_ms - 1;
   GHashTableIter it;
   gpointer p;
 
@@ -171,9 +170,9 @@
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
       const struct wy_usage_window *w = p;
-      int64_t since_end_ms = true_ms - (w->number + 1) * c->window_ms;
+      int64_t since_end_ms = wall_ms - (w->number + 1) * c->window_ms;
 
-      if (since_end_ms > KEPT_MS && !w->storing && w->open == 0)
+      if (since_end_ms > RETENTION_MS && !w->storing && w->open == 0)
         g_hash_table_iter_remove (&it);
       else if (!is_settled (w, since_end_ms) && w->number <= complete)
         complete = w->number - 1;
@@ -181,7 +180,8 @@
   return complete;
 }
 
-/* The counts of W as the store keeps them; the caller frees them.  */
+/* The counts of W as a JSON object, the value of its row; the caller frees
+   it.  */
 char *
 wy_usage_counts_encode (const struct wy_usage_window *w)
 {
@@ -202,7 +202,8 @@
   return out;
 }
 
-/* Add the N bytes of stored counts at P to SUM.  */
+/* Add the stored counts in the N bytes at P to SUM.  Malformed values and
+   counts that are not positive are ignored.  */
 void
 wy_usage_counts_add (GHashTable *sum, const void *p, size_t n)
 {
--- a/src/duties/usage_report.c
+++ b/src/duties/usage_report.c
@@ -1,9 +1,9 @@
 /* Reports the usage of each window to the platform.
 
-   The platform must never get two reports of one window with other counts.  So
-   the text of a report is fixed first, in a row that is written on the
-   condition that there is none, and what is sent is what that row holds, by
-   whichever instance and as often as needed.  */
+   The platform must never receive two reports of one window with different
+   counts.  So the body of a report is first stored in a row, on the condition
+   that the row does not exist.  Each instance that sends the report, first or
+   again, sends the body in that row.  */
 #include "duties/usage_state.h"
 
 #include <string.h>
@@ -12,37 +12,38 @@
 
 enum
 {
-  /* Between two tries of a step that failed.  */
+  /* Delay before a failed step is retried.  */
   RETRY_MS = 250,
-  /* Without the counts of some entry, a window is reported when so much of the
-     time until it is due has passed, in percent, and the store has answered
-     for STORE_BACK_MS; what entries hold back while it is away comes then.  */
+  /* If the counts of some entry are missing, a window is reported anyway once
+     this share of the time until the deadline has passed, in percent, and the
+     store has been reachable for STORE_BACK_MS, in which entries store the
+     counts that they kept during an outage.  */
   FORCED_PERCENT = 55,
   STORE_BACK_MS = 1500,
-  /* And in any case so long before it is due.  */
-  LAST_MS = 900,
-  /* A window that is overdue by so many times that time is left out.  */
-  MISSED_TIMES = 3
+  /* It is reported in any case this long before the deadline.  */
+  FORCED_LAST_MS = 900,
+  /* A window older than this multiple of the deadline is skipped.  */
+  MISSED_FACTOR = 3
 };
 
 static int64_t
 since_end_ms (const struct wy_usage *u)
 {
-  return wy_usage_true_ms (u) - (u->window + 1) * u->o.window_ms;
+  return wy_usage_wall_ms (u) - (u->window + 1) * u->o.window_ms;
 }
 
 static void
-again (struct wy_usage *u)
+retry_later (struct wy_usage *u)
 {
   u->phase = WY_USAGE_IDLE;
-  u->wait_ms = wy_usage_now_ms (u) + RETRY_MS;
+  u->not_before_ms = wy_usage_now_ms (u) + RETRY_MS;
 }
 
 static void
 next_window (struct wy_usage *u)
 {
-  g_free (u->text);
-  u->text = NULL;
+  g_free (u->body);
+  u->body = NULL;
   u->phase = WY_USAGE_IDLE;
   u->is_forced = false;
   u->window++;
@@ -74,9 +75,9 @@
       u->stats.rejected++;
       next_window (u);
       break;
-    case WY_DUTY_BUSY:
-    case WY_DUTY_UNREACHED:
-      again (u);
+    case WY_DUTY_RETRY:
+    case WY_DUTY_NO_RESPONSE:
+      retry_later (u);
       break;
     }
 }
@@ -85,67 +86,67 @@
 send_report (struct wy_usage *u)
 {
   u->phase = WY_USAGE_SENDING;
-  if (!wy_duty_call (u->o.calls, WY_USAGE_TARGET, u->text, strlen (u->text),
+  if (!wy_duty_call (u->o.calls, WY_USAGE_TARGET, u->body, strlen (u->body),
                      on_sent, u))
-    again (u);
+    retry_later (u);
 }
 
 static void
-keep_text (struct wy_usage *u, const struct wy_row *row)
+copy_body (struct wy_usage *u, const struct wy_row *row)
 {
-  g_free (u->text);
-  u->text = g_strndup (row->value, row->size_bytes);
+  g_free (u->body);
+  u->body = g_strndup (row->value, row->size_bytes);
 }
 
 static void
-on_fixed (void *ctx, const struct wy_rows_result *r)
+on_report_persisted (void *ctx, const struct wy_rows_result *r)
 {
   struct wy_usage *u = ctx;
 
   if (u->freed)
     return;
   if (r->err == WY_ROWS_ECONFLICT && r->n)
-    keep_text (u, &r->rows[0]);
+    copy_body (u, &r->rows[0]);
   else if (r->err)
     {
-      /* It may be fixed or not: the row shows.  */
-      g_free (u->text);
-      u->text = NULL;
-      again (u);
+      /* The write may have taken effect or not: read the row again.  */
+      g_free (u->body);
+      u->body = NULL;
+      retry_later (u);
       return;
     }
   send_report (u);
 }
 
 static void
-fix (struct wy_usage *u)
+persist_report (struct wy_usage *u)
 {
-  char part[WY_USAGE_PARTITION_SIZE_BYTES];
+  char partition[WY_USAGE_PARTITION_SIZE_BYTES];
   struct wy_row_ref condition
       = { .table = WY_USAGE_REPORTS_TABLE, .key = WY_USAGE_REPORT_KEY };
   struct wy_row_write w
       = { .table = WY_USAGE_REPORTS_TABLE, .key = WY_USAGE_REPORT_KEY };
-  struct wy_rows_tx tx = { .partition = part,
+  struct wy_rows_tx tx = { .partition = partition,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &w,
                            .n_writes = 1 };
 
-  wy_usage_partition (u->window, part);
-  g_free (u->text);
-  u->text = wy_usage_report_body (u->window, u->sum);
-  w.value = u->text;
-  w.size_bytes = strlen (u->text);
-  u->phase = WY_USAGE_FIXING;
+  wy_usage_partition (u->window, partition);
+  g_free (u->body);
+  u->body = wy_usage_report_body (u->window, u->sum);
+  w.value = u->body;
+  w.size_bytes = strlen (u->body);
+  u->phase = WY_USAGE_PERSISTING;
   u->stats.forced += u->is_forced;
   wy_json_log ("usage.fixed",
                "window=%lld entries=%u organisations=%u forced=%d",
                (long long)u->window, u->n_rows, g_hash_table_size (u->sum),
                u->is_forced);
-  wy_rows_tx (u->o.rows, &tx, on_fixed, u);
+  wy_rows_tx (u->o.rows, &tx, on_report_persisted, u);
 }
 
-static void add_from (struct wy_usage *u, const char *from);
+static void read_counts (struct wy_usage *u, const char *from);
 
 static void
 on_counts (void *ctx, const struct wy_rows_result *r)
@@ -156,7 +157,7 @@
     return;
   if (r->err)
     {
-      again (u);
+      retry_later (u);
       return;
     }
   for (size_t i = 0; i < r->n; i++)
@@ -164,25 +165,26 @@
   u->n_rows += (uint32_t)r->n;
   if (r->has_more && r->n)
     {
-      /* The smallest key behind the last one.  */
+      /* The smallest key after the last one.  */
       char *from = g_strconcat (r->rows[r->n - 1].key, "\001", NULL);
 
-      add_from (u, from);
+      read_counts (u, from);
       g_free (from);
     }
   else
-    fix (u);
+    persist_report (u);
 }
 
 static void
-add_from (struct wy_usage *u, const char *from)
+read_counts (struct wy_usage *u, const char *from)
 {
-  char part[WY_USAGE_PARTITION_SIZE_BYTES];
-  struct wy_rows_range range
-      = { .table = WY_USAGE_COUNTS_TABLE, .partition = part, .from = from };
+  char partition[WY_USAGE_PARTITION_SIZE_BYTES];
+  struct wy_rows_range range = { .table = WY_USAGE_COUNTS_TABLE,
+                                 .partition = partition,
+                                 .from = from };
 
-  wy_usage_partition (u->window, part);
-  u->phase = WY_USAGE_ADDING;
+  wy_usage_partition (u->window, partition);
+  u->phase = WY_USAGE_SUMMING;
   wy_rows_get (u->o.rows, &range, on_counts, u);
 }
 
@@ -195,12 +197,12 @@
     return;
   if (r->err)
     {
-      again (u);
+      retry_later (u);
       return;
     }
   if (r->n)
     {
-      keep_text (u, &r->rows[0]);
+      copy_body (u, &r->rows[0]);
       send_report (u);
       return;
     }
@@ -208,50 +210,51 @@
     g_hash_table_destroy (u->sum);
   u->sum = wy_usage_counts_table_new ();
   u->n_rows = 0;
-  add_from (u, NULL);
+  read_counts (u, NULL);
 }
 
 static bool
-is_ready (struct wy_usage *u)
+may_report (struct wy_usage *u)
 {
   int64_t since_ms = since_end_ms (u);
-  int64_t back_ms = wy_usage_now_ms (u) - u->away_ms;
+  int64_t reachable_ms = wy_usage_now_ms (u) - u->store_unreachable_ms;
 
   u->is_forced = false;
   if (u->o.newest_complete_window (u->o.ctx) >= u->window)
     return true;
   u->is_forced = true;
-  if (since_ms >= u->o.report_deadline_ms - LAST_MS)
+  if (since_ms >= u->o.report_deadline_ms - FORCED_LAST_MS)
     return true;
   return since_ms >= (int64_t)u->o.report_deadline_ms * FORCED_PERCENT / 100
-         && (!u->away_ms || back_ms >= STORE_BACK_MS);
+         && (!u->store_unreachable_ms || reachable_ms >= STORE_BACK_MS);
 }
 
 static void
-start_over (struct wy_usage *u)
+rescan_windows (struct wy_usage *u)
 {
   u->restart = false;
-  u->wait_ms = 0;
+  u->not_before_ms = 0;
   u->window
-      = (wy_usage_true_ms (u) - u->o.report_deadline_ms) / u->o.window_ms - 1;
+      = (wy_usage_wall_ms (u) - u->o.report_deadline_ms) / u->o.window_ms - 1;
   next_window (u);
 }
 
-/* Go on with the oldest window that is not reported.  The lease is held.  */
+/* Continue with the oldest window not reported yet.  Only the leader calls
+   this.  */
 void
 wy_usage_report_step (struct wy_usage *u)
 {
-  char part[WY_USAGE_PARTITION_SIZE_BYTES];
+  char partition[WY_USAGE_PARTITION_SIZE_BYTES];
   struct wy_rows_range range
-      = { .table = WY_USAGE_REPORTS_TABLE, .partition = part };
+      = { .table = WY_USAGE_REPORTS_TABLE, .partition = partition };
 
   if (u->phase != WY_USAGE_IDLE)
     return;
   if (u->restart)
-    start_over (u);
-  if (wy_usage_now_ms (u) < u->wait_ms)
+    rescan_windows (u);
+  if (wy_usage_now_ms (u) < u->not_before_ms)
     return;
-  if (since_end_ms (u) > (int64_t)u->o.report_deadline_ms * MISSED_TIMES)
+  if (since_end_ms (u) > (int64_t)u->o.report_deadline_ms * MISSED_FACTOR)
     {
       wy_json_log ("usage.missed", "window=%lld since_end_ms=%lld",
                    (long long)u->window, (long long)since_end_ms (u));
@@ -259,14 +262,14 @@
       next_window (u);
       return;
     }
-  if (since_end_ms (u) < 0 || (!u->text && !is_ready (u)))
+  if (since_end_ms (u) < 0 || (!u->body && !may_report (u)))
     return;
-  if (u->text)
+  if (u->body)
     {
       send_report (u);
       return;
     }
-  wy_usage_partition (u->window, part);
+  wy_usage_partition (u->window, partition);
   u->phase = WY_USAGE_READING;
   wy_rows_get (u->o.rows, &range, on_report_read, u);
 }
--- a/src/duties/usage_store.c
+++ b/src/duties/usage_store.c
@@ -1,10 +1,10 @@
 /* Stores the counts of this entry.
 
-   A row an entry and window holds the counts so far.  It is written at once
-   when they change, and then at most some times a second: what an entry has
-   not stored when it is killed is missing from the report.  Each write bears
-   the version of the one before it as its condition, so that one which the
-   store performs late cannot undo a newer one.  */
+   One row for each entry and window has the counts so far.  It is written as
+   soon as they change, but at most once in WRITE_INTERVAL_MS.  Counts not
+   stored when the entry is killed are missing from the report.  Each write is
+   conditional on the row version left by the previous one, so that a write
+   which the store executes late can't overwrite a newer one.  */
 #include "duties/usage_state.h"
 
 #include <string.h>
@@ -13,8 +13,8 @@
 
 enum
 {
-  /* Least time between two writes of one entry.  */
-  GAP_MS = 100,
+  /* Minimum time between two writes of one entry.  */
+  WRITE_INTERVAL_MS = 100,
   RETRY_MS = 200
 };
 
@@ -27,9 +27,9 @@
 }
 
 static void
-arm (struct wy_usage *u, int64_t gap_ms)
+schedule (struct wy_usage *u, int64_t interval_ms)
 {
-  int64_t due_ms = u->stored_ms + gap_ms - wy_usage_now_ms (u);
+  int64_t due_ms = u->stored_ms + interval_ms - wy_usage_now_ms (u);
 
   if (!uv_is_active ((uv_handle_t *)&u->store_timer))
     uv_timer_start (&u->store_timer, on_timer,
@@ -51,26 +51,26 @@
       w->stored = w->storing;
     }
   else if (r->err == WY_ROWS_ECONFLICT)
-    /* An earlier write of ours, whose answer was lost.  */
+    /* An earlier write of this entry, whose response was lost.  */
     w->row_version = r->n ? r->rows[0].version : 0;
   else
     wy_json_log ("usage.unstored", "window=%lld err=%d", (long long)w->number,
                  r->err);
   w->storing = 0;
   if (wy_usage_counts_next (u->counts))
-    arm (u, r->err ? RETRY_MS : GAP_MS);
+    schedule (u, r->err ? RETRY_MS : WRITE_INTERVAL_MS);
 }
 
 static void
 store_next (struct wy_usage *u)
 {
   struct wy_usage_window *w = wy_usage_counts_next (u->counts);
-  char part[WY_USAGE_PARTITION_SIZE_BYTES];
+  char partition[WY_USAGE_PARTITION_SIZE_BYTES];
   struct wy_row_ref condition
       = { .table = WY_USAGE_COUNTS_TABLE, .key = u->o.counts_row_key };
   struct wy_row_write write
       = { .table = WY_USAGE_COUNTS_TABLE, .key = u->o.counts_row_key };
-  struct wy_rows_tx tx = { .partition = part,
+  struct wy_rows_tx tx = { .partition = partition,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = &write,
@@ -79,7 +79,7 @@
 
   if (!w || u->storing)
     return;
-  wy_usage_partition (w->number, part);
+  wy_usage_partition (w->number, partition);
   value = wy_usage_counts_encode (w);
   condition.version = w->row_version;
   write.value = value;
@@ -91,10 +91,10 @@
   g_free (value);
 }
 
-/* The counts have changed.  */
+/* Schedule a write after a change of the counts.  */
 void
-wy_usage_store_soon (struct wy_usage *u)
+wy_usage_schedule_store (struct wy_usage *u)
 {
   if (!u->storing)
-    arm (u, GAP_MS);
+    schedule (u, WRITE_INTERVAL_MS);
 }
--- a/src/lease/lease.h
+++ b/src/lease/lease.h
@@ -1,9 +1,9 @@
-/* Leases in the table service, with fencing numbers.
+/* Leases in the table service, with fencing tokens.
 
-   Two rows a lease: "lease/NAME" is written at each renewal; its sibling
-   "lease/NAME/fence" only when the lease changes hands.  A transaction that
-   may only succeed for the holder puts wy_lease_token_key at
-   wy_lease_token_rev among its conditions.  */
+   A lease has two rows: "lease/NAME" is written at each renewal,
+   "lease/NAME/fence" only when the holder changes.  A transaction that may
+   only succeed for the holder has as one of its conditions that the row
+   wy_lease_token_key is at revision wy_lease_token_rev.  */
 #ifndef WY_LEASE_LEASE_H
 #define WY_LEASE_LEASE_H
 
@@ -28,7 +28,7 @@
   const char *holder; /* process and incarnation */
   uint64_t seed;
   uint32_t ttl_ms; /* 0: default */
-  void (*on_acquired) (void *ctx, int64_t fence);
+  void (*on_acquired) (void *ctx, int64_t fencing_token);
   void (*on_lost) (void *ctx);
   void *ctx;
 };
--- a/src/lease/rows.h
+++ b/src/lease/rows.h
@@ -1,4 +1,4 @@
-/* The two rows of a lease.  Inside the package only.  */
+/* The two rows of a lease, and the lease itself.  Internal to src/lease.  */
 #ifndef WY_LEASE_ROWS_H
 #define WY_LEASE_ROWS_H
 
@@ -20,12 +20,12 @@
   char *name;
   char *holder;
   char *key;
-  char *fence_key;
+  char *token_key;
   char op[WY_ID_SIZE_BYTES];
   int64_t sent_ms;
   enum wy_lease_step step;
-  bool announced; /* on_acquired came, on_lost did not */
-  bool releasing; /* to be given back after the answer under way */
+  bool notified;  /* on_acquired was called, on_lost not yet */
+  bool releasing; /* to be released after the pending response */
   bool closing;
   bool timer_closed;
 };
@@ -33,7 +33,7 @@
 void wy_lease_rows_parse (const struct wy_lease *l,
                           const struct wy_store_result *r,
                           struct wy_lease_row *out);
-void wy_lease_rows_write (struct wy_lease *l, bool take, bool released,
+void wy_lease_rows_write (struct wy_lease *l, bool acquire, bool released,
                           void (*on_done) (void *ctx,
                                            const struct wy_store_result *r));
 void wy_lease_rows_read (struct wy_lease *l,
--- a/src/orders/order_metrics.c
+++ b/src/orders/order_metrics.c
@@ -1,5 +1,5 @@
-/* Metrics of an orderer: what it ordered, how that ended, and how far its
-   replica lies behind what trainers have named.  */
+/* Metrics of an orderer: its load orders, their outcomes, and the loaded
+   version compared with the one requested by trainers.  */
 #include "orders/orderer_state.h"
 
 #include "platform/replica_wire.h"
@@ -12,11 +12,11 @@
   BODY_BYTES = 1024,
   TIMEOUT_MS = 5000,
   IDLE_MS = 15000,
-  HELD_BYTES = 1 << 20
+  BUFFERED_BYTES = 1 << 20
 };
 
 static void
-make (struct wy_order_metrics *m)
+create_metrics (struct wy_order_metrics *m)
 {
   struct wy_metrics *a = wy_metrics_new ();
 
@@ -26,11 +26,11 @@
                                          OUTCOMES_MAX);
   m->load_us = wy_metrics_histogram (a, "wy_orderer_load_us",
                                      "Time from an order to its effect");
-  m->named = wy_metrics_gauge (a, "wy_orderer_version_named",
-                               "Newest version named of any model");
-  m->held = wy_metrics_gauge (a, "wy_orderer_version_held",
-                              "The version that the replica has of it");
-  m->behind = wy_metrics_gauge (
+  m->requested = wy_metrics_gauge (a, "wy_orderer_version_named",
+                                   "Newest version named of any model");
+  m->loaded = wy_metrics_gauge (a, "wy_orderer_version_held",
+                                "The version that the replica has of it");
+  m->due = wy_metrics_gauge (
       a, "wy_orderer_version_due",
       "1: a version whose turn has come is not loaded yet");
   m->report_age_ms = wy_metrics_gauge (a, "wy_orderer_report_age_ms",
@@ -46,25 +46,26 @@
 }
 
 static void
-read_versions (const struct wy_orderer_daemon *d,
-               const struct wy_order_metrics *m)
+update_version_gauges (const struct wy_orderer_daemon *d,
+                       const struct wy_order_metrics *m)
 {
   int64_t now_ms = wy_orderer_now_ms (d);
 
-  *m->named = 0;
-  *m->held = 0;
-  *m->behind = 0;
-  for (uint32_t i = 0; i < d->n_named; i++)
+  *m->requested = 0;
+  *m->loaded = 0;
+  *m->due = 0;
+  for (uint32_t i = 0; i < d->n_versions; i++)
     {
-      const struct wy_named *n = &d->named[i];
-      int64_t held = wy_orderer_held_version (d, n->v.model);
+      const struct wy_orderer_version *n = &d->versions[i];
+      int64_t loaded = wy_orderer_loaded_version (d, n->v.model);
 
-      if (n->loads && n->due_ms && now_ms >= n->due_ms && held < n->v.version)
-        *m->behind = 1;
-      if (n->v.version <= *m->named)
+      if (n->selected && n->due_ms && now_ms >= n->due_ms
+          && loaded < n->v.version)
+        *m->due = 1;
+      if (n->v.version <= *m->requested)
         continue;
-      *m->named = n->v.version;
-      *m->held = held;
+      *m->requested = n->v.version;
+      *m->loaded = loaded;
     }
 }
 
@@ -79,7 +80,7 @@
   GString *out = g_string_new (NULL);
 
   wy_rows_stats (d->rows, &rows);
-  read_versions (d, m);
+  update_version_gauges (d, m);
   *m->report_age_ms
       = d->reported_ms ? wy_orderer_now_ms (d) - d->reported_ms : -1;
   *m->generation = MAX (d->generation, 0);
@@ -91,8 +92,8 @@
   g_string_free (out, TRUE);
 }
 
-/* Describe the metrics and serve them where the settings say.  Returns 0 or
-   WY_H1_EBIND.  */
+/* Create the metrics and serve them on the address in the settings, if any.
+   Returns 0 or WY_H1_EBIND.  */
 int
 wy_order_metrics_start (struct wy_orderer_daemon *d)
 {
@@ -105,11 +106,11 @@
                       .body_bytes = BODY_BYTES,
                       .header_timeout_ms = TIMEOUT_MS,
                       .idle_timeout_ms = IDLE_MS,
-                      .buffered_bytes = HELD_BYTES },
+                      .buffered_bytes = BUFFERED_BYTES },
           .on_request = on_request,
           .ctx = d };
 
-  make (&d->metrics);
+  create_metrics (&d->metrics);
   if (!*d->o.settings->metrics)
     return 0;
   if (!wy_address_parse (d->o.settings->metrics, &a))
@@ -126,7 +127,7 @@
     wy_h1_server_free (d->metrics.server);
 }
 
-/* An order was answered, or not, with OUTCOME.  */
+/* Count an order that ended with OUTCOME.  */
 void
 wy_order_metrics_outcome (struct wy_order_metrics *m, const char *outcome)
 {
--- a/src/orders/order_metrics.h
+++ b/src/orders/order_metrics.h
@@ -1,4 +1,4 @@
-/* Metrics of an orderer, served on an address of its own.  */
+/* Metrics of an orderer, served on a separate address.  */
 #ifndef WY_ORDERS_ORDER_METRICS_H
 #define WY_ORDERS_ORDER_METRICS_H
 
@@ -13,9 +13,9 @@
   struct wy_h1_server *server;      /* NULL: not served */
   struct wy_metrics_family *orders; /* by outcome */
   struct wy_hist *load_us;
-  int64_t *named;
-  int64_t *held;
-  int64_t *behind;
+  int64_t *requested; /* newest version requested of any model */
+  int64_t *loaded;    /* version of that model that the replica has loaded */
+  int64_t *due;       /* 1: a load is due and not done */
   int64_t *report_age_ms;
   int64_t *generation;
   int64_t *store_calls;
--- a/src/orders/orderer.c
+++ b/src/orders/orderer.c
@@ -1,8 +1,9 @@
 /* Orders the replica on the same machine to load new versions.
 
-   Each order names the number of orders that the replica has accepted so far,
-   so that one carried out late, after a newer one, does nothing; and the
-   holder's generation, which a row in the store makes rise with each start. */
+   Each order carries the number of orders that the replica has accepted so
+   far, so that an order delayed past a newer one has no effect.  It also
+   carries the orderer's generation, a counter in a row of the store that is
+   incremented at each start.  */
 #include "orders/orderer_state.h"
 
 #include <stdio.h>
@@ -16,34 +17,34 @@
 
 #define GENERATION_TABLE "wy-orderers"
 
-/* In the part of the replica's address.  */
+/* In the partition named by the replica's address.  */
 static const char generation_key[] = "generation";
 
 enum
 {
   TICK_MS = 100,
-  WATCH_GAP_MS = 150,
+  WATCH_INTERVAL_MS = 150,
   CONNECT_TIMEOUT_MS = 500,
   TARGET_IDLE_MS = 5000,
-  /* The replica is on the same machine; no answer by then is none.  */
+  /* The replica is on this machine: no response by then means a failure.  */
   CALL_TIMEOUT_MS = 1500,
-  /* A load was accepted and does not show: it is ordered again.  */
+  /* A load that was accepted but has no effect by then is ordered again.  */
   ORDER_RETRY_MS = 1500,
-  REFUSED_RETRY_MS = 400,
-  /* While nothing is named, how often the replica is asked which versions it
-     holds: it may have restarted.  */
+  CALL_RETRY_MS = 400,
+  /* Interval of reports while no load is due, to detect a restart of the
+     replica.  */
   REPORT_IDLE_MS = 1000,
-  REPORT_BUSY_MS = 150,
-  /* An order rests on a report no older than this.  */
+  REPORT_ACTIVE_MS = 150,
+  /* Maximum age of the report on which an order is based.  */
   REPORT_FRESH_MS = 300,
-  FIRST_LOAD_MS = 950,
+  INITIAL_LOAD_MS = 950,
   LOAD_MS_MAX = 5000
 };
 
-/* Share of a new measurement in the smoothed time of a load.  */
+/* Weight of a new value in the moving average of load durations.  */
 static const double load_weight = 0.3;
 
-static void on_generation_drawn (void *ctx, const struct wy_rows_result *r);
+static void on_generation_written (void *ctx, const struct wy_rows_result *r);
 
 static void
 on_generation_read (void *ctx, const struct wy_rows_result *r)
@@ -63,7 +64,7 @@
 
   if (r->err)
     {
-      d->drawing = false;
+      d->generation_pending = false;
       return;
     }
   old = r->n ? g_strndup (r->rows[0].value, r->rows[0].size_bytes)
@@ -71,18 +72,18 @@
   condition.version = r->n ? r->rows[0].version : 0;
   snprintf (value, sizeof value, "%lld", strtoll (old, NULL, 10) + 1);
   w.size_bytes = strlen (value);
-  /* Known only when the write is confirmed; kept negative until then.  */
+  /* Negative until the write is confirmed.  */
   d->generation = -strtoll (value, NULL, 10);
   g_free (old);
-  wy_rows_tx (d->rows, &tx, on_generation_drawn, d);
+  wy_rows_tx (d->rows, &tx, on_generation_written, d);
 }
 
 static void
-on_generation_drawn (void *ctx, const struct wy_rows_result *r)
+on_generation_written (void *ctx, const struct wy_rows_result *r)
 {
   struct wy_orderer_daemon *d = ctx;
 
-  d->drawing = false;
+  d->generation_pending = false;
   d->generation = r->err ? 0 : -d->generation;
   if (!r->err)
     wy_json_log ("generation.drawn", "generation=%lld",
@@ -90,12 +91,12 @@
 }
 
 static void
-draw_generation (struct wy_orderer_daemon *d)
+increment_generation (struct wy_orderer_daemon *d)
 {
   struct wy_rows_range range
       = { .table = GENERATION_TABLE, .partition = d->o.settings->target };
 
-  d->drawing = true;
+  d->generation_pending = true;
   wy_rows_get (d->rows, &range, on_generation_read, d);
 }
 
@@ -108,12 +109,12 @@
 static void
 on_data (void *ctx, const char *p, size_t n)
 {
-  g_string_append_len (((struct wy_orderer_daemon *)ctx)->answer, p,
+  g_string_append_len (((struct wy_orderer_daemon *)ctx)->response, p,
                        (gssize)n);
 }
 
-/* Whether the replica restarted between the reports BEFORE and NOW.  The count
-   of orders alone is not enough: both processes may have accepted none.  */
+/* Whether the replica restarted between the reports BEFORE and NOW.  The
+   number of accepted orders alone does not tell: it may be 0 in both.  */
 static bool
 is_restart (const struct wy_replica_report *before,
             const struct wy_replica_report *now)
@@ -123,17 +124,17 @@
 }
 
 static void
-learn_report (struct wy_orderer_daemon *d)
+process_report (struct wy_orderer_daemon *d)
 {
   struct wy_replica_report r;
   int64_t now_ms = wy_orderer_now_ms (d);
   int64_t version;
 
   if (d->call_status != 200
-      || !wy_replica_report_decode (d->answer->str, d->answer->len, &r))
+      || !wy_replica_report_decode (d->response->str, d->response->len, &r))
     {
       wy_json_log ("report.unreadable", "status=%d bytes=%zu", d->call_status,
-                   d->answer->len);
+                   d->response->len);
       return;
     }
   if (d->reported_ms && is_restart (&d->report, &r))
@@ -142,7 +143,7 @@
           "target.restarted", "id=%s orders=%lld before=%lld started_ms=%lld",
           d->id, (long long)r.orders_accepted,
           (long long)d->report.orders_accepted, (long long)r.started_ms);
-      /* The order was lost with the process that accepted it.  */
+      /* The process that accepted the order is gone.  */
       d->ordered = NULL;
       /* The new process may have another id.  */
       d->rank_read_ms = 0;
@@ -151,7 +152,7 @@
   d->reported_ms = now_ms;
   if (!d->ordered)
     return;
-  version = wy_orderer_held_version (d, d->ordered->v.model);
+  version = wy_orderer_loaded_version (d, d->ordered->v.model);
   if (version >= d->ordered_version && !r.order_in_progress)
     {
       double took_ms = (double)(now_ms - d->ordered_ms);
@@ -174,7 +175,7 @@
 }
 
 static void
-learn_order (struct wy_orderer_daemon *d)
+process_order_response (struct wy_orderer_daemon *d)
 {
   enum wy_order_outcome outcome
       = wy_order_outcome_from_status (d->call_status);
@@ -194,13 +195,13 @@
     case WY_ORDER_MISDIRECTED:
       d->id[0] = '\0';
       d->ordered = NULL;
-      d->order_due_ms = wy_orderer_now_ms (d) + REFUSED_RETRY_MS;
+      d->order_due_ms = wy_orderer_now_ms (d) + CALL_RETRY_MS;
       break;
     case WY_ORDER_BUSY:
     case WY_ORDER_FENCED:
     case WY_ORDER_INVALID:
       d->ordered = NULL;
-      d->order_due_ms = wy_orderer_now_ms (d) + REFUSED_RETRY_MS;
+      d->order_due_ms = wy_orderer_now_ms (d) + CALL_RETRY_MS;
       break;
     }
 }
@@ -219,13 +220,13 @@
         wy_order_metrics_outcome (&d->metrics, "unanswered");
       if (order && err == WY_H1_ECONNECT)
         d->ordered = NULL;
-      d->order_due_ms = wy_orderer_now_ms (d) + REFUSED_RETRY_MS;
-      d->report_due_ms = wy_orderer_now_ms (d) + REFUSED_RETRY_MS;
+      d->order_due_ms = wy_orderer_now_ms (d) + CALL_RETRY_MS;
+      d->report_due_ms = wy_orderer_now_ms (d) + CALL_RETRY_MS;
     }
   else if (order)
-    learn_order (d);
+    process_order_response (d);
   else
-    learn_report (d);
+    process_report (d);
 }
 
 static void
@@ -257,13 +258,13 @@
   d->call_is_order = body != NULL;
   d->call_status = 0;
   d->call_deadline_ms = wy_orderer_now_ms (d) + CALL_TIMEOUT_MS;
-  g_string_truncate (d->answer, 0);
+  g_string_truncate (d->response, 0);
   d->call = wy_h1_call_start (d->http, &o);
   g_array_free (fields, TRUE);
 }
 
 static void
-order_load (struct wy_orderer_daemon *d, struct wy_named *n)
+order_load (struct wy_orderer_daemon *d, struct wy_orderer_version *n)
 {
   struct wy_load_order o
       = { .model = n->v.model,
@@ -283,7 +284,7 @@
       "model=%s version=%lld held=%lld orders=%lld report_age_ms=%lld "
       "after_named_ms=%lld",
       n->v.model, (long long)n->v.version,
-      (long long)wy_orderer_held_version (d, n->v.model),
+      (long long)wy_orderer_loaded_version (d, n->v.model),
       (long long)d->report.orders_accepted,
       (long long)(wy_orderer_now_ms (d) - d->reported_ms),
       (long long)(wy_orderer_now_ms (d) - n->seen_ms));
@@ -291,17 +292,17 @@
   g_free (body);
 }
 
-/* The named version that is to be loaded now; NULL: none.  */
-static struct wy_named *
+/* The version that is due to be loaded at NOW_MS; NULL: none.  */
+static struct wy_orderer_version *
 next_load (struct wy_orderer_daemon *d, int64_t now_ms)
 {
-  for (uint32_t i = 0; i < d->n_named; i++)
+  for (uint32_t i = 0; i < d->n_versions; i++)
     {
-      struct wy_named *n = &d->named[i];
-      int64_t held = wy_orderer_held_version (d, n->v.model);
+      struct wy_orderer_version *n = &d->versions[i];
+      int64_t loaded = wy_orderer_loaded_version (d, n->v.model);
 
-      if (n->due_ms && n->loads && now_ms >= n->due_ms && held >= 0
-          && held < n->v.version)
+      if (n->due_ms && n->selected && now_ms >= n->due_ms && loaded >= 0
+          && loaded < n->v.version)
         return n;
     }
   return NULL;
@@ -312,16 +313,16 @@
 {
   if (!*d->id)
     return true;
-  for (uint32_t i = 0; i < d->n_named; i++)
-    if (!d->named[i].due_ms)
+  for (uint32_t i = 0; i < d->n_versions; i++)
+    if (!d->versions[i].due_ms)
       return true;
   return false;
 }
 
 static void
-work (struct wy_orderer_daemon *d, int64_t now_ms)
+start_call (struct wy_orderer_daemon *d, int64_t now_ms)
 {
-  struct wy_named *n = next_load (d, now_ms);
+  struct wy_orderer_version *n = next_load (d, now_ms);
   bool fresh = d->reported_ms && now_ms - d->reported_ms <= REPORT_FRESH_MS;
 
   if (n && !d->ordered && d->generation > 0 && *d->id
@@ -330,12 +331,12 @@
       order_load (d, n);
       return;
     }
-  /* A replica that is not listed yet takes no calls; each try would be a
-     failure in the log of every start.  */
+  /* A replica that is not listed yet rejects calls, and each call would log a
+     failure at every start.  */
   if (!*d->id || now_ms < d->report_due_ms)
     return;
   d->report_due_ms
-      = now_ms + (n || d->ordered ? REPORT_BUSY_MS : REPORT_IDLE_MS);
+      = now_ms + (n || d->ordered ? REPORT_ACTIVE_MS : REPORT_IDLE_MS);
   call_target (d, "GET", WY_REPORT_TARGET, NULL);
 }
 
@@ -345,9 +346,9 @@
   struct wy_orderer_daemon *d = t->data;
   int64_t now_ms = wy_orderer_now_ms (d);
 
-  if (d->generation == 0 && !d->drawing)
-    draw_generation (d);
-  if (!d->listing && now_ms >= d->list_due_ms && needs_list (d))
+  if (d->generation == 0 && !d->generation_pending)
+    increment_generation (d);
+  if (!d->list_pending && now_ms >= d->list_due_ms && needs_list (d))
     wy_orderer_read_list (d);
   wy_orderer_read_relays (d, now_ms);
   if (d->call && now_ms >= d->call_deadline_ms)
@@ -358,11 +359,11 @@
                    d->call_is_order);
     }
   if (!d->call)
-    work (d, now_ms);
+    start_call (d, now_ms);
 }
 
-/* Start ordering as O says and store the orderer in OUT.  Returns 0 or
-   WY_H1_EBIND for an address that can't be read or taken.  */
+/* Start an orderer with options O and store it in OUT.  Returns 0 or
+   WY_H1_EBIND for an address that can't be parsed or bound.  */
 int
 wy_orderer_daemon_new (struct wy_orderer_daemon **out,
                        const struct wy_orderer_daemon_options *o)
@@ -376,12 +377,12 @@
   struct wy_watch_options w = { .loop = o->loop,
                                 .clock = o->clock,
                                 .table = WY_OPERATOR_TABLE,
-                                .min_interval_ms = WATCH_GAP_MS,
+                                .min_interval_ms = WATCH_INTERVAL_MS,
                                 .on_row = wy_orderer_on_operator_row,
                                 .ctx = d };
 
   d->o = *o;
-  d->load_ms = FIRST_LOAD_MS;
+  d->load_ms = INITIAL_LOAD_MS;
   if (!wy_address_parse (o->settings->target, &d->target)
       || !wy_address_parse (o->settings->store, &rows.address))
     {
@@ -392,7 +393,7 @@
   wy_json_log_open (o->loop, o->settings->name, d->incarnation);
   wy_json_log ("process.start", "target=%s service=%s store=%s",
                o->settings->target, o->settings->service, o->settings->store);
-  d->answer = g_string_new (NULL);
+  d->response = g_string_new (NULL);
   d->http = wy_h1_client_new (&http);
   rows.http = d->http;
   rows.seed = wy_hash64 (d->incarnation, WY_ID_LEN, 0);
@@ -408,7 +409,7 @@
   return wy_order_metrics_start (d);
 }
 
-/* Stop; the loop must turn some times afterwards.  */
+/* Stop.  The loop must run afterwards until its handles are closed.  */
 void
 wy_orderer_daemon_free (struct wy_orderer_daemon *d)
 {
--- a/src/orders/orderer.h
+++ b/src/orders/orderer.h
@@ -1,8 +1,9 @@
 /* Orders the replica on the same machine to load new versions of weights.
 
-   Targets here do not check who orders them, so a holder that was paused and
-   wakes after its successor would give orders beside it.  One process a
-   replica, on the replica's own machine, needs no successor.  */
+   Replicas do not check which process an order comes from.  With one elected
+   orderer for all, a former leader that was paused could send orders at the
+   same time as its successor.  An orderer for each replica, on the replica's
+   machine, needs no election.  */
 #ifndef WY_ORDERS_ORDERER_H
 #define WY_ORDERS_ORDERER_H
 
--- a/src/orders/relays.c
+++ b/src/orders/relays.c
@@ -1,8 +1,9 @@
-/* Selection of the entries that relay this orderer's calls to the store.
+/* Selection of the entries that relay this orderer's store calls.
 
-   Each orderer reads a few addresses, starting at a position derived from its
-   name.  Reading all would cost the product of entries and orderers, and
-   starting at the same position would make the same entries relay for all.  */
+   Each orderer reads a few entry addresses, starting at a position derived
+   from its name.  If each read all of them, the number of rows read would be
+   the product of entries and orderers.  If all started at the same position,
+   the same few entries would relay for all orderers.  */
 #include "orders/orderer_state.h"
 
 #include <string.h>
@@ -13,11 +14,11 @@
 enum
 {
   REFRESH_MS = 5000,
-  /* Further parts are read until so many addresses are known.  */
+  /* Further partitions are read until this many addresses are known.  */
   RELAYS_MIN = 4
 };
 
-static void read_part (struct wy_orderer_daemon *d, const char *from);
+static void read_partition (struct wy_orderer_daemon *d, const char *from);
 
 static void
 on_addresses (void *ctx, const struct wy_rows_result *r)
@@ -32,9 +33,10 @@
   for (size_t i = 0; i < r->n && d->n_relays < WY_ORDERER_RELAYS_MAX; i++)
     d->n_relays
         += wy_member_parse_address (&r->rows[i], &d->relays[d->n_relays]);
-  if (d->n_relays < RELAYS_MIN && ++d->relay_parts < WY_MEMBERS_PARTITIONS)
+  if (d->n_relays < RELAYS_MIN
+      && ++d->relay_partitions < WY_MEMBERS_PARTITIONS)
     {
-      read_part (d, NULL);
+      read_partition (d, NULL);
       return;
     }
   d->reading_relays = false;
@@ -43,15 +45,15 @@
 }
 
 static void
-read_part (struct wy_orderer_daemon *d, const char *from)
+read_partition (struct wy_orderer_daemon *d, const char *from)
 {
-  char part[WY_MEMBERS_PARTITION_SIZE_BYTES];
+  char partition[WY_MEMBERS_PARTITION_SIZE_BYTES];
   struct wy_rows_range range = { .table = WY_ADDRESSES_TABLE,
-                                 .partition = part,
+                                 .partition = partition,
                                  .from = from,
                                  .limit = WY_ORDERER_RELAYS_MAX };
 
-  wy_members_partition (d->relay_position + d->relay_parts, part);
+  wy_members_partition (d->relay_position + d->relay_partitions, partition);
   wy_rows_get (d->rows, &range, on_addresses, d);
 }
 
@@ -66,12 +68,12 @@
   d->relays_due_ms = now_ms + REFRESH_MS;
   d->reading_relays = true;
   d->n_relays = 0;
-  d->relay_parts = 0;
+  d->relay_partitions = 0;
   wy_members_key (d->relay_position, from);
-  read_part (d, from);
+  read_partition (d, from);
 }
 
-/* Use the seeds of the settings as relays until addresses have been read.  */
+/* Use the seeds in the settings as relays until addresses have been read.  */
 void
 wy_orderer_init_relays (struct wy_orderer_daemon *d)
 {
--- a/src/orders/versions.c
+++ b/src/orders/versions.c
@@ -1,5 +1,5 @@
-/* Which versions trainers have named, and which of them this replica is to
-   load when.  */
+/* The versions that trainers have requested, and the schedule of their loads
+   on this replica.  */
 #include "orders/orderer_state.h"
 
 #include <string.h>
@@ -13,7 +13,7 @@
 {
   RANK_FRESH_MS = 10000,
   LIST_RETRY_MS = 300,
-  /* Caps the growth of the delay while the replica is not listed.  */
+  /* Caps the growth of the retry delay while the replica is not listed.  */
   LIST_MISSES_MAX = 7
 };
 
@@ -24,9 +24,10 @@
   return wy_clock_mono_ms (d->o.clock);
 }
 
-/* The version of MODEL that the replica reports; -1: none.  */
+/* The version of MODEL that the replica has reported as loaded; -1: none.  */
 int64_t
-wy_orderer_held_version (const struct wy_orderer_daemon *d, const char *model)
+wy_orderer_loaded_version (const struct wy_orderer_daemon *d,
+                           const char *model)
 {
   for (uint32_t i = 0; i < d->report.n_models; i++)
     if (!strcmp (d->report.models[i].model, model))
@@ -34,22 +35,22 @@
   return -1;
 }
 
-static struct wy_named *
-named_of (struct wy_orderer_daemon *d, const char *model)
+static struct wy_orderer_version *
+find_or_add_version (struct wy_orderer_daemon *d, const char *model)
 {
-  for (uint32_t i = 0; i < d->n_named; i++)
-    if (!strcmp (d->named[i].v.model, model))
-      return &d->named[i];
-  if (d->n_named == WY_REPLICA_MODELS_MAX)
+  for (uint32_t i = 0; i < d->n_versions; i++)
+    if (!strcmp (d->versions[i].v.model, model))
+      return &d->versions[i];
+  if (d->n_versions == WY_REPLICA_MODELS_MAX)
     return NULL;
-  return &d->named[d->n_named++];
+  return &d->versions[d->n_versions++];
 }
 
 static void
-learn_version (struct wy_orderer_daemon *d, const struct wy_row *row)
+update_version (struct wy_orderer_daemon *d, const struct wy_row *row)
 {
   struct wy_requested_version v;
-  struct wy_named *n;
+  struct wy_orderer_version *n;
 
   if (!wy_requested_version_decode (row->value, row->size_bytes, &v))
     {
@@ -57,7 +58,7 @@
                    (long long)row->version);
       return;
     }
-  n = named_of (d, v.model);
+  n = find_or_add_version (d, v.model);
   if (!n || n->v.version >= v.version)
     return;
   n->v = v;
@@ -65,10 +66,10 @@
   n->due_ms = 0;
   wy_json_log ("version.named", "model=%s version=%lld held=%lld", v.model,
                (long long)v.version,
-               (long long)wy_orderer_held_version (d, v.model));
+               (long long)wy_orderer_loaded_version (d, v.model));
 }
 
-/* A row of the operator's table is new or has changed.  */
+/* Handle a new or changed ROW of the operator's table.  */
 void
 wy_orderer_on_operator_row (void *ctx, const struct wy_row *row)
 {
@@ -91,33 +92,35 @@
         wy_routing_free (r);
       break;
     case WY_OPERATOR_VERSION:
-      learn_version (d, row);
+      update_version (d, row);
       break;
     case WY_OPERATOR_OTHER:
       break;
     }
 }
 
-/* Position of MODEL among the models of this replica's service.  */
+/* Store the position of MODEL among the models of this replica's service in
+   INDEX and their number in N.  */
 static void
-model_place (const struct wy_orderer_daemon *d, const char *model,
-             uint32_t *place, uint32_t *n)
+model_index (const struct wy_orderer_daemon *d, const char *model,
+             uint32_t *index, uint32_t *n)
 {
   const struct wy_service *s
       = d->routing ? wy_routing_service (d->routing, d->o.settings->service)
                    : NULL;
 
-  *place = 0;
+  *index = 0;
   *n = 1;
   for (guint i = 0; s && i < s->models->len; i++)
     if (!strcmp (g_ptr_array_index (s->models, i), model))
       {
-        *place = i;
+        *index = i;
         *n = s->models->len;
       }
 }
 
-/* Whether a route to this replica's service wants texts of one version.  */
+/* Whether a route to this replica's service requires that each text comes from
+   a single version.  */
 bool
 wy_orderer_wants_single_version (const struct wy_orderer_daemon *d)
 {
@@ -135,7 +138,8 @@
 }
 
 static void
-set_turn (struct wy_orderer_daemon *d, struct wy_named *n, uint32_t lag)
+schedule_load (struct wy_orderer_daemon *d, struct wy_orderer_version *n,
+               uint32_t lag)
 {
   struct wy_weight_loading_options o = { .rank = d->rank,
                                          .replicas = d->replicas,
@@ -144,64 +148,65 @@
                                          .load_ms = (uint32_t)d->load_ms };
   struct wy_weight_loading t;
 
-  model_place (d, n->v.model, &o.model, &o.models);
+  model_index (d, n->v.model, &o.model, &o.models);
   t = wy_weight_loading (&o);
-  n->loads = t.loads;
+  n->selected = t.loads;
   n->due_ms = n->seen_ms + t.delay_ms;
   wy_json_log (
       "version.turn",
       "model=%s version=%lld loads=%d delay_ms=%u rank=%u of=%u lag=%u",
-      n->v.model, (long long)n->v.version, n->loads, t.delay_ms, d->rank,
+      n->v.model, (long long)n->v.version, n->selected, t.delay_ms, d->rank,
       d->replicas, lag);
 }
 
-/* The first named version whose turn is not known yet; NULL: none.  */
-static struct wy_named *
-without_turn (struct wy_orderer_daemon *d)
+/* The first version whose load is not scheduled yet; NULL: none.  */
+static struct wy_orderer_version *
+next_unscheduled (struct wy_orderer_daemon *d)
 {
-  for (uint32_t i = 0; i < d->n_named; i++)
-    if (!d->named[i].due_ms)
-      return &d->named[i];
+  for (uint32_t i = 0; i < d->n_versions; i++)
+    if (!d->versions[i].due_ms)
+      return &d->versions[i];
   return NULL;
 }
 
-static void read_lag (struct wy_orderer_daemon *d);
+static void read_staleness (struct wy_orderer_daemon *d);
 
 static uint64_t
-order_of (const struct sockaddr_in *a)
+address_key (const struct sockaddr_in *a)
 {
   return (uint64_t)ntohl (a->sin_addr.s_addr) << 16 | ntohs (a->sin_port);
 }
 
 static void
-on_lag (void *ctx, const struct wy_rows_result *r)
+on_staleness (void *ctx, const struct wy_rows_result *r)
 {
   struct wy_orderer_daemon *d = ctx;
-  struct wy_named *n = without_turn (d);
+  struct wy_orderer_version *n = next_unscheduled (d);
 
-  d->listing = false;
+  d->list_pending = false;
   if (r->err || !n)
     return;
-  /* Another version may have been named meanwhile; its model's lag is read
-     in its turn.  */
-  if (n->v.version == d->lag_version && !strcmp (n->v.model, d->lag_model))
-    set_turn (d, n, wy_staleness_allowed (r));
-  read_lag (d);
+  /* Another version may have been requested meanwhile; the staleness of its
+     model is read next.  */
+  if (n->v.version == d->staleness_version
+      && !strcmp (n->v.model, d->staleness_model))
+    schedule_load (d, n, wy_staleness_allowed (r));
+  read_staleness (d);
 }
 
 static void
-read_lag (struct wy_orderer_daemon *d)
+read_staleness (struct wy_orderer_daemon *d)
 {
-  const struct wy_named *n = without_turn (d);
+  const struct wy_orderer_version *n = next_unscheduled (d);
   struct wy_rows_range range = { .table = WY_STALENESS_TABLE };
 
   if (!n)
     return;
-  g_strlcpy (d->lag_model, n->v.model, sizeof d->lag_model);
-  d->lag_version = n->v.version;
-  range.partition = d->lag_model;
-  d->listing = true;
-  wy_rows_get (d->rows, &range, on_lag, d);
+  g_strlcpy (d->staleness_model, n->v.model, sizeof d->staleness_model);
+  d->staleness_version = n->v.version;
+  range.partition = d->staleness_model;
+  d->list_pending = true;
+  wy_rows_get (d->rows, &range, on_staleness, d);
 }
 
 static void read_page (struct wy_orderer_daemon *d);
@@ -215,13 +220,13 @@
   if (wy_replica_decode (row->key, row->value, row->size_bytes, &info)
       || strcmp (info.service, d->o.settings->service) != 0)
     return;
-  if (order_of (&info.address) == order_of (&d->target))
+  if (address_key (&info.address) == address_key (&d->target))
     {
       g_strlcpy (d->id, info.id, sizeof d->id);
       l->found = true;
     }
   else if (!info.draining)
-    l->rank += order_of (&info.address) < order_of (&d->target);
+    l->rank += address_key (&info.address) < address_key (&d->target);
   l->replicas += !info.draining;
 }
 
@@ -231,7 +236,7 @@
   struct wy_orderer_daemon *d = ctx;
   struct wy_replica_list *l = &d->list;
 
-  d->listing = false;
+  d->list_pending = false;
   d->list_due_ms = wy_orderer_now_ms (d) + LIST_RETRY_MS;
   if (r->err)
     return;
@@ -240,7 +245,7 @@
   if (r->has_more && r->n)
     {
       g_free (l->next_key);
-      /* The least key after that of the last row.  */
+      /* The smallest key after that of the last row.  */
       l->next_key = g_strconcat (r->rows[r->n - 1].key, "\x01", NULL);
       read_page (d);
       return;
@@ -255,7 +260,7 @@
   d->replicas = l->replicas;
   d->rank_read_ms = wy_orderer_now_ms (d);
   l->misses = 0;
-  read_lag (d);
+  read_staleness (d);
 }
 
 static void
@@ -265,21 +270,21 @@
                                  .partition = "",
                                  .from = d->list.next_key };
 
-  d->listing = true;
+  d->list_pending = true;
   wy_rows_get (d->rows, &range, on_page, d);
 }
 
-/* Determine the turns of versions that have none yet from the rank of this
-   replica among those of its service.  The rank is cached for RANK_FRESH_MS,
-   since every orderer reads the whole list and replicas change much less often
-   than versions.  */
+/* Schedule the loads of versions that have no schedule yet, by the rank of
+   this replica among those of its service.  The rank is cached for
+   RANK_FRESH_MS, since every orderer reads the full list and replicas change
+   much less often than versions.  */
 void
 wy_orderer_read_list (struct wy_orderer_daemon *d)
 {
   if (*d->id && d->rank_read_ms
       && wy_orderer_now_ms (d) - d->rank_read_ms < RANK_FRESH_MS)
     {
-      read_lag (d);
+      read_staleness (d);
       return;
     }
   g_clear_pointer (&d->list.next_key, g_free);
--- a/src/orgs/access.c
+++ b/src/orgs/access.c
@@ -1,14 +1,14 @@
 /* Authorization of a request.
 
-   401 and 404 end a request for good: its caller does not try again.  They
-   are given only by an entry whose configuration is known to be current;
-   another may know a key or a route that was added a moment ago.  */
+   Callers don't retry after 401 and 404.  So an entry sends them only while
+   its configuration is known to be current; otherwise the key or the route may
+   have been added in a newer one, and the response is 503.  */
 #include "orgs/access.h"
 
 #include <stddef.h>
 
-/* Decide on Q.  ORG is the organisation that the caller acts for, NULL if it
-   has no valid key.  */
+/* Check the request described by Q.  ORG is set to the organisation that the
+   caller acts for, or NULL if it has no valid key.  */
 enum wy_access
 wy_access_check (const struct wy_access_query *q, const struct wy_org **org)
 {
--- a/src/orgs/access.h
+++ b/src/orgs/access.h
@@ -6,19 +6,19 @@
 
 #include "orgs/orgs.h"
 
-/* The key as the caller presents it.  */
+/* The access key in a request.  */
 enum wy_credential
 {
   WY_CREDENTIAL_NONE,
-  WY_CREDENTIAL_MALFORMED, /* not of the bearer scheme, or empty */
-  WY_CREDENTIAL_MULTIPLE,  /* more than one field */
+  WY_CREDENTIAL_MALFORMED, /* not the Bearer scheme, or empty */
+  WY_CREDENTIAL_MULTIPLE,  /* more than one Authorization field */
   WY_CREDENTIAL_KEY
 };
 
 enum wy_route_access
 {
   WY_ROUTE_ACCESS_UNKNOWN, /* no such route */
-  WY_ROUTE_ACCESS_PUBLIC,
+  WY_ROUTE_ACCESS_PUBLIC,  /* no key needed */
   WY_ROUTE_ACCESS_KEY_REQUIRED
 };
 
@@ -32,7 +32,7 @@
 
 struct wy_access_query
 {
-  const struct wy_orgs *orgs; /* NULL: the deployment has none */
+  const struct wy_orgs *orgs; /* NULL: the deployment has no organisations */
   enum wy_credential credential;
   const char *key; /* with WY_CREDENTIAL_KEY */
   enum wy_route_access route;
--- a/src/orgs/orgs.c
+++ b/src/orgs/orgs.c
@@ -1,4 +1,4 @@
-/* Organisations by access key.  */
+/* Organisations, found by access key or name.  */
 #include "orgs/orgs.h"
 
 #include <string.h>
@@ -31,7 +31,7 @@
   g_free (o);
 }
 
-/* Any bits of a digest serve as its hash.  */
+/* A digest is uniformly distributed, so its first bytes serve as hash.  */
 static guint
 digest_hash (gconstpointer p)
 {
@@ -58,7 +58,7 @@
   g_checksum_free (sum);
 }
 
-/* A set of organisations, empty.  */
+/* Create an empty set of organisations.  */
 struct wy_orgs *
 wy_orgs_new (void)
 {
@@ -95,7 +95,7 @@
   return org;
 }
 
-/* Let callers with KEY act for ORG, one of O's.  */
+/* Add the access KEY for ORG, which belongs to O.  */
 void
 wy_orgs_add_key (struct wy_orgs *o, struct wy_org *org, const char *key)
 {
--- a/src/orgs/orgs.h
+++ b/src/orgs/orgs.h
@@ -1,7 +1,7 @@
 /* Organisations that callers belong to, and their access keys.
 
-   Keys are held as digests alone, so that no dump of this process's memory,
-   log line or status page can show one.  */
+   Only the digests of keys are kept, so that a memory dump, log line or status
+   page can't disclose a key.  */
 #ifndef WY_ORGS_ORGS_H
 #define WY_ORGS_ORGS_H
 
@@ -11,7 +11,7 @@
 struct wy_org
 {
   char *name;
-  uint32_t priority; /* 0 is the highest; UINT32_MAX: none of its own */
+  uint32_t priority; /* 0 is the highest; UINT32_MAX: not set */
 };
 
 struct wy_orgs;
--- a/src/trace/json_fields.c
+++ b/src/trace/json_fields.c
@@ -1,8 +1,9 @@
-/* Fields of a timeline event as JSON text.
+/* Prints the fields of a timeline event as JSON.
 
-   Every request leaves several events at each process it passes.  Building a
-   tree of JSON values for each and printing that took a third of an entry's
-   time; the flat fields that nearly all events have are printed directly.  */
+   Each request causes several events in each process on its way.  Building and
+   printing a tree of JSON values for each event takes a third of an entry's
+   time, so flat fields, which nearly all events have, are printed
+   directly.  */
 #include "trace/json_fields.h"
 
 #include <inttypes.h>
@@ -48,7 +49,8 @@
     plain++;
   g_string_append_c (out, '"');
   g_string_append_len (out, s, (gssize)plain);
-  /* What came from outside may be no UTF-8; the line must stay readable.  */
+  /* Text from outside may not be valid UTF-8, but the line must be valid
+     JSON.  */
   if (plain < n)
     utf8 = g_utf8_validate (s, -1, NULL);
   for (; plain < n; plain++)
@@ -80,8 +82,8 @@
   free (text);
 }
 
-/* Append field KEY with the text VALUE to OUT, an object not yet closed; a
-   NULL counts as empty.  */
+/* Append field KEY with the string VALUE to OUT, an object not closed yet.
+   NULL is printed as an empty string.  */
 void
 wy_json_fields_string (GString *out, const char *key, const char *value)
 {
@@ -97,7 +99,7 @@
   put_number (out, value);
 }
 
-/* Whether FMT is a list of fields, none of them nested.  */
+/* Whether FMT is an object with no nested values.  */
 static bool
 is_flat (const char *fmt)
 {
@@ -162,8 +164,7 @@
     }
 }
 
-/* Append to OUT the fields that FMT and AP name, in the notation of
-   json_pack.  */
+/* Append to OUT the fields given by FMT and AP, as for json_pack.  */
 void
 wy_json_fields_pack (GString *out, const char *fmt, va_list ap)
 {
--- a/src/trace/json_fields.h
+++ b/src/trace/json_fields.h
@@ -1,4 +1,4 @@
-/* Fields of a timeline event as JSON text.  */
+/* Prints the fields of a timeline event as JSON.  */
 #ifndef WY_TRACE_JSON_FIELDS_H
 #define WY_TRACE_JSON_FIELDS_H
 
--- a/src/trace/json_log.c
+++ b/src/trace/json_log.c
@@ -1,4 +1,4 @@
-/* Structured log lines on standard output.  */
+/* Structured log on standard output.  */
 #include "trace/json_log.h"
 
 #include <errno.h>
@@ -16,16 +16,16 @@
 enum
 {
   LINE_SIZE_BYTES = 1024,
-  /* Lines wait at most so long, so that a burst costs one write.  */
+  /* Maximum time that lines are buffered, so that a burst needs one write.  */
   FLUSH_MS = 100,
   FLUSH_BYTES = 16384,
-  /* A reader that has stopped reading costs lines, not memory.  */
-  KEPT_BYTES = 262144,
-  /* Lines a second that are written; the rest of a flood is counted.  */
+  /* Bound of the buffer while the reader does not read.  */
+  BUFFER_MAX_BYTES = 262144,
+  /* Lines above this rate are dropped and counted.  */
   LINES_PER_S = 2000,
-  /* Of these, and of the bytes kept, one part in so many is for lines on
-     requests and jobs alone: they are what a caller's complaint is traced by,
-     and are left out last.  */
+  /* Of the rate and of the buffer, one part in this many is reserved for lines
+     on requests and jobs.  They are dropped last, since they are needed to
+     investigate a caller's problem.  */
   REQUEST_DIVISOR = 4
 };
 
@@ -34,39 +34,39 @@
   bool open;
   GString *out;
   uv_timer_t timer;
-  bool waiting;
+  bool timer_armed;
   char process[64];
   char incarnation[64];
   uint64_t dropped;
-  uint64_t dropped_requests; /* lines on requests and jobs among them */
-  uint64_t told_dropped;
-  uint64_t told_requests;
+  uint64_t dropped_requests; /* dropped lines on requests and jobs */
+  uint64_t reported_dropped; /* as of the last log.dropped */
+  uint64_t reported_dropped_requests;
   int64_t second;
   uint32_t lines;
-} note;
+} state;
 
 static void
-now (struct timespec *ts)
+read_wall_clock (struct timespec *ts)
 {
   clock_gettime (CLOCK_REALTIME, ts);
 }
 
-/* Write what waits, as far as the reader takes it.  */
+/* Write as many of the buffered bytes as the reader accepts.  */
 void
 wy_json_log_flush (void)
 {
   ssize_t n;
 
-  if (!note.open || note.out->len == 0)
+  if (!state.open || state.out->len == 0)
     return;
-  n = write (STDOUT_FILENO, note.out->str, note.out->len);
+  n = write (STDOUT_FILENO, state.out->str, state.out->len);
   if (n > 0)
-    g_string_erase (note.out, 0, n);
+    g_string_erase (state.out, 0, n);
   else if (n < 0 && errno != EAGAIN && errno != EINTR)
     {
-      /* The reader is gone for good.  */
-      note.dropped++;
-      g_string_truncate (note.out, 0);
+      /* The reader has closed the stream.  */
+      state.dropped++;
+      g_string_truncate (state.out, 0);
     }
 }
 
@@ -75,19 +75,19 @@
 static void
 on_timer (uv_timer_t *t)
 {
-  note.waiting = false;
+  state.timer_armed = false;
   wy_json_log_flush ();
-  if (note.out->len)
+  if (state.out->len)
     arm ();
 }
 
 static void
 arm (void)
 {
-  if (note.waiting)
+  if (state.timer_armed)
     return;
-  note.waiting = true;
-  uv_timer_start (&note.timer, on_timer, FLUSH_MS, 0);
+  state.timer_armed = true;
+  uv_timer_start (&state.timer, on_timer, FLUSH_MS, 0);
 }
 
 static bool
@@ -95,7 +95,7 @@
 {
   size_t i = *v == '-' ? 1 : 0;
 
-  /* Longer runs of digits are identifiers.  */
+  /* More than 15 digits are an identifier.  */
   if (n == i || n > 15 || (v[i] == '0' && n > i + 1))
     return false;
   for (; i < n; i++)
@@ -122,7 +122,7 @@
   g_string_append_c (out, '"');
 }
 
-/* Turn "key=value key=value" into JSON members.  */
+/* Append PAIRS, "key=value key=value", to OUT as JSON members.  */
 static void
 append_pairs (GString *out, const char *pairs)
 {
@@ -150,60 +150,61 @@
 }
 
 static bool
-is_of_request (const char *event)
+is_request_event (const char *event)
 {
   return g_str_has_prefix (event, "request.")
          || g_str_has_prefix (event, "job.");
 }
 
 static bool
-admit (const struct timespec *ts, const char *event)
+admit_line (const struct timespec *ts, const char *event)
 {
-  bool request = is_of_request (event);
-  uint32_t part = request ? REQUEST_DIVISOR : REQUEST_DIVISOR - 1;
+  bool request = is_request_event (event);
+  uint32_t share = request ? REQUEST_DIVISOR : REQUEST_DIVISOR - 1;
 
-  if (ts->tv_sec != note.second)
+  if (ts->tv_sec != state.second)
     {
-      note.second = ts->tv_sec;
-      note.lines = 0;
+      state.second = ts->tv_sec;
+      state.lines = 0;
     }
-  if (note.out->len < (size_t)KEPT_BYTES / REQUEST_DIVISOR * part
-      && note.lines < LINES_PER_S / REQUEST_DIVISOR * part)
+  if (state.out->len < (size_t)BUFFER_MAX_BYTES / REQUEST_DIVISOR * share
+      && state.lines < LINES_PER_S / REQUEST_DIVISOR * share)
     {
-      note.lines++;
+      state.lines++;
       return true;
     }
-  note.dropped++;
-  note.dropped_requests += request;
+  state.dropped++;
+  state.dropped_requests += request;
   return false;
 }
 
 static void
 append_head (const struct timespec *ts, const char *event)
 {
-  g_string_append_printf (note.out,
+  g_string_append_printf (state.out,
                           "{\"t\":%lld.%03ld,\"process\":\"%s\","
                           "\"incarnation\":\"%s\",\"event\":\"%s\"",
                           (long long)ts->tv_sec, ts->tv_nsec / 1000000,
-                          note.process, note.incarnation, event);
+                          state.process, state.incarnation, event);
 }
 
 static void
-tell_dropped (const struct timespec *ts)
+append_dropped (const struct timespec *ts)
 {
-  if (note.dropped == note.told_dropped)
+  if (state.dropped == state.reported_dropped)
     return;
   append_head (ts, "log.dropped");
   g_string_append_printf (
-      note.out, ",\"lines\":%llu,\"of_requests\":%llu}\n",
-      (unsigned long long)(note.dropped - note.told_dropped),
-      (unsigned long long)(note.dropped_requests - note.told_requests));
-  note.told_dropped = note.dropped;
-  note.told_requests = note.dropped_requests;
+      state.out, ",\"lines\":%llu,\"of_requests\":%llu}\n",
+      (unsigned long long)(state.dropped - state.reported_dropped),
+      (unsigned long long)(state.dropped_requests
+                           - state.reported_dropped_requests));
+  state.reported_dropped = state.dropped;
+  state.reported_dropped_requests = state.dropped_requests;
 }
 
-/* Log EVENT with the pairs that FMT gives, such as "id=%s age_ms=%d".
-   Values hold no spaces.  */
+/* Log EVENT with the pairs given by FMT and the arguments, such as
+   "id=%s age_ms=%d".  Values must not contain spaces.  */
 void
 wy_json_log (const char *event, const char *fmt, ...)
 {
@@ -211,26 +212,26 @@
   struct timespec ts;
   va_list ap;
 
-  if (!note.open)
+  if (!state.open)
     return;
-  now (&ts);
-  if (!admit (&ts, event))
+  read_wall_clock (&ts);
+  if (!admit_line (&ts, event))
     return;
   va_start (ap, fmt);
   vsnprintf (pairs, sizeof pairs, fmt, ap);
   va_end (ap);
-  tell_dropped (&ts);
+  append_dropped (&ts);
   append_head (&ts, event);
-  append_pairs (note.out, pairs);
-  g_string_append (note.out, "}\n");
-  if (note.out->len >= FLUSH_BYTES)
+  append_pairs (state.out, pairs);
+  g_string_append (state.out, "}\n");
+  if (state.out->len >= FLUSH_BYTES)
     wy_json_log_flush ();
-  if (note.out->len)
+  if (state.out->len)
     arm ();
 }
 
-/* Start logging as PROCESS; INCARNATION tells its starts apart.  When open
-   already, only the names change.  */
+/* Start logging with the names PROCESS and INCARNATION, which identifies one
+   start of the process.  If the log is open already, only the names change. */
 void
 wy_json_log_open (struct uv_loop_s *loop, const char *process,
                   const char *incarnation)
@@ -239,31 +240,31 @@
 
   if (flags >= 0)
     fcntl (STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
-  g_strlcpy (note.process, process, sizeof note.process);
-  g_strlcpy (note.incarnation, incarnation, sizeof note.incarnation);
-  if (note.open)
+  g_strlcpy (state.process, process, sizeof state.process);
+  g_strlcpy (state.incarnation, incarnation, sizeof state.incarnation);
+  if (state.open)
     return;
-  note.out = g_string_sized_new (FLUSH_BYTES);
-  uv_timer_init (loop, &note.timer);
-  uv_unref ((uv_handle_t *)&note.timer);
-  note.open = true;
+  state.out = g_string_sized_new (FLUSH_BYTES);
+  uv_timer_init (loop, &state.timer);
+  uv_unref ((uv_handle_t *)&state.timer);
+  state.open = true;
 }
 
-/* Lines that were not written.  */
+/* Number of dropped lines.  */
 uint64_t
 wy_json_log_dropped (void)
 {
-  return note.dropped;
+  return state.dropped;
 }
 
-/* Write what waits and stop logging.  */
+/* Flush the buffer and stop logging.  */
 void
 wy_json_log_close (void)
 {
-  if (!note.open)
+  if (!state.open)
     return;
   wy_json_log_flush ();
-  note.open = false;
-  g_string_free (note.out, TRUE);
-  uv_close ((uv_handle_t *)&note.timer, NULL);
+  state.open = false;
+  g_string_free (state.out, TRUE);
+  uv_close ((uv_handle_t *)&state.timer, NULL);
 }
--- a/src/trace/json_log.h
+++ b/src/trace/json_log.h
@@ -1,6 +1,6 @@
-/* Structured log lines on standard output, for the engineer on call: one JSON
-   object a line.  Never blocks: lines are kept in a bounded buffer and the
-   ones that do not fit are counted.  */
+/* Structured log on standard output, with one JSON object for each line.
+   Logging never blocks: lines are kept in a bounded buffer, and lines that do
+   not fit are dropped and counted.  */
 #ifndef WY_TRACE_JSON_LOG_H
 #define WY_TRACE_JSON_LOG_H
 
--- a/src/trace/log.c
+++ b/src/trace/log.c
@@ -1,4 +1,4 @@
-/* Logs on log4c, to the standard error stream.  */
+/* Logs on standard error, by log4c.  */
 #include "trace/log.h"
 
 #include <stdarg.h>
@@ -32,7 +32,7 @@
   return LOG4C_PRIORITY_INFO;
 }
 
-/* Start logging as PROCESS at LEVEL.  */
+/* Start logging at LEVEL, with PROCESS as the category.  */
 void
 wy_log_open (const char *process, enum wy_log_level level)
 {
@@ -50,7 +50,7 @@
   wy_log_set_level (level);
 }
 
-/* Stop logging and free what log4c holds.  */
+/* Stop logging and free the memory of log4c.  */
 void
 wy_log_close (void)
 {
@@ -58,7 +58,7 @@
   log4c_fini ();
 }
 
-/* Write lines up to LEVEL from now on.  */
+/* Write events up to LEVEL from now on.  */
 void
 wy_log_set_level (enum wy_log_level level)
 {
@@ -67,14 +67,14 @@
     log4c_category_set_priority (category, priority_of (level));
 }
 
-/* The level in force.  */
+/* The current level.  */
 enum wy_log_level
 wy_log_get_level (void)
 {
   return current;
 }
 
-/* Write EVENT with the pairs that FMT and the arguments give, such as
+/* Log EVENT with the key=value pairs given by FMT and the arguments, such as
    "peer=%s err=%d".  Nothing is written before wy_log_open.  */
 void
 wy_log (enum wy_log_level level, const char *event, const char *fmt, ...)
--- a/src/trace/log.h
+++ b/src/trace/log.h
@@ -1,4 +1,5 @@
-/* Logs: one line an event, the event's name and key=value pairs.  */
+/* Logs on standard error: one line for each event, with the event's name and
+   key=value pairs.  */
 #ifndef WY_TRACE_LOG_H
 #define WY_TRACE_LOG_H
 
--- a/src/trace/metrics.c
+++ b/src/trace/metrics.c
@@ -1,5 +1,5 @@
-/* Counters, gauges and histograms of one process.  The code that counts
-   holds a pointer and adds to it; nothing is looked up on the way.  */
+/* Counters, gauges and histograms of one process.  Callers keep a pointer to
+   each metric and update it directly, without a lookup.  */
 #include "trace/metrics.h"
 
 #include <inttypes.h>
@@ -15,7 +15,7 @@
 };
 
 /* One label set of a family.  */
-struct labelled
+struct series
 {
   char *labels;
   uint64_t counter;
@@ -25,8 +25,8 @@
 struct wy_metrics_family
 {
   GHashTable *by_labels; /* struct labelled */
-  GPtrArray *sets;       /* the same, in the order of their first use */
-  uint32_t sets_max;
+  GPtrArray *all_series; /* struct series, by first use */
+  uint32_t series_max;
 };
 
 struct metric
@@ -49,9 +49,9 @@
 };
 
 static void
-labelled_free (gpointer p)
+series_free (gpointer p)
 {
-  struct labelled *l = p;
+  struct series *l = p;
 
   g_free (l->labels);
   g_free (l->histogram);
@@ -62,7 +62,7 @@
 family_free (struct wy_metrics_family *f)
 {
   g_hash_table_destroy (f->by_labels);
-  g_ptr_array_free (f->sets, TRUE);
+  g_ptr_array_free (f->all_series, TRUE);
   g_free (f);
 }
 
@@ -89,7 +89,7 @@
   g_free (x);
 }
 
-/* An empty set.  */
+/* Create an empty set of metrics.  */
 struct wy_metrics *
 wy_metrics_new (void)
 {
@@ -99,7 +99,7 @@
   return m;
 }
 
-/* Free M and all counters in it.  */
+/* Free M and all metrics in it.  */
 void
 wy_metrics_free (struct wy_metrics *m)
 {
@@ -120,7 +120,7 @@
   return x;
 }
 
-/* A new counter.  NAME follows the Prometheus rules and may end in labels in
+/* Add a counter.  NAME follows the Prometheus rules and may end in labels in
    braces.  */
 uint64_t *
 wy_metrics_counter (struct wy_metrics *m, const char *name, const char *help)
@@ -128,14 +128,14 @@
   return &add (m, METRIC_COUNTER, name, help)->u.counter;
 }
 
-/* A new gauge.  */
+/* Add a gauge.  */
 int64_t *
 wy_metrics_gauge (struct wy_metrics *m, const char *name, const char *help)
 {
   return &add (m, METRIC_GAUGE, name, help)->u.gauge;
 }
 
-/* A new histogram, printed as a summary.  */
+/* Add a histogram, printed as a summary.  */
 struct wy_hist *
 wy_metrics_histogram (struct wy_metrics *m, const char *name, const char *help)
 {
@@ -147,74 +147,74 @@
 
 static struct wy_metrics_family *
 family (struct wy_metrics *m, enum metric_kind kind, const char *name,
-        const char *help, uint32_t sets_max)
+        const char *help, uint32_t series_max)
 {
   struct wy_metrics_family *f = g_new0 (struct wy_metrics_family, 1);
 
   f->by_labels = g_hash_table_new (g_str_hash, g_str_equal);
-  f->sets = g_ptr_array_new_with_free_func (labelled_free);
-  f->sets_max = sets_max;
+  f->all_series = g_ptr_array_new_with_free_func (series_free);
+  f->series_max = series_max;
   add (m, kind, name, help)->u.family = f;
   return f;
 }
 
-/* Counters of one name, with SETS_MAX label sets at most: names of routes come
-   from outside and must not fill the memory.  What comes later is counted
-   under other="true".  */
+/* Add a family of counters, with at most SERIES_MAX label sets: label values
+   such as names of routes come from outside and must not exhaust the memory.
+   Further label sets share one counter labelled other="true".  */
 struct wy_metrics_family *
 wy_metrics_counter_family (struct wy_metrics *m, const char *name,
-                           const char *help, uint32_t sets_max)
+                           const char *help, uint32_t series_max)
 {
-  return family (m, METRIC_COUNTERS, name, help, sets_max);
+  return family (m, METRIC_COUNTERS, name, help, series_max);
 }
 
-/* The same with histograms.  */
+/* Like wy_metrics_counter_family, with histograms.  */
 struct wy_metrics_family *
 wy_metrics_histogram_family (struct wy_metrics *m, const char *name,
-                             const char *help, uint32_t sets_max)
+                             const char *help, uint32_t series_max)
 {
-  return family (m, METRIC_HISTOGRAMS, name, help, sets_max);
+  return family (m, METRIC_HISTOGRAMS, name, help, series_max);
 }
 
-static struct labelled *
-set_of (struct wy_metrics_family *f, const char *labels)
+static struct series *
+find_series (struct wy_metrics_family *f, const char *labels)
 {
-  struct labelled *l = g_hash_table_lookup (f->by_labels, labels);
+  struct series *l = g_hash_table_lookup (f->by_labels, labels);
 
-  if (!l && f->sets->len >= f->sets_max)
+  if (!l && f->all_series->len >= f->series_max)
     {
       labels = "other=\"true\"";
       l = g_hash_table_lookup (f->by_labels, labels);
     }
   if (l)
     return l;
-  l = g_new0 (struct labelled, 1);
+  l = g_new0 (struct series, 1);
   l->labels = g_strdup (labels);
   g_hash_table_insert (f->by_labels, l->labels, l);
-  g_ptr_array_add (f->sets, l);
+  g_ptr_array_add (f->all_series, l);
   return l;
 }
 
-/* The counter of F with LABELS, as wy_metrics_label makes them, separated by
-   commas.  */
+/* The counter of F with LABELS, a list of wy_metrics_label results separated
+   by commas.  */
 uint64_t *
 wy_metrics_family_counter (struct wy_metrics_family *f, const char *labels)
 {
-  return &set_of (f, labels)->counter;
+  return &find_series (f, labels)->counter;
 }
 
 /* The histogram of F with LABELS.  */
 struct wy_hist *
 wy_metrics_family_histogram (struct wy_metrics_family *f, const char *labels)
 {
-  struct labelled *l = set_of (f, labels);
+  struct series *l = find_series (f, labels);
 
   if (!l->histogram)
     l->histogram = g_new0 (struct wy_hist, 1);
   return l->histogram;
 }
 
-/* NAME="VALUE" with VALUE escaped; the caller frees it.  */
+/* Returns NAME="VALUE" with VALUE escaped.  The caller frees it.  */
 char *
 wy_metrics_label (const char *name, const char *value)
 {
@@ -231,7 +231,7 @@
   return g_string_free (s, FALSE);
 }
 
-/* NAME{LABELS} or NAME, with SUFFIX behind NAME.  */
+/* Append NAME and SUFFIX, and LABELS in braces unless empty.  */
 static void
 print_name (GString *out, const char *name, const char *suffix,
             const char *labels)
@@ -262,9 +262,9 @@
 {
   const struct wy_metrics_family *f = x->u.family;
 
-  for (guint i = 0; i < f->sets->len; i++)
+  for (guint i = 0; i < f->all_series->len; i++)
     {
-      const struct labelled *l = f->sets->pdata[i];
+      const struct series *l = f->all_series->pdata[i];
 
       if (x->kind == METRIC_HISTOGRAMS)
         {
@@ -276,7 +276,7 @@
     }
 }
 
-/* Append all of M to OUT.  */
+/* Append all metrics of M to OUT.  */
 void
 wy_metrics_print (const struct wy_metrics *m, GString *out)
 {
--- a/src/trace/metrics.h
+++ b/src/trace/metrics.h
@@ -1,4 +1,4 @@
-/* Counters and gauges, printed in the Prometheus text format.  */
+/* Counters, gauges and histograms, printed in the Prometheus text format.  */
 #ifndef WY_TRACE_METRICS_H
 #define WY_TRACE_METRICS_H
 
@@ -19,17 +19,17 @@
 struct wy_hist *wy_metrics_histogram (struct wy_metrics *m, const char *name,
                                       const char *help);
 
-/* Metrics of one name that differ in their labels.  */
+/* Metrics with the same name and different labels.  */
 struct wy_metrics_family;
 
 struct wy_metrics_family *wy_metrics_counter_family (struct wy_metrics *m,
                                                      const char *name,
                                                      const char *help,
-                                                     uint32_t sets_max);
+                                                     uint32_t series_max);
 struct wy_metrics_family *wy_metrics_histogram_family (struct wy_metrics *m,
                                                        const char *name,
                                                        const char *help,
-                                                       uint32_t sets_max);
+                                                       uint32_t series_max);
 uint64_t *wy_metrics_family_counter (struct wy_metrics_family *f,
                                      const char *labels);
 struct wy_hist *wy_metrics_family_histogram (struct wy_metrics_family *f,
--- a/src/trace/trace.c
+++ b/src/trace/trace.c
@@ -1,9 +1,9 @@
 /* Timeline writer.
 
-   A stamp is 48 bits of wall time in milliseconds and 16 bits of counter.  A
-   process never writes a stamp that is not above all stamps it has seen, so
-   an event that another one caused sorts after it even when the clocks of
-   the two processes differ.  */
+   A timestamp is 48 bits of wall-clock time in milliseconds and a 16-bit
+   counter.  Each timestamp is greater than all that the process has written or
+   observed, so that an effect sorts after its cause even if the clocks of the
+   two processes differ.  */
 #include "trace/trace.h"
 
 #include <fcntl.h>
@@ -15,7 +15,7 @@
 enum
 {
   STAMP_COUNTER_BITS = 16,
-  /* Most lines are shorter.  */
+  /* Initial size; most lines are shorter.  */
   LINE_SIZE_BYTES = 256,
   RING_SIZE_DEFAULT = 4096,
   FILE_MODE = 0644
@@ -27,14 +27,15 @@
   char *incarnation;
   const struct wy_clock *clock;
   int fd; /* -1: no file */
-  uint64_t last;
+  uint64_t last_timestamp;
   uint64_t seq;
   GQueue ring; /* char *, oldest first */
   uint64_t ring_first;
   uint32_t ring_size;
 };
 
-/* Open a timeline as O says.  Returns 0 or WY_TRACE_EOPEN.  */
+/* Open a timeline with options O and store it in OUT.  Returns 0 or
+   WY_TRACE_EOPEN.  */
 int
 wy_trace_new (struct wy_trace **out, const struct wy_trace_options *o)
 {
@@ -74,25 +75,25 @@
   g_free (t);
 }
 
-/* A stamp above all stamps written or seen so far.  */
+/* A new timestamp, greater than all written or observed so far.  */
 uint64_t
 wy_trace_timestamp (struct wy_trace *t)
 {
   uint64_t now = (uint64_t)wy_clock_wall_ms (t->clock) << STAMP_COUNTER_BITS;
 
-  t->last = now > t->last ? now : t->last + 1;
-  return t->last;
+  t->last_timestamp = now > t->last_timestamp ? now : t->last_timestamp + 1;
+  return t->last_timestamp;
 }
 
-/* Take note of a stamp that came from another process.  */
+/* Observe STAMP, a timestamp received from another process.  */
 void
 wy_trace_observe (struct wy_trace *t, uint64_t stamp)
 {
-  if (stamp > t->last)
-    t->last = stamp;
+  if (stamp > t->last_timestamp)
+    t->last_timestamp = stamp;
 }
 
-/* Identifier of this start of the process.  */
+/* Identifies this start of the process.  */
 const char *
 wy_trace_incarnation (const struct wy_trace *t)
 {
@@ -100,7 +101,7 @@
 }
 
 static void
-keep (struct wy_trace *t, char *line)
+ring_push (struct wy_trace *t, char *line)
 {
   g_queue_push_tail (&t->ring, line);
   if (t->ring.length <= t->ring_size)
@@ -109,8 +110,8 @@
   t->ring_first++;
 }
 
-/* LINE, N bytes with its end, goes out in one call, so that a process killed
-   at any moment leaves whole lines only.  */
+/* Write LINE, N bytes including the newline, in one system call, so that the
+   file has complete lines only, even if the process is killed.  */
 static void
 write_line (int fd, const char *line, size_t n)
 {
@@ -125,9 +126,9 @@
     }
 }
 
-/* Write EVENT with the fields that FMT and the arguments name, in the
-   notation of json_pack, such as "{s:s, s:I}"; FMT may be NULL.  T may be
-   NULL, then nothing is written.  */
+/* Write EVENT with the fields given by FMT and the arguments, as for
+   json_pack, such as "{s:s, s:I}".  FMT may be NULL.  If T is NULL, nothing is
+   written.  */
 void
 wy_trace_event (struct wy_trace *t, const char *event, const char *fmt, ...)
 {
@@ -153,11 +154,11 @@
   if (t->fd >= 0)
     write_line (t->fd, line->str, line->len);
   g_string_truncate (line, line->len - 1);
-  keep (t, g_string_free (line, FALSE));
+  ring_push (t, g_string_free (line, FALSE));
 }
 
-/* Append to OUT the lines kept in memory that come after line number AFTER
-   (0: all).  Returns the number of the newest line.  */
+/* Append to OUT the lines in memory after line number AFTER (0: all).  Returns
+   the number of the newest line.  */
 uint64_t
 wy_trace_read (struct wy_trace *t, uint64_t after, GString *out)
 {
--- a/src/trace/trace.h
+++ b/src/trace/trace.h
@@ -1,5 +1,5 @@
-/* Timeline: one JSON line per event, stamped with a hybrid logical clock, so
-   that the events of all processes can be put in one order.  */
+/* Timeline: one JSON line per event, with a timestamp of a hybrid logical
+   clock, so that the events of all processes can be ordered.  */
 #ifndef WY_TRACE_TRACE_H
 #define WY_TRACE_TRACE_H
 
@@ -19,7 +19,7 @@
 struct wy_trace_options
 {
   const char *process;     /* name of the process, such as "entry-1" */
-  const char *incarnation; /* identifier of this start of the process */
+  const char *incarnation; /* identifies one start of the process */
   const char *path;        /* file to append to, or NULL */
   uint32_t ring_size;      /* events kept in memory for readers */
   const struct wy_clock *clock;
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -1,4 +1,4 @@
-/* Duties with one holder: the lease, counts and reports of usage.  */
+/* Duties of the leader: election, usage counts and usage reports.  */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 static struct duty_entry b;
 
 static void
-start_two (void)
+start_two_entries (void)
 {
   duty_world_start ();
   a = (struct duty_entry){ .may_hold = true, .peer = &b };
@@ -43,7 +43,7 @@
   w = wy_usage_counts_next (c);
   cr_assert_not_null (w);
   cr_expect_eq (w->number, 5);
-  /* Not stored yet, and its requests are open.  */
+  /* Not complete: not stored, and its requests are open.  */
   cr_expect_eq (wy_usage_counts_complete (c, 6800), 4);
   wy_usage_counts_end (c, 5, "bank", false);
   wy_usage_counts_end (c, 5, "acme", true);
@@ -53,7 +53,7 @@
   w->stored = w->changes;
   cr_expect_eq (wy_usage_counts_complete (c, 6800), 5);
   cr_expect_eq (wy_usage_counts_next (c)->number, 6);
-  /* A request that stays open does not hold its window back for good.  */
+  /* A request that stays open delays its window only for a limited time.  */
   wy_usage_counts_next (c)->stored = 1;
   cr_expect_eq (wy_usage_counts_complete (c, 7800), 5);
   cr_expect_eq (wy_usage_counts_complete (c, 9000), 7);
@@ -75,12 +75,12 @@
   g_hash_table_destroy (sum);
 }
 
-/* The holder is killed: another one takes over, with a higher generation.  */
-Test (duties, holder_killed)
+/* The leader is killed: another entry is elected, with a higher generation. */
+Test (duties, leader_killed)
 {
   int64_t generation;
 
-  start_two ();
+  start_two_entries ();
   generation = wy_election_generation (a.duties);
   cr_expect (!duty_entry_holds (&b));
   duty_entry_kill (&a);
@@ -89,29 +89,29 @@
   stop ();
 }
 
-/* Guards against a holder that was suspended and goes on as if no time had
-   passed: its monotonic clock has not counted the time.  */
-Test (duties, holder_suspended)
+/* Guards against a leader that was suspended and continues as if no time had
+   passed, since its monotonic clock has not counted the time.  */
+Test (duties, leader_suspended)
 {
-  start_two ();
+  start_two_entries ();
   a.slept_ms += DUTY_LEASE_MS;
   cr_expect (!duty_entry_holds (&a));
   stop ();
 }
 
 static bool
-is_held (void *ctx)
+has_leader (void *ctx)
 {
   return duty_entry_holds (&a) || duty_entry_holds (&b);
 }
 
-/* The holder's machine was replaced while the lease lasted: the one that has
-   the same name waits as long as any other.  */
-Test (duties, restarted_under_its_name)
+/* The leader's machine is replaced during the lease.  The new process has the
+   same name, but must wait like any other candidate.  */
+Test (duties, replaced_under_the_same_name)
 {
   int64_t generation;
 
-  start_two ();
+  start_two_entries ();
   generation = wy_election_generation (a.duties);
   b.may_hold = false;
   duty_entry_kill (&a);
@@ -122,12 +122,12 @@
   stop ();
 }
 
-/* All entries are killed at once, and come back.  */
+/* All entries are killed at once and restarted.  */
 Test (duties, all_killed)
 {
   int64_t generation;
 
-  start_two ();
+  start_two_entries ();
   generation = wy_election_generation (a.duties);
   duty_entry_kill (&a);
   duty_entry_kill (&b);
@@ -135,17 +135,17 @@
   b = (struct duty_entry){ .may_hold = true, .peer = &a };
   duty_entry_start (&a, "a");
   duty_entry_start (&b, "b");
-  cr_expect (platform_world_until (&duty_world, is_held, NULL));
+  cr_expect (platform_world_until (&duty_world, has_leader, NULL));
   cr_expect_gt (
       wy_election_generation (duty_entry_holds (&a) ? a.duties : b.duties),
       generation);
   stop ();
 }
 
-/* The holder stops: it hands over without the lease having to lapse.  */
-Test (duties, holder_stops)
+/* The leader stops: it resigns, so that the lease need not expire.  */
+Test (duties, leader_resigns)
 {
-  start_two ();
+  start_two_entries ();
   wy_election_resign (a.duties, 0, "test");
   cr_expect (!duty_entry_holds (&a));
   cr_expect (platform_world_until (&duty_world, duty_entry_holds, &b));
@@ -174,14 +174,14 @@
   return wy_platform_duties_count (duty_platform, "acme") == *(int *)ctx;
 }
 
-/* Requests counted at two entries come in one report, those that no target ran
-   do not.  */
+/* One report has the requests counted by both entries, without those that no
+   target executed.  */
 Test (usage, reported)
 {
   int wanted = 2;
   int64_t w;
 
-  start_two ();
+  start_two_entries ();
   cr_assert (platform_world_until (&duty_world, is_counted, &a));
   wy_usage_end (a.usage, counted_window, "acme", true);
   cr_assert (platform_world_until (&duty_world, is_counted, &b));
@@ -193,12 +193,12 @@
   stop ();
 }
 
-/* An entry is killed right after it has counted: what it has stored counts. */
-Test (usage, counting_entry_killed)
+/* An entry is killed after counting: its stored counts are reported.  */
+Test (usage, entry_killed_after_counting)
 {
   int wanted = 1;
 
-  start_two ();
+  start_two_entries ();
   cr_assert (platform_world_until (&duty_world, is_counted, &b));
   platform_world_run_ms (&duty_world, DUTY_WINDOW_MS / 4);
   duty_entry_kill (&b);
@@ -206,14 +206,14 @@
   stop ();
 }
 
-/* Answers of the platform and of the store get lost, calls are refused: no
-   window is reported twice with other counts, and none is left out.  */
-Test (usage, faults_of_the_platform)
+/* Responses of the platform and of the store are lost, and calls are rejected.
+   No window may be reported twice with different counts, or skipped.  */
+Test (usage, platform_and_store_faults)
 {
   struct wy_platform_duties_faults *f;
   int wanted = 1;
 
-  start_two ();
+  start_two_entries ();
   f = wy_platform_duties_faults (duty_platform);
   f->busy = 1;
   f->rate = 1;
@@ -225,16 +225,16 @@
   stop ();
 }
 
-/* The holder is killed after a window's report was fixed and sent.  Guards
-   against a successor that adds the counts up anew, when more of them have
-   come, and reports the window a second time with others.  */
-Test (usage, successor_sends_what_is_fixed)
+/* The leader is killed after a window's report was stored and sent.  Guards
+   against a new leader that sums the counts again, when more have arrived, and
+   reports the window a second time with different counts.  */
+Test (usage, new_leader_sends_stored_report)
 {
   char part[32];
 
-  start_two ();
+  start_two_entries ();
   cr_assert (platform_world_until (&duty_world, three_windows, NULL));
-  /* Counts that come too late for their windows.  */
+  /* Counts that arrive too late for their windows.  */
   for (int64_t k = wy_usage_begin (b.usage, "x") - 6, n = 0; n < 6; n++)
     {
       snprintf (part, sizeof part, "%lld", (long long)k + n);
@@ -247,11 +247,11 @@
   stop ();
 }
 
-/* A cut lies between the holder and the platform: another entry, which may
-   reach it, is to have the duties.  */
-Test (duties, platform_unreached)
+/* A network partition separates the leader from the platform.  Another entry,
+   which may reach the platform, must be elected.  */
+Test (duties, platform_unreachable)
 {
-  start_two ();
+  start_two_entries ();
   wy_platform_duties_faults (duty_platform)->silent = true;
   cr_expect (platform_world_until (&duty_world, duty_entry_holds, &b));
   stop ();
@@ -274,8 +274,8 @@
   return status;
 }
 
-/* Guards against a stand-in that would let every order of holders pass.  */
-Test (duties, stand_in_notices)
+/* Guards against a stand-in that accepts any sequence of generations.  */
+Test (duties, stand_in_detects_violations)
 {
   const GPtrArray *v;
 
--- a/tests/test_election_model.c
+++ b/tests/test_election_model.c
@@ -1,8 +1,8 @@
-/* A model of the lease of the duties: three instances, a store and the
-   platform, in virtual time, with delays, lost and late answers, sleeps,
-   restarts and releases by chance.  The platform must never see a lower
-   generation after a higher one, one generation from two instances, or two
-   instances that take turns within one lease.  */
+/* A model of the leader election: three instances, a store and the platform,
+   in virtual time, with random delays, lost and late responses, suspensions,
+   restarts and releases.  The platform must never receive a lower generation
+   after a higher one, one generation from two instances, or alternating calls
+   of two instances within one lease.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -18,23 +18,24 @@
   CALLS_MAX = 8,
   DELAY_MS = 40,
   LONG_DELAY_MS = 2500,
-  SLEEP_MAX_MS = 6000,
+  SUSPEND_MAX_MS = 6000,
   JITTER_MS = 20
 };
 
-/* What is taken out of the design; the model must then find a fault.  */
+/* The part of the design that is disabled.  The model must then find a
+   fault.  */
 enum flaw
 {
-  SOUND,
-  SLEEP_UNNOTICED,  /* time asleep is not counted */
-  NO_CONDITION,     /* the row is written whatever it holds */
-  NO_PAUSE_AT_START /* a restarted instance is a candidate at once */
+  NO_FLAW,
+  SUSPEND_NOT_COUNTED, /* the clock stops during a suspension */
+  NO_CONDITION,        /* writes of the row are unconditional */
+  NO_PAUSE_AT_START    /* a restarted instance is a candidate at once */
 };
 
 struct row
 {
   int64_t rev;
-  int64_t fence;
+  int64_t generation;
   int owner; /* incarnation */
   bool released;
 };
@@ -45,16 +46,16 @@
   CALL_WRITE
 };
 
-/* A call to the store under way.  */
+/* A store call in progress.  */
 struct call
 {
   bool used;
   enum call_kind kind;
   int node;
   int incarnation;
-  int64_t performed_ms; /* when the store gets it */
-  int64_t answered_ms;  /* -1: its answer is lost */
-  bool performed;
+  int64_t executed_ms;  /* when the store executes it */
+  int64_t responded_ms; /* -1: its response is lost */
+  bool was_executed;
   bool conflict;
   int64_t sent_ms; /* by the sender's clock */
   int64_t condition;
@@ -65,11 +66,11 @@
 {
   struct wy_lease_state s;
   int incarnation;
-  int64_t awake_ms;
-  int64_t slept_ms; /* in all */
+  int64_t resume_ms;
+  int64_t suspended_ms; /* total */
   int64_t candidate_ms;
-  int64_t give_up_ms; /* no answer by then */
-  bool taking;
+  int64_t timeout_ms; /* timeout of the call in progress */
+  bool acquiring;
 };
 
 struct model
@@ -82,14 +83,14 @@
   int64_t revs;
   struct node nodes[NODES];
   struct call calls[CALLS_MAX];
-  /* Seen by the platform.  */
-  int64_t top;
-  int top_node;
+  /* Observed by the platform.  */
+  int64_t highest_generation;
+  int highest_node;
   int before_node; /* acted before the last one */
-  int64_t acted_ms[NODES];
+  int64_t called_ms[NODES];
   int last_node;
-  uint32_t acts;
-  uint32_t changes;
+  uint32_t n_platform_calls;
+  uint32_t leader_changes;
   const char *fault;
 };
 
@@ -102,7 +103,8 @@
 static int64_t
 clock_of (const struct model *m, int i)
 {
-  return m->now_ms - (m->flaw == SLEEP_UNNOTICED ? m->nodes[i].slept_ms : 0);
+  return m->now_ms
+         - (m->flaw == SUSPEND_NOT_COUNTED ? m->nodes[i].suspended_ms : 0);
 }
 
 static void
@@ -111,7 +113,7 @@
   struct node *n = &m->nodes[i];
 
   n->incarnation = ++m->incarnations;
-  n->taking = false;
+  n->acquiring = false;
   wy_lease_state_init (&n->s, TTL_MS, clock_of (m, i));
   n->candidate_ms
       = clock_of (m, i) + (m->flaw == NO_PAUSE_AT_START ? 0 : TTL_MS);
@@ -125,7 +127,7 @@
   for (int k = 0; k < CALLS_MAX; k++)
     {
       struct call *c = &m->calls[k];
-      int64_t way_ms = 1 + wy_rng_below (&m->rng, DELAY_MS);
+      int64_t delay_ms = 1 + wy_rng_below (&m->rng, DELAY_MS);
 
       if (c->used)
         continue;
@@ -139,21 +141,21 @@
       if (row)
         c->row = *row;
       if (one_in (m, 25))
-        way_ms += wy_rng_below (&m->rng, LONG_DELAY_MS);
-      c->performed_ms = m->now_ms + way_ms;
-      c->answered_ms = c->performed_ms + 1 + wy_rng_below (&m->rng, DELAY_MS);
+        delay_ms += wy_rng_below (&m->rng, LONG_DELAY_MS);
+      c->executed_ms = m->now_ms + delay_ms;
+      c->responded_ms = c->executed_ms + 1 + wy_rng_below (&m->rng, DELAY_MS);
       if (one_in (m, 25))
-        c->answered_ms = -1;
+        c->responded_ms = -1;
       break;
     }
-  n->give_up_ms = clock_of (m, i) + LONG_DELAY_MS / 2;
-  wy_lease_sent (&n->s);
+  n->timeout_ms = clock_of (m, i) + LONG_DELAY_MS / 2;
+  wy_lease_on_sent (&n->s);
 }
 
 static void
-perform (struct model *m, struct call *c)
+execute_call (struct model *m, struct call *c)
 {
-  c->performed = true;
+  c->was_executed = true;
   if (c->kind == CALL_READ)
     {
       c->row = m->row;
@@ -167,109 +169,110 @@
 }
 
 static struct wy_lease_row
-seen_row (const struct row *r, int incarnation)
+lease_row (const struct row *r, int incarnation)
 {
   return (struct wy_lease_row){ .rev = r->rev,
-                                .fence_rev = r->rev,
-                                .fence = r->fence,
+                                .token_rev = r->rev,
+                                .fencing_token = r->generation,
                                 .ttl_ms = TTL_MS,
                                 .released = r->released,
                                 .own = r->owner == incarnation };
 }
 
 static void
-answer (struct model *m, struct call *c)
+deliver_response (struct model *m, struct call *c)
 {
   struct node *n = &m->nodes[c->node];
   int64_t now_ms = clock_of (m, c->node);
-  struct wy_lease_row row = seen_row (&c->row, n->incarnation);
+  struct wy_lease_row row = lease_row (&c->row, n->incarnation);
 
   c->used = false;
-  /* Given up, or of an earlier start.  */
-  if (c->incarnation != n->incarnation || !n->s.busy)
+  /* Timed out, or sent by an earlier incarnation.  */
+  if (c->incarnation != n->incarnation || !n->s.pending)
     return;
   if (c->kind == CALL_READ)
-    wy_lease_seen (&n->s, now_ms, &row,
-                   (uint32_t)wy_rng_below (&m->rng, JITTER_MS));
+    wy_lease_on_read (&n->s, now_ms, &row,
+                      (uint32_t)wy_rng_below (&m->rng, JITTER_MS));
   else if (c->conflict)
-    wy_lease_refused (&n->s, now_ms, true, 1);
-  else if (n->taking)
-    wy_lease_taken (&n->s, c->sent_ms, now_ms, &row);
+    wy_lease_on_failed (&n->s, now_ms, true, 1);
+  else if (n->acquiring)
+    wy_lease_on_acquired (&n->s, c->sent_ms, now_ms, &row);
   else
-    wy_lease_renewed (&n->s, c->sent_ms, now_ms, c->row.rev);
+    wy_lease_on_renewed (&n->s, c->sent_ms, now_ms, c->row.rev);
 }
 
-/* Node I calls the platform, which the call reaches at once.  */
+/* Node I calls the platform, without delay.  */
 static void
-act (struct model *m, int i)
+call_platform (struct model *m, int i)
 {
-  int64_t generation = m->nodes[i].s.row.fence;
+  int64_t generation = m->nodes[i].s.row.fencing_token;
 
-  m->acts++;
-  if (generation < m->top)
+  m->n_platform_calls++;
+  if (generation < m->highest_generation)
     m->fault = "a lower generation after a higher one";
-  if (generation == m->top && m->top_node != i)
+  if (generation == m->highest_generation && m->highest_node != i)
     m->fault = "one generation from two instances";
   if (m->last_node != i)
     {
-      m->changes++;
-      if (m->acted_ms[i] && m->now_ms - m->acted_ms[i] < TTL_MS)
-        m->fault = "two instances take turns within a lease";
+      m->leader_changes++;
+      if (m->called_ms[i] && m->now_ms - m->called_ms[i] < TTL_MS)
+        m->fault = "calls of two instances alternate within a lease";
     }
-  m->top = generation;
-  m->top_node = i;
+  m->highest_generation = generation;
+  m->highest_node = i;
   m->last_node = i;
-  m->acted_ms[i] = m->now_ms;
+  m->called_ms[i] = m->now_ms;
 }
 
 static void
 release (struct model *m, int i)
 {
   struct node *n = &m->nodes[i];
-  struct row row
-      = { .fence = n->s.row.fence, .owner = n->incarnation, .released = true };
+  struct row row = { .generation = n->s.row.fencing_token,
+                     .owner = n->incarnation,
+                     .released = true };
 
   n->candidate_ms = clock_of (m, i) + TTL_MS;
   n->s.until_ms = clock_of (m, i);
-  wy_lease_next (&n->s, clock_of (m, i));
-  if (n->s.busy)
+  wy_lease_next_step (&n->s, clock_of (m, i));
+  if (n->s.pending)
     return;
-  n->taking = false;
+  n->acquiring = false;
   send (m, i, CALL_WRITE, &row);
 }
 
 static void
-turn (struct model *m, int i)
+step_node (struct model *m, int i)
 {
   struct node *n = &m->nodes[i];
   int64_t now_ms = clock_of (m, i);
   struct row row = { .owner = n->incarnation };
 
-  if (n->s.busy && now_ms >= n->give_up_ms)
-    wy_lease_refused (&n->s, now_ms, false, 1);
+  if (n->s.pending && now_ms >= n->timeout_ms)
+    wy_lease_on_failed (&n->s, now_ms, false, 1);
   if (!n->s.held && now_ms < n->candidate_ms)
     return;
-  switch (wy_lease_next (&n->s, now_ms))
+  switch (wy_lease_next_step (&n->s, now_ms))
     {
     case WY_LEASE_WAIT:
-    case WY_LEASE_STOP:
+    case WY_LEASE_LOST:
       break;
     case WY_LEASE_READ:
       send (m, i, CALL_READ, NULL);
       break;
-    case WY_LEASE_TAKE:
-      n->taking = true;
-      row.fence = n->s.row.fence + 1;
+    case WY_LEASE_ACQUIRE:
+      n->acquiring = true;
+      row.generation = n->s.row.fencing_token + 1;
       send (m, i, CALL_WRITE, &row);
       break;
     case WY_LEASE_RENEW:
-      n->taking = false;
-      row.fence = n->s.row.fence;
+      n->acquiring = false;
+      row.generation = n->s.row.fencing_token;
       send (m, i, CALL_WRITE, &row);
       break;
     }
   if (wy_lease_holds (&n->s, clock_of (m, i)) && one_in (m, 4))
-    act (m, i);
+    call_platform (m, i);
   if (wy_lease_holds (&n->s, clock_of (m, i)) && one_in (m, 400))
     release (m, i);
 }
@@ -282,36 +285,36 @@
     {
       struct call *c = &m->calls[k];
 
-      if (c->used && !c->performed && m->now_ms >= c->performed_ms)
-        perform (m, c);
-      if (c->used && c->performed && c->answered_ms < 0)
+      if (c->used && !c->was_executed && m->now_ms >= c->executed_ms)
+        execute_call (m, c);
+      if (c->used && c->was_executed && c->responded_ms < 0)
         c->used = false;
-      else if (c->used && c->performed && m->now_ms >= c->answered_ms
-               && m->now_ms >= m->nodes[c->node].awake_ms)
-        answer (m, c);
+      else if (c->used && c->was_executed && m->now_ms >= c->responded_ms
+               && m->now_ms >= m->nodes[c->node].resume_ms)
+        deliver_response (m, c);
     }
   for (int i = 0; i < NODES; i++)
     {
       struct node *n = &m->nodes[i];
 
-      if (m->now_ms < n->awake_ms)
+      if (m->now_ms < n->resume_ms)
         continue;
       if (one_in (m, 1500))
         {
-          int64_t ms = wy_rng_below (&m->rng, SLEEP_MAX_MS);
+          int64_t ms = wy_rng_below (&m->rng, SUSPEND_MAX_MS);
 
-          n->awake_ms = m->now_ms + ms;
-          n->slept_ms += ms;
+          n->resume_ms = m->now_ms + ms;
+          n->suspended_ms += ms;
         }
       else if (one_in (m, 3000))
         start (m, i);
       else
-        turn (m, i);
+        step_node (m, i);
     }
 }
 
 static struct model *
-walk (enum flaw flaw, uint64_t seed)
+run_model (enum flaw flaw, uint64_t seed)
 {
   static struct model m;
 
@@ -327,23 +330,23 @@
   return &m;
 }
 
-Test (duties_model, no_fault)
+Test (election_model, no_fault)
 {
   for (uint64_t seed = 1; seed <= 3; seed++)
     {
-      struct model *m = walk (SOUND, seed);
+      struct model *m = run_model (NO_FLAW, seed);
 
       cr_expect_null (m->fault, "seed %d at %lld ms: %s", (int)seed,
                       (long long)m->now_ms, m->fault);
-      cr_expect_gt (m->changes, 100);
-      cr_expect_gt (m->acts, 10000);
+      cr_expect_gt (m->leader_changes, 100);
+      cr_expect_gt (m->n_platform_calls, 10000);
     }
 }
 
-/* Guards against a model that would find no fault whatever the design.  */
-Test (duties_model, finds_what_is_taken_out)
+/* Guards against a model that finds no fault in a wrong design.  */
+Test (election_model, detects_disabled_parts)
 {
-  cr_expect_not_null (walk (SLEEP_UNNOTICED, 1)->fault);
-  cr_expect_not_null (walk (NO_CONDITION, 1)->fault);
-  cr_expect_not_null (walk (NO_PAUSE_AT_START, 1)->fault);
+  cr_expect_not_null (run_model (SUSPEND_NOT_COUNTED, 1)->fault);
+  cr_expect_not_null (run_model (NO_CONDITION, 1)->fault);
+  cr_expect_not_null (run_model (NO_PAUSE_AT_START, 1)->fault);
 }
--- a/tests/test_json_log.c
+++ b/tests/test_json_log.c
@@ -1,4 +1,4 @@
-/* Log lines on standard output.  */
+/* Structured log on standard output.  */
 #include <criterion/criterion.h>
 #include <fcntl.h>
 #include <string.h>
@@ -21,9 +21,9 @@
   wy_json_log_open (&loop, "p-1", "inc");
 }
 
-/* Values from outside, such as an id with quotes, must not break the line
-   that an engineer greps for.  */
-Test (note, lines_are_json)
+/* Values from outside, such as an id with quotes, must not produce malformed
+   JSON.  */
+Test (json_log, lines_are_json)
 {
   char buffer[4096];
   ssize_t n;
@@ -49,10 +49,10 @@
   wy_json_log_close ();
 }
 
-/* The reader has stopped reading, and a flood of lines comes.  The process
-   must neither wait for the reader nor keep the lines for ever; how many were
-   dropped is told when the reader is back.  */
-Test (note, flood_without_a_reader)
+/* Many lines are logged while the reader does not read.  The process must
+   neither block nor buffer all lines, and must log the number of dropped lines
+   when the reader continues.  */
+Test (json_log, flood_without_a_reader)
 {
   enum
   {
@@ -68,7 +68,7 @@
     wy_json_log ("flood", "i=%d", i);
   cr_expect_gt (wy_json_log_dropped (), 0);
   fcntl (fds[0], F_SETFL, O_NONBLOCK);
-  /* The next second has a budget of its own.  */
+  /* Wait for the next second, which has a new rate limit.  */
   usleep (1100000);
   for (int round = 0; round < 50; round++)
     {
@@ -83,10 +83,10 @@
   wy_json_log_close ();
 }
 
-/* A flood of lines on beliefs and items comes in the second in which a
-   caller's request fails.  Its line must be there all the same, and what was
-   left out be told by kind.  */
-Test (note, lines_on_requests_go_last)
+/* Many lines on items are logged in the second in which a caller's request
+   fails. The line on the request must not be dropped, and the dropped lines
+   are counted by kind.  */
+Test (json_log, lines_on_requests_are_dropped_last)
 {
   enum
   {
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -1,4 +1,4 @@
-/* Leases: the state under a clock of the test's own, and the rows.  */
+/* Leases: the state machine with a simulated clock, and the rows.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -9,34 +9,34 @@
 
 static const int64_t TTL_MS = 12000;
 
-static const struct wy_lease_row absent = { 0 };
+static const struct wy_lease_row no_row = { 0 };
 
 static void
-take (struct wy_lease_state *s, int64_t now)
+acquire (struct wy_lease_state *s, int64_t now)
 {
   struct wy_lease_row row = { .rev = 2,
-                              .fence_rev = 2,
-                              .fence = 1,
+                              .token_rev = 2,
+                              .fencing_token = 1,
                               .ttl_ms = (uint32_t)TTL_MS,
                               .own = true };
 
-  cr_assert_eq (wy_lease_next (s, now), WY_LEASE_READ);
-  wy_lease_sent (s);
-  wy_lease_seen (s, now, &absent, 0);
-  cr_assert_eq (wy_lease_next (s, now), WY_LEASE_TAKE);
-  wy_lease_sent (s);
-  wy_lease_taken (s, now, now, &row);
+  cr_assert_eq (wy_lease_next_step (s, now), WY_LEASE_READ);
+  wy_lease_on_sent (s);
+  wy_lease_on_read (s, now, &no_row, 0);
+  cr_assert_eq (wy_lease_next_step (s, now), WY_LEASE_ACQUIRE);
+  wy_lease_on_sent (s);
+  wy_lease_on_acquired (s, now, now, &row);
   cr_assert (wy_lease_holds (s, now));
 }
 
-/* Look at the clock every 100 ms from FROM to TO; the first step other than
-   waiting, and when.  */
+/* Step S every 100 ms from FROM to TO.  Returns the first step other than
+   waiting and stores its time in AT.  */
 static enum wy_lease_step
-tick (struct wy_lease_state *s, int64_t from, int64_t to, int64_t *at)
+run_ticks (struct wy_lease_state *s, int64_t from, int64_t to, int64_t *at)
 {
   for (*at = from; *at <= to; *at += 100)
     {
-      enum wy_lease_step step = wy_lease_next (s, *at);
+      enum wy_lease_step step = wy_lease_next_step (s, *at);
       if (step != WY_LEASE_WAIT)
         return step;
     }
@@ -49,140 +49,141 @@
   int64_t at;
 
   wy_lease_state_init (&s, (uint32_t)TTL_MS, 0);
-  take (&s, 0);
-  cr_assert_eq (tick (&s, 0, TTL_MS, &at), WY_LEASE_RENEW);
+  acquire (&s, 0);
+  cr_assert_eq (run_ticks (&s, 0, TTL_MS, &at), WY_LEASE_RENEW);
   cr_assert_lt (at, TTL_MS / 2);
-  wy_lease_sent (&s);
-  wy_lease_renewed (&s, at, at + 50, 3);
+  wy_lease_on_sent (&s);
+  wy_lease_on_renewed (&s, at, at + 50, 3);
   cr_assert_eq (s.row.rev, 3);
   cr_assert (wy_lease_holds (&s, at + 50));
 }
 
-/* The store does not answer renewals.  The holder must stop by its own clock
-   before anybody else may take the lease.  */
-Test (lease_state, holder_stops_before_others_may_take)
+/* The store does not respond to renewals.  The holder must stop by its own
+   clock before another process may acquire the lease.  */
+Test (lease_state, holder_stops_before_others_may_acquire)
 {
   struct wy_lease_state holder;
   struct wy_lease_state other;
   struct wy_lease_row row
-      = { .rev = 2, .fence = 1, .ttl_ms = (uint32_t)TTL_MS };
+      = { .rev = 2, .fencing_token = 1, .ttl_ms = (uint32_t)TTL_MS };
   int64_t stopped;
-  int64_t taken;
+  int64_t acquired_ms;
 
   wy_lease_state_init (&holder, (uint32_t)TTL_MS, 0);
   wy_lease_state_init (&other, (uint32_t)TTL_MS, 0);
-  take (&holder, 0);
-  cr_assert_eq (tick (&holder, 0, TTL_MS, &stopped), WY_LEASE_RENEW);
-  wy_lease_sent (&holder);
-  cr_assert_eq (tick (&holder, stopped, TTL_MS, &stopped), WY_LEASE_STOP);
+  acquire (&holder, 0);
+  cr_assert_eq (run_ticks (&holder, 0, TTL_MS, &stopped), WY_LEASE_RENEW);
+  wy_lease_on_sent (&holder);
+  cr_assert_eq (run_ticks (&holder, stopped, TTL_MS, &stopped), WY_LEASE_LOST);
   cr_assert_lt (stopped, TTL_MS);
   cr_assert_not (wy_lease_holds (&holder, stopped));
-  for (taken = 0; taken < 3 * TTL_MS; taken += 100)
+  for (acquired_ms = 0; acquired_ms < 3 * TTL_MS; acquired_ms += 100)
     {
-      enum wy_lease_step step = wy_lease_next (&other, taken);
-      if (step == WY_LEASE_TAKE)
+      enum wy_lease_step step = wy_lease_next_step (&other, acquired_ms);
+      if (step == WY_LEASE_ACQUIRE)
         break;
       if (step != WY_LEASE_READ)
         continue;
-      wy_lease_sent (&other);
-      wy_lease_seen (&other, taken, &row, 0);
+      wy_lease_on_sent (&other);
+      wy_lease_on_read (&other, acquired_ms, &row, 0);
     }
-  cr_assert_geq (taken, TTL_MS);
-  cr_assert_lt (taken, 2 * TTL_MS);
+  cr_assert_geq (acquired_ms, TTL_MS);
+  cr_assert_lt (acquired_ms, 2 * TTL_MS);
 }
 
-/* The process was stopped for a while and goes on.  It can't know what its
-   clock has missed, so it holds nothing until it has looked at the rows.  */
+/* The process was paused and continues.  Its clock may not have counted the
+   pause, so it holds nothing until it has read the rows.  */
 Test (lease_state, gap_in_the_clock_ends_the_lease)
 {
   struct wy_lease_state s;
 
   wy_lease_state_init (&s, (uint32_t)TTL_MS, 0);
-  take (&s, 0);
-  cr_assert_eq (wy_lease_next (&s, 100), WY_LEASE_WAIT);
+  acquire (&s, 0);
+  cr_assert_eq (wy_lease_next_step (&s, 100), WY_LEASE_WAIT);
   cr_assert_not (wy_lease_holds (&s, 100 + TTL_MS / 3));
-  cr_assert_eq (wy_lease_next (&s, 100 + TTL_MS / 3), WY_LEASE_STOP);
-  cr_assert_eq (wy_lease_next (&s, 100 + TTL_MS / 3), WY_LEASE_READ);
+  cr_assert_eq (wy_lease_next_step (&s, 100 + TTL_MS / 3), WY_LEASE_LOST);
+  cr_assert_eq (wy_lease_next_step (&s, 100 + TTL_MS / 3), WY_LEASE_READ);
 }
 
-/* The answer to a renewal comes after the lease has ended.  The holder has
-   stopped already and must not believe that it holds again.  */
-Test (lease_state, late_answer_does_not_bring_the_lease_back)
+/* The response to a renewal arrives after the lease has ended.  The holder has
+   stopped already and must not hold the lease again.  */
+Test (lease_state, late_response_does_not_restore_the_lease)
 {
   struct wy_lease_state s;
   int64_t at;
 
   wy_lease_state_init (&s, (uint32_t)TTL_MS, 0);
-  take (&s, 0);
-  cr_assert_eq (tick (&s, 0, TTL_MS, &at), WY_LEASE_RENEW);
-  wy_lease_sent (&s);
-  cr_assert_eq (tick (&s, at, TTL_MS, &at), WY_LEASE_STOP);
-  wy_lease_renewed (&s, 4000, at, 3);
+  acquire (&s, 0);
+  cr_assert_eq (run_ticks (&s, 0, TTL_MS, &at), WY_LEASE_RENEW);
+  wy_lease_on_sent (&s);
+  cr_assert_eq (run_ticks (&s, at, TTL_MS, &at), WY_LEASE_LOST);
+  wy_lease_on_renewed (&s, 4000, at, 3);
   cr_assert_not (wy_lease_holds (&s, at));
 }
 
-/* The answer to a renewal is lost.  The rows say whose the lease is.  */
+/* The response to a renewal is lost.  The rows show who holds the lease.  */
 Test (lease_state, unknown_renewal_is_read)
 {
   struct wy_lease_state s;
   struct wy_lease_row row = { .rev = 5,
-                              .fence_rev = 2,
-                              .fence = 1,
+                              .token_rev = 2,
+                              .fencing_token = 1,
                               .ttl_ms = (uint32_t)TTL_MS,
                               .own = true };
   int64_t at;
 
   wy_lease_state_init (&s, (uint32_t)TTL_MS, 0);
-  take (&s, 0);
-  cr_assert_eq (tick (&s, 0, TTL_MS, &at), WY_LEASE_RENEW);
-  wy_lease_sent (&s);
-  wy_lease_refused (&s, at, false, 0);
-  cr_assert_eq (wy_lease_next (&s, at), WY_LEASE_READ);
-  wy_lease_sent (&s);
-  wy_lease_seen (&s, at, &row, 0);
+  acquire (&s, 0);
+  cr_assert_eq (run_ticks (&s, 0, TTL_MS, &at), WY_LEASE_RENEW);
+  wy_lease_on_sent (&s);
+  wy_lease_on_failed (&s, at, false, 0);
+  cr_assert_eq (wy_lease_next_step (&s, at), WY_LEASE_READ);
+  wy_lease_on_sent (&s);
+  wy_lease_on_read (&s, at, &row, 0);
   cr_assert (wy_lease_holds (&s, at));
-  cr_assert_eq (wy_lease_next (&s, at), WY_LEASE_RENEW);
+  cr_assert_eq (wy_lease_next_step (&s, at), WY_LEASE_RENEW);
   row.own = false;
-  row.fence = 2;
-  wy_lease_sent (&s);
-  wy_lease_refused (&s, at, false, 0);
-  cr_assert_eq (wy_lease_next (&s, at), WY_LEASE_READ);
-  wy_lease_sent (&s);
-  wy_lease_seen (&s, at, &row, 0);
+  row.fencing_token = 2;
+  wy_lease_on_sent (&s);
+  wy_lease_on_failed (&s, at, false, 0);
+  cr_assert_eq (wy_lease_next_step (&s, at), WY_LEASE_READ);
+  wy_lease_on_sent (&s);
+  wy_lease_on_read (&s, at, &row, 0);
   cr_assert_not (wy_lease_holds (&s, at));
 }
 
-/* The holder dies and the store goes down.  When it is back, one who has
-   watched the row all the time need not wait for a whole lease again.  */
-Test (lease_state, outage_does_not_start_the_wait_anew)
+/* The holder dies and the store becomes unreachable.  When it is reachable
+   again, a process that has read the row before must not wait for a full
+   lease again.  */
+Test (lease_state, outage_does_not_restart_the_wait)
 {
   struct wy_lease_state s;
   struct wy_lease_row row
-      = { .rev = 2, .fence = 1, .ttl_ms = (uint32_t)TTL_MS };
+      = { .rev = 2, .fencing_token = 1, .ttl_ms = (uint32_t)TTL_MS };
 
   wy_lease_state_init (&s, (uint32_t)TTL_MS, 0);
-  cr_assert_eq (wy_lease_next (&s, 0), WY_LEASE_READ);
-  wy_lease_sent (&s);
-  wy_lease_seen (&s, 0, &row, 0);
+  cr_assert_eq (wy_lease_next_step (&s, 0), WY_LEASE_READ);
+  wy_lease_on_sent (&s);
+  wy_lease_on_read (&s, 0, &row, 0);
   for (int64_t now = 5000; now < 60000; now += 5000)
-    if (wy_lease_next (&s, now) != WY_LEASE_WAIT)
+    if (wy_lease_next_step (&s, now) != WY_LEASE_WAIT)
       {
-        wy_lease_sent (&s);
-        wy_lease_refused (&s, now, false, 0);
+        wy_lease_on_sent (&s);
+        wy_lease_on_failed (&s, now, false, 0);
       }
-  cr_assert_eq (wy_lease_next (&s, 60000), WY_LEASE_READ);
-  wy_lease_sent (&s);
-  wy_lease_seen (&s, 60000, &row, 0);
-  cr_assert_eq (wy_lease_next (&s, 60000), WY_LEASE_TAKE);
+  cr_assert_eq (wy_lease_next_step (&s, 60000), WY_LEASE_READ);
+  wy_lease_on_sent (&s);
+  wy_lease_on_read (&s, 60000, &row, 0);
+  cr_assert_eq (wy_lease_next_step (&s, 60000), WY_LEASE_ACQUIRE);
 }
 
-/* Schedules of two processes that are paused, and lose answers, at random:
-   the one that held first must have stopped when the other takes, unless it
-   is in a pause, and then it notices before it does anything.  */
+/* Random schedules of two processes with pauses and lost responses.  The
+   holder must have stopped when the other process acquires the lease, or be
+   paused and detect the loss before it does anything.  */
 Test (lease_state, random_schedules_have_one_holder)
 {
   struct wy_rng rng;
-  uint32_t taken = 0;
+  uint32_t n_acquired = 0;
 
   wy_rng_seed (&rng, 11);
   for (int schedule = 0; schedule < 2000; schedule++)
@@ -210,35 +211,35 @@
               }
             if (wy_lease_holds (&s[i], now))
               cr_assert_eq (owner, i, "two holders in schedule %d", schedule);
-            step = wy_lease_next (&s[i], now);
+            step = wy_lease_next_step (&s[i], now);
             seen.own = owner == i;
-            if (step != WY_LEASE_READ && step != WY_LEASE_TAKE
+            if (step != WY_LEASE_READ && step != WY_LEASE_ACQUIRE
                 && step != WY_LEASE_RENEW)
               continue;
-            wy_lease_sent (&s[i]);
+            wy_lease_on_sent (&s[i]);
             if (wy_rng_below (&rng, 4) == 0)
-              wy_lease_refused (&s[i], now, false, 0);
+              wy_lease_on_failed (&s[i], now, false, 0);
             else if (step == WY_LEASE_READ)
-              wy_lease_seen (&s[i], now, &seen, 0);
+              wy_lease_on_read (&s[i], now, &seen, 0);
             else if (s[i].row.rev != row.rev)
-              wy_lease_refused (&s[i], now, true, 0);
+              wy_lease_on_failed (&s[i], now, true, 0);
             else if (step == WY_LEASE_RENEW)
-              wy_lease_renewed (&s[i], now, now, ++row.rev);
+              wy_lease_on_renewed (&s[i], now, now, ++row.rev);
             else
               {
-                taken++;
+                n_acquired++;
                 row.rev++;
-                row.fence_rev = row.rev;
-                row.fence++;
+                row.token_rev = row.rev;
+                row.fencing_token++;
                 row.ttl_ms = (uint32_t)TTL_MS;
                 owner = i;
                 seen = row;
                 seen.own = true;
-                wy_lease_taken (&s[i], now, now, &seen);
+                wy_lease_on_acquired (&s[i], now, now, &seen);
               }
           }
     }
-  cr_assert_gt (taken, 2000);
+  cr_assert_gt (n_acquired, 2000);
 }
 
 struct holder
@@ -258,7 +259,7 @@
 };
 
 static void
-on_acquired (void *ctx, int64_t fence)
+on_acquired (void *ctx, int64_t fencing_token)
 {
   ((struct holder *)ctx)->acquired++;
 }
@@ -303,13 +304,13 @@
 }
 
 static bool
-first_has (void *ctx)
+first_holds (void *ctx)
 {
   return wy_lease_valid (((struct world *)ctx)->h[0].lease);
 }
 
 static bool
-second_has (void *ctx)
+second_holds (void *ctx)
 {
   return wy_lease_valid (((struct world *)ctx)->h[1].lease);
 }
@@ -322,7 +323,7 @@
   uv_loop_init (&w->loop);
   w->table = fake_table_new (&w->loop);
   start (w, 0);
-  cr_assert (run_until (&w->loop, first_has, w));
+  cr_assert (run_until (&w->loop, first_holds, w));
   start (w, 1);
 }
 
@@ -345,7 +346,7 @@
   cr_assert_eq (w.h[0].lost, 0);
   cr_assert_eq (w.h[1].acquired, 0);
   wy_lease_release (w.h[0].lease);
-  cr_assert (run_until (&w.loop, second_has, &w));
+  cr_assert (run_until (&w.loop, second_holds, &w));
   cr_assert_eq (wy_lease_fencing_token (w.h[1].lease), 2);
   cr_assert_eq (w.h[0].lost, 0);
   world_free (&w);
@@ -358,8 +359,8 @@
       fake_table_get (((struct world *)ctx)->table, "lease/x"), "released"));
 }
 
-/* The holder is stopped while a renewal is under way.  Were the lease not
-   given back then, its work would wait for the whole lease.  */
+/* The holder is stopped while a renewal is in progress.  Guards against a
+   lease that is not released then, for whose end the next holder must wait. */
 Test (lease, released_during_a_renewal)
 {
   struct world w;
@@ -373,35 +374,35 @@
   wy_lease_release (w.h[0].lease);
   cr_assert (run_until (&w.loop, is_released, &w));
   w.table->slow_ms = 0;
-  cr_assert (run_until (&w.loop, second_has, &w));
+  cr_assert (run_until (&w.loop, second_holds, &w));
   run_for (&w.loop, 300);
   world_free (&w);
 }
 
-/* The store is down for longer than the lease.  The holder stops; later one
-   of them holds, with a higher number.  */
+/* A store outage is longer than the lease.  The holder stops, and later one
+   process holds the lease, with a higher fencing token.  */
 Test (lease, outage_longer_than_the_lease)
 {
   struct world w;
-  int64_t fence;
+  int64_t token;
 
   world_init (&w, 400);
-  fence = wy_lease_fencing_token (w.h[0].lease);
+  token = wy_lease_fencing_token (w.h[0].lease);
   w.table->down = true;
   run_for (&w.loop, 600);
   cr_assert_geq (w.h[0].lost, 1);
   cr_assert_not (wy_lease_valid (w.h[0].lease));
   w.table->down = false;
-  while (!first_has (&w) && !second_has (&w))
+  while (!first_holds (&w) && !second_holds (&w))
     run_for (&w.loop, 10);
-  cr_assert_neq (first_has (&w), second_has (&w));
-  cr_assert_gt (wy_lease_fencing_token (w.h[first_has (&w) ? 0 : 1].lease),
-                fence);
+  cr_assert_neq (first_holds (&w), second_holds (&w));
+  cr_assert_gt (wy_lease_fencing_token (w.h[first_holds (&w) ? 0 : 1].lease),
+                token);
   world_free (&w);
 }
 
-/* The answer to taking the lease is lost.  The row says who has it.  */
-Test (lease, lost_answer_to_taking)
+/* The response to acquiring the lease is lost.  The row shows the holder.  */
+Test (lease, lost_response_to_acquiring)
 {
   struct world w;
 
@@ -412,7 +413,7 @@
   w.table->lose_next = 1;
   start (&w, 0);
   start (&w, 1);
-  cr_assert (run_until (&w.loop, first_has, &w));
-  cr_assert_not (second_has (&w));
+  cr_assert (run_until (&w.loop, first_holds, &w));
+  cr_assert_not (second_holds (&w));
   world_free (&w);
 }
--- a/tests/test_metrics.c
+++ b/tests/test_metrics.c
@@ -24,7 +24,7 @@
   return n;
 }
 
-Test (metrics, one_description_a_name)
+Test (metrics, one_description_per_name)
 {
   struct wy_metrics *m = wy_metrics_new ();
   struct wy_metrics_family *c
@@ -48,8 +48,8 @@
   wy_metrics_free (m);
 }
 
-/* Names of routes come from the operator, thousands of them.  They must not
-   fill the memory, and none of the counts may be lost.  */
+/* The operator may configure thousands of routes, whose names are labels.  The
+   number of label sets must be bounded, and no count may be lost.  */
 Test (metrics, label_sets_are_bounded)
 {
   struct wy_metrics *m = wy_metrics_new ();
@@ -71,7 +71,7 @@
   wy_metrics_free (m);
 }
 
-/* A route's name holds a quote.  The page must stay readable.  */
+/* A route's name with a quote must not produce malformed output.  */
 Test (metrics, values_are_escaped)
 {
   char *label = wy_metrics_label ("route", "a\"b\\c\nd");
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -1,4 +1,4 @@
-/* Orders to load weights, from the process beside a replica.  */
+/* Orders to load weights, sent by the orderer on the replica's machine.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -15,7 +15,7 @@
 static char store[32];
 
 static void
-name_version (int64_t version)
+request_version (int64_t version)
 {
   char value[64];
 
@@ -85,54 +85,54 @@
 }
 
 static bool
-loads (int64_t version)
+gets_loaded (int64_t version)
 {
   return platform_world_until (&w, has_version, &version);
 }
 
-Test (orders, named_version_is_loaded_once)
+Test (orders, requested_version_is_loaded_once)
 {
   start ();
-  name_version (2);
-  cr_expect (loads (2));
+  request_version (2);
+  cr_expect (gets_loaded (2));
   platform_world_run_ms (&w, 300);
   cr_expect_eq (wy_platform_replica_orders (w.replicas[0]), 1);
-  name_version (3);
-  cr_expect (loads (3));
+  request_version (3);
+  cr_expect (gets_loaded (3));
   cr_expect_eq (wy_platform_replica_orders (w.replicas[0]), 2);
   stop ();
 }
 
-/* The replica takes an order and its answer is lost.  It must not be ordered
-   twice for one version: each load empties its cache.  */
-Test (orders, lost_answer)
+/* The replica accepts an order and the response is lost.  It must not receive
+   a second order for the version, since each load empties its cache.  */
+Test (orders, lost_response)
 {
   start ();
   wy_platform_replica_faults (w.replicas[0])->lose_orders = 1;
-  name_version (2);
-  cr_expect (loads (2));
+  request_version (2);
+  cr_expect (gets_loaded (2));
   platform_world_run_ms (&w, 300);
   cr_expect_eq (wy_platform_replica_orders (w.replicas[0]), 1);
   stop ();
 }
 
-/* The process is killed and starts again.  Its orders must carry a higher
-   generation than before, whatever the clocks say.  */
-Test (orders, generation_rises_with_each_start)
+/* The orderer is killed and restarted.  Its orders must carry a higher
+   generation than before, independent of clocks.  */
+Test (orders, generation_increases_with_each_start)
 {
   char *before;
   char *after;
 
   start ();
-  name_version (2);
-  cr_expect (loads (2));
+  request_version (2);
+  cr_expect (gets_loaded (2));
   before
       = wy_platform_store_value (w.store, "wy-orderers", target, "generation");
   wy_orderer_daemon_free (d);
   platform_world_run_ms (&w, 20);
   start_daemon ();
-  name_version (3);
-  cr_expect (loads (3));
+  request_version (3);
+  cr_expect (gets_loaded (3));
   after
       = wy_platform_store_value (w.store, "wy-orderers", target, "generation");
   cr_expect_gt (atoll (after), atoll (before));
@@ -141,52 +141,52 @@
   stop ();
 }
 
-/* The replica has started again and knows nothing of before: it is ordered
-   anew.  */
+/* The replica has restarted with an old version: it must receive a new
+   order.  */
 Test (orders, restarted_replica_is_ordered_again)
 {
   start ();
-  name_version (2);
-  cr_expect (loads (2));
+  request_version (2);
+  cr_expect (gets_loaded (2));
   wy_platform_replica_set_version (w.replicas[0], 1);
-  cr_expect (loads (2));
+  cr_expect (gets_loaded (2));
   stop ();
 }
 
 /* The replica accepts an order and restarts before it has loaded, under the
    same id and with the count of orders that the orderer last saw.  The version
    must be ordered again at once and not after the order's retry interval.  */
-Test (orders, restart_clears_order_under_way)
+Test (orders, restart_clears_order_in_progress)
 {
   start ();
   wy_platform_replica_faults (w.replicas[0])->order_load_ms = 60000;
-  name_version (2);
+  request_version (2);
   cr_assert (platform_world_until (&w, has_ordered, NULL));
   wy_platform_replica_faults (w.replicas[0])->order_load_ms = 0;
   wy_platform_replica_restart (w.replicas[0]);
   cr_assert (platform_world_until (&w, has_cleared_order, NULL));
   cr_expect_lt (wy_orderer_now_ms (d) - ordered_ms, 1500);
-  cr_expect (loads (2));
+  cr_expect (gets_loaded (2));
   stop ();
 }
 
-/* The store is away when the process starts.  Without a generation it must
-   not order; when the store is back, it does.  */
+/* The store is unreachable when the orderer starts.  Without a generation it
+   must not send orders; once the store is reachable, it must.  */
 Test (orders, no_order_without_a_generation)
 {
   platform_world_init (&w);
   platform_world_free (&w);
   start ();
   wy_platform_store_faults (w.store)->refuse = 1000000;
-  name_version (2);
+  request_version (2);
   platform_world_run_ms (&w, 300);
   cr_expect_eq (wy_platform_replica_orders (w.replicas[0]), 0);
   wy_platform_store_faults (w.store)->refuse = 0;
-  cr_expect (loads (2));
+  cr_expect (gets_loaded (2));
   stop ();
 }
 
-/* What an orderer does shows on its own metrics address.  */
+/* The orderer's metrics show its orders.  */
 Test (orders, metrics)
 {
   char metrics[32];
@@ -200,8 +200,8 @@
             platform_world_free_port (&w));
   settings.metrics = metrics;
   start_daemon ();
-  name_version (2);
-  cr_expect (loads (2));
+  request_version (2);
+  cr_expect (gets_loaded (2));
   platform_world_run_ms (&w, 300);
   a = platform_world_call (&w, wy_h1_server_port (d->metrics.server), "GET",
                            "/metrics", &host, 1, NULL);
@@ -215,9 +215,9 @@
   stop ();
 }
 
-/* The machine has started and its replica is not in the list yet.  Nothing
-   must be sent to it; once it is listed it is asked and ordered.  */
-Test (orders, nothing_before_it_is_listed)
+/* The replica of a machine that has just started is not listed yet.  No call
+   may be sent to it until it is listed.  */
+Test (orders, no_call_before_it_is_listed)
 {
   char *entry;
 
@@ -227,11 +227,11 @@
   entry = wy_platform_replica_entry (w.replicas[0], "svc", "ready", NULL);
   wy_platform_store_drop (w.store, WY_REPLICA_TABLE, "", "i-1");
   start_daemon ();
-  name_version (2);
+  request_version (2);
   platform_world_run_ms (&w, 700);
   cr_expect_eq (wy_platform_replica_connections (w.replicas[0]), 0);
   wy_platform_store_put (w.store, WY_REPLICA_TABLE, "", "i-1", entry);
-  cr_expect (loads (2));
+  cr_expect (gets_loaded (2));
   g_free (entry);
   stop ();
 }
@@ -259,8 +259,8 @@
     }
 }
 
-/* Guards against a replica beyond the first page of the list never being
-   ordered.  */
+/* Guards against a replica beyond the first page of the list that never
+   receives orders.  */
 Test (orders, long_list_of_replicas)
 {
   start ();
@@ -292,13 +292,13 @@
 
   start ();
   list_others ("127.0.0.2");
-  name_version (2);
-  cr_expect (loads (2));
+  request_version (2);
+  cr_expect (gets_loaded (2));
   rows = list_rows_read ();
   for (int64_t version = 3; version < 6; version++)
     {
-      name_version (version);
-      cr_expect (loads (version));
+      request_version (version);
+      cr_expect (gets_loaded (version));
     }
   cr_expect_eq (list_rows_read (), rows);
   stop ();
--- a/tests/test_orgs.c
+++ b/tests/test_orgs.c
@@ -1,4 +1,4 @@
-/* Organisations, their keys, and what is decided by them.  */
+/* Organisations, their access keys, and authorization by them.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -51,7 +51,7 @@
     }
 }
 
-/* Each combination of a key, a route and a configuration has one answer.  */
+/* Each combination of key, route and configuration has one result.  */
 Test (access, truth_table)
 {
   enum key
@@ -67,7 +67,7 @@
     enum key key;
     enum wy_route_access route;
     enum wy_access fresh;
-    enum wy_access maybe_old;
+    enum wy_access stale;
   } rows[] = {
     { NONE, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ALLOW, WY_ACCESS_ALLOW },
     { MALFORMED, WY_ROUTE_ACCESS_PUBLIC, WY_ACCESS_ALLOW, WY_ACCESS_ALLOW },
@@ -114,14 +114,14 @@
       const struct wy_org *org;
 
       cr_expect_eq (wy_access_check (&q, &org),
-                    fresh ? rows[i / 2].fresh : rows[i / 2].maybe_old,
-                    "row %zu", i / 2);
+                    fresh ? rows[i / 2].fresh : rows[i / 2].stale, "row %zu",
+                    i / 2);
       cr_expect_eq (org, key == KNOWN ? acme : NULL, "row %zu", i / 2);
     }
   wy_orgs_free (orgs);
 }
 
-/* A deployment without organisations asks for no keys, whatever is sent.  */
+/* A deployment without organisations requires no key and ignores any sent.  */
 Test (access, without_organisations)
 {
   struct wy_access_query q = { .credential = WY_CREDENTIAL_KEY,
@@ -178,8 +178,8 @@
   wy_routing_free (r);
 }
 
-/* Guards against a caller that names its own organisation, and against its key
-   reaching a replica.  */
+/* Guards against a caller that chooses its organisation by a header field, and
+   against its key being forwarded to a replica.  */
 Test (orgs, forwarded_fields)
 {
   struct wy_h1_header own[] = { { "tenant", "victim" },
--- a/tests/test_trace.c
+++ b/tests/test_trace.c
@@ -36,9 +36,9 @@
   cr_assert_eq (json_integer_value (json_object_get (line, "n")), 7);
 }
 
-/* Keys and names come from outside: quotes, control characters, bytes that
-   are no UTF-8.  Each line must still be one JSON object that says them.  */
-Test (trace, any_text_makes_a_readable_line)
+/* Strings from outside may have quotes, control characters and invalid UTF-8.
+   Each line must still be one JSON object with these values.  */
+Test (trace, any_text_makes_a_valid_line)
 {
   struct wy_clock_manual m;
   struct wy_trace *t = new_trace (&m, 0);
@@ -73,9 +73,10 @@
   wy_trace_free (t);
 }
 
-/* The wall clock of a process steps back, or a peer's clock is ahead.  Stamps
-   must still rise, or a cause would sort after its effect.  */
-Test (trace, stamps_rise_when_clocks_do_not)
+/* The wall clock of a process steps back, or the clock of another process is
+   ahead.  Timestamps must still increase, or an effect would sort before its
+   cause.  */
+Test (trace, timestamps_increase_when_clocks_do_not)
 {
   struct wy_clock_manual m;
   struct wy_trace *t = new_trace (&m, 0);
