--- a/src/cmd/wyentryd.c
+++ b/src/cmd/wyentryd.c
@@ -44,7 +44,7 @@
 static bool
 yard_http (void *ctx, struct wy_http_exchange *ex)
 {
-  return wy_yard_http (((struct process *)ctx)->yard, ex);
+  return wy_yard_handle_request (((struct process *)ctx)->yard, ex);
 }
 
 static bool
@@ -73,7 +73,7 @@
 static bool
 is_busy (void *ctx)
 {
-  return !wy_store_idle (((struct process *)ctx)->store);
+  return !wy_store_is_idle (((struct process *)ctx)->store);
 }
 
 static void
--- a/src/config/apply.c
+++ b/src/config/apply.c
@@ -44,7 +44,7 @@
 
   if (r->err == WY_STORE_ECONFLICT)
     {
-      wy_config_conflict (j, wy_store_find (r, WY_CONFIG_CURRENT));
+      wy_config_conflict (j, wy_store_find_row (r, WY_CONFIG_CURRENT));
       return;
     }
   if (r->err)
@@ -146,7 +146,7 @@
 on_current (void *ctx, const struct wy_store_result *r)
 {
   struct wy_config_job *j = ctx;
-  const struct wy_store_row *row = wy_store_find (r, WY_CONFIG_CURRENT);
+  const struct wy_store_row *row = wy_store_find_row (r, WY_CONFIG_CURRENT);
   char digest[WY_CONFIG_DIGEST_SIZE_BYTES];
 
   if (r->err)
--- a/src/config/apply.h
+++ b/src/config/apply.h
@@ -8,7 +8,7 @@
 #include "base/clock.h"
 #include "config/feed.h"
 #include "http/server.h"
-#include "store/table.h"
+#include "store/client.h"
 #include "trace/trace.h"
 
 struct wy_config_service;
--- a/src/config/apply_job.c
+++ b/src/config/apply_job.c
@@ -126,7 +126,7 @@
       wy_config_store_problem (j, r);
       return;
     }
-  if (!wy_config_row_document (wy_store_find (r, j->rev_key), &earlier,
+  if (!wy_config_row_document (wy_store_find_row (r, j->rev_key), &earlier,
                                &revision))
     members = wy_config_diff (earlier, j->before);
   else
--- a/src/config/feed.c
+++ b/src/config/feed.c
@@ -130,9 +130,9 @@
 static void
 plan (struct wy_config_feed *f)
 {
-  uint32_t wait_ms = f->o.store
-                         ? wy_store_poll_ms (f->o.store, f->o.interval_ms)
-                         : f->o.interval_ms;
+  uint32_t wait_ms
+      = f->o.store ? wy_store_poll_interval_ms (f->o.store, f->o.interval_ms)
+                   : f->o.interval_ms;
   uint32_t spread = wait_ms / JITTER_DIVISOR + 1;
 
   uv_timer_start (&f->timer, on_timer,
@@ -151,7 +151,7 @@
       return;
     }
   if (!r->err)
-    take_row (f, wy_store_find (r, "config/current"));
+    take_row (f, wy_store_find_row (r, "config/current"));
   plan (f);
 }
 
--- a/src/config/feed.h
+++ b/src/config/feed.h
@@ -10,7 +10,7 @@
 
 #include "base/clock.h"
 #include "config/document.h"
-#include "store/table.h"
+#include "store/client.h"
 #include "trace/trace.h"
 
 struct wy_config_feed;
--- a/src/entry/issue_times.c
+++ b/src/entry/issue_times.c
@@ -23,7 +23,7 @@
 #include <jansson.h>
 
 #include "entry/dispatch.h"
-#include "store/table.h"
+#include "store/client.h"
 
 #define PREFIX "issue/"
 #define OUTAGE_KEY "issue-outage"
@@ -120,7 +120,7 @@
   if (r->err)
     return;
   s->outage_known = true;
-  row = wy_store_find (r, OUTAGE_KEY);
+  row = wy_store_find_row (r, OUTAGE_KEY);
   if (!row || !row->value)
     return;
   from = json_integer_value (json_object_get (row->value, "from_ms"));
@@ -161,7 +161,7 @@
 static void
 watch_outage (struct wy_issue_rows *s)
 {
-  bool down = wy_store_down (s->entry->store);
+  bool down = wy_store_is_down (s->entry->store);
 
   if (down && !s->down_since_ms)
     s->down_since_ms = wall_ms (s);
@@ -220,7 +220,7 @@
 
   return s && r->non_idempotent && r->key[0] && r->issued_ms == 0
          && s->outage_known && !s->down_since_ms
-         && !wy_store_down (s->entry->store);
+         && !wy_store_is_down (s->entry->store);
 }
 
 static void
@@ -247,7 +247,7 @@
   struct ask *a = ctx;
   struct wy_entry *e = a->rows->entry;
   struct wy_request *q = g_hash_table_lookup (e->requests, a->id);
-  const struct wy_store_row *row = wy_store_find (r, a->key);
+  const struct wy_store_row *row = wy_store_find_row (r, a->key);
   int64_t issued = 0;
 
   if (!r->err)
@@ -291,7 +291,7 @@
                             .n_conditions = 1,
                             .writes = &write,
                             .n_writes = 1,
-                            .budget_ms = BUDGET_MS };
+                            .total_timeout_ms = BUDGET_MS };
 
   a->rows = s;
   a->id = g_strdup (r->id);
--- a/src/entry/orderer.c
+++ b/src/entry/orderer.c
@@ -58,7 +58,7 @@
   g_hash_table_insert (e->orders, o->id, o);
   f.u.order.order = wy_bytes_of (o->id);
   f.u.order.lease = wy_bytes_of (r->lease ? r->lease : "");
-  f.u.order.fence = r->fence;
+  f.u.order.fence = r->fencing_token;
   f.u.order.kind = r->kind;
   f.u.order.model = wy_bytes_of (r->model ? r->model : "");
   f.u.order.version = r->version;
--- a/src/entry/runner.c
+++ b/src/entry/runner.c
@@ -41,7 +41,7 @@
   struct sample *s = (struct sample *)sink;
   struct wy_run_outcome o = { .result = WY_RUN_DONE,
                               .ran = WY_RAN_YES,
-                              .run = r->run,
+                              .run_id = r->run,
                               .tokens = r->tokens,
                               .segments = r->segments,
                               .n_segments = r->n_segments };
@@ -64,7 +64,7 @@
                               .ran = ran,
                               .refusal = WY_REFUSED_BUSY,
                               .retry_after_ms = retry_after_ms,
-                              .run = r->run ? r->run : "",
+                              .run_id = r->run ? r->run : "",
                               .text = "" };
 
   if (reason == WY_REASON_SUSPECT)
--- a/src/entry/suspect_rows.c
+++ b/src/entry/suspect_rows.c
@@ -14,7 +14,7 @@
 
 #include <jansson.h>
 
-#include "store/table.h"
+#include "store/client.h"
 #include "trace/log.h"
 
 #define PREFIX "suspects/"
--- a/src/lease/lease.c
+++ b/src/lease/lease.c
@@ -65,7 +65,7 @@
 extra_wait_ms (struct wy_lease *l)
 {
   uint32_t base = l->state.ttl_ms / READS_PER_LEASE;
-  uint32_t longest = wy_store_poll_ms (l->o.store, base) - base;
+  uint32_t longest = wy_store_poll_interval_ms (l->o.store, base) - base;
 
   return wy_rng_below (&l->rng, 2 * longest + 1);
 }
--- a/src/lease/lease.h
+++ b/src/lease/lease.h
@@ -13,7 +13,7 @@
 #include <uv.h>
 
 #include "base/clock.h"
-#include "store/table.h"
+#include "store/client.h"
 #include "trace/trace.h"
 
 struct wy_lease;
--- a/src/lease/rows.c
+++ b/src/lease/rows.c
@@ -8,8 +8,8 @@
 wy_lease_rows_parse (const struct wy_lease *l, const struct wy_store_result *r,
                      struct wy_lease_row *out)
 {
-  const struct wy_store_row *row = wy_store_find (r, l->key);
-  const struct wy_store_row *token_row = wy_store_find (r, l->token_key);
+  const struct wy_store_row *row = wy_store_find_row (r, l->key);
+  const struct wy_store_row *token_row = wy_store_find_row (r, l->token_key);
 
   memset (out, 0, sizeof *out);
   if (row)
@@ -66,7 +66,7 @@
                                 .n_conditions = acquire ? 2 : 1,
                                 .writes = writes,
                                 .n_writes = acquire ? 2 : 1,
-                                .budget_ms = WY_LEASE_TTL_MAX_MS,
+                                .total_timeout_ms = WY_LEASE_TTL_MAX_MS,
                                 .urgent = true };
 
     wy_store_txn (l->o.store, &txn, on_done, l);
@@ -85,7 +85,7 @@
   struct wy_store_read r = { .cause = "lease",
                              .keys = keys,
                              .n_keys = 2,
-                             .budget_ms = WY_LEASE_TTL_MAX_MS,
+                             .total_timeout_ms = WY_LEASE_TTL_MAX_MS,
                              .urgent = true };
 
   wy_store_read (l->o.store, &r, on_done, l);
--- a/src/store/call.h
+++ b/src/store/call.h
@@ -8,9 +8,9 @@
 #include "base/rng.h"
 #include "decide/retry.h"
 #include "http/client.h"
-#include "store/outage.h"
-#include "store/rate.h"
-#include "store/table.h"
+#include "store/circuit_breaker.h"
+#include "store/rate_limiter.h"
+#include "store/client.h"
 
 enum wy_store_call_kind
 {
--- a/src/store/outage.c
+++ b/src/store/circuit_breaker.c
@@ -5,7 +5,7 @@
    of them are sent at once.  One notices by the store falling over again the
    moment it is back.  So an outage is a state: calls are answered at once as
    not carried out, and one probe at a time asks whether the store is back.  */
-#include "store/outage.h"
+#include "store/circuit_breaker.h"
 
 /* Failures without an answer in between that make an outage.  With half of
    all answers lost, five in a row come once in 32 calls; that is a store one
--- a/src/store/outage.h
+++ b/src/store/circuit_breaker.h
@@ -1,6 +1,6 @@
 /* Whether the store counts as down, and when to try it again.  */
-#ifndef WY_STORE_OUTAGE_H
-#define WY_STORE_OUTAGE_H
+#ifndef WY_STORE_CIRCUIT_BREAKER_H
+#define WY_STORE_CIRCUIT_BREAKER_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/store/table.c
+++ b/src/store/client.c
@@ -1,5 +1,5 @@
 /* Client of the table service and the object store: queue and pacing.  */
-#include "store/table.h"
+#include "store/client.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -245,7 +245,7 @@
    all together ask no oftener; what one learns the others hear from it over
    the agents.  */
 uint32_t
-wy_store_poll_ms (const struct wy_store *s, uint32_t base_ms)
+wy_store_poll_interval_ms (const struct wy_store *s, uint32_t base_ms)
 {
   if (s->pollers <= FULL_PACE_POLLERS)
     return base_ms;
@@ -297,7 +297,7 @@
 
 /* Whether the store counts as down.  */
 bool
-wy_store_down (const struct wy_store *s)
+wy_store_is_down (const struct wy_store *s)
 {
   return s->outage.down;
 }
@@ -315,7 +315,7 @@
 
 /* Whether no call of S waits for its turn or its answer.  */
 bool
-wy_store_idle (const struct wy_store *s)
+wy_store_is_idle (const struct wy_store *s)
 {
   return s->flying.length == 0 && s->waiting.length == 0;
 }
--- a/src/store/table.h
+++ b/src/store/client.h
@@ -3,8 +3,8 @@
    Every call is answered once, and never before the function that starts it
    returns.  A transaction carries an operation id that at least one of the
    rows it writes holds as "op": a lost answer is settled by it.  */
-#ifndef WY_STORE_TABLE_H
-#define WY_STORE_TABLE_H
+#ifndef WY_STORE_CLIENT_H
+#define WY_STORE_CLIENT_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -75,8 +75,8 @@
   size_t n_conditions;
   const struct wy_store_write *writes;
   size_t n_writes;
-  uint32_t budget_ms; /* for all attempts; 0: the default */
-  bool urgent;        /* goes before all waiting calls: lease renewals */
+  uint32_t total_timeout_ms; /* for all attempts; 0: the default */
+  bool urgent; /* goes before all waiting calls: lease renewals */
 };
 
 struct wy_store_read
@@ -85,13 +85,14 @@
   const char *const *keys;
   size_t n_keys;
   const char *prefix; /* instead of keys */
-  uint32_t budget_ms;
+  uint32_t total_timeout_ms;
   bool urgent;
 };
 
 int wy_store_new (struct wy_store **out, const struct wy_store_options *o);
 void wy_store_set_pollers (struct wy_store *s, uint32_t n);
-uint32_t wy_store_poll_ms (const struct wy_store *s, uint32_t base_ms);
+uint32_t wy_store_poll_interval_ms (const struct wy_store *s,
+                                    uint32_t base_ms);
 void wy_store_free (struct wy_store *s);
 void wy_store_txn (struct wy_store *s, const struct wy_store_txn *t,
                    void (*on_done) (void *ctx,
@@ -109,10 +110,10 @@
 void wy_store_get_object (
     struct wy_store *s, const char *cause, const char *key,
     void (*on_done) (void *ctx, const struct wy_store_result *r), void *ctx);
-bool wy_store_down (const struct wy_store *s);
-bool wy_store_idle (const struct wy_store *s);
+bool wy_store_is_down (const struct wy_store *s);
+bool wy_store_is_idle (const struct wy_store *s);
 uint32_t wy_store_retry_after_ms (const struct wy_store *s);
-const struct wy_store_row *wy_store_find (const struct wy_store_result *r,
-                                          const char *key);
+const struct wy_store_row *wy_store_find_row (const struct wy_store_result *r,
+                                              const char *key);
 
 #endif
--- a/src/store/request.c
+++ b/src/store/operations.c
@@ -80,7 +80,7 @@
   c->ctx = ctx;
   set_body (
       c, json_pack ("{s:o, s:o}", "conditions", conditions, "writes", writes));
-  enqueue (c, t->budget_ms, t->urgent);
+  enqueue (c, t->total_timeout_ms, t->urgent);
 }
 
 /* Read the rows that R names; keys that are absent may be missing from the
@@ -104,7 +104,7 @@
   else
     set_body (c, json_pack ("{s:O}", "keys", keys));
   json_decref (keys);
-  enqueue (c, r->budget_ms, r->urgent);
+  enqueue (c, r->total_timeout_ms, r->urgent);
 }
 
 /* Store the SIZE_BYTES at P as object KEY.  Writing the same bytes twice does
@@ -142,7 +142,7 @@
 
 /* The row KEY among those of R, or NULL when it is absent.  */
 const struct wy_store_row *
-wy_store_find (const struct wy_store_result *r, const char *key)
+wy_store_find_row (const struct wy_store_result *r, const char *key)
 {
   for (size_t i = 0; i < r->n_rows; i++)
     if (!strcmp (r->rows[i].key, key) && r->rows[i].value)
--- a/src/store/rate.c
+++ b/src/store/rate_limiter.c
@@ -5,7 +5,7 @@
    the store comes back from an outage drives it over its limit, and the
    refusals bring retries on top.  Pacing at the sender keeps each process
    inside its share whatever has piled up.  */
-#include "store/rate.h"
+#include "store/rate_limiter.h"
 
 #include <math.h>
 
--- a/src/store/rate.h
+++ b/src/store/rate_limiter.h
@@ -1,6 +1,6 @@
 /* Pacing of calls: a bucket that fills at a steady rate.  */
-#ifndef WY_STORE_RATE_H
-#define WY_STORE_RATE_H
+#ifndef WY_STORE_RATE_LIMITER_H
+#define WY_STORE_RATE_LIMITER_H
 
 #include <stdint.h>
 
--- a/src/yard/fix.c
+++ b/src/yard/batch_commit.c
@@ -72,8 +72,8 @@
 on_conflict (struct wy_step_job *j, const struct wy_store_result *r)
 {
   struct wy_sampler *s = j->sampler;
-  const struct wy_store_row *step = wy_store_find (r, j->key);
-  const struct wy_store_row *current = wy_store_find (r, s->current_key);
+  const struct wy_store_row *step = wy_store_find_row (r, j->key);
+  const struct wy_store_row *current = wy_store_find_row (r, s->current_key);
 
   if (names_our_batch (j, step))
     fixed (j);
@@ -94,7 +94,7 @@
 on_settled (void *ctx, const struct wy_store_result *r)
 {
   struct wy_step_job *j = ctx;
-  const struct wy_store_row *row = wy_store_find (r, j->key);
+  const struct wy_store_row *row = wy_store_find_row (r, j->key);
 
   if (r->err)
     again_later (j, WY_FIX_SETTLE);
--- a/src/yard/handout.c
+++ b/src/yard/batch_delivery.c
@@ -7,7 +7,7 @@
    the batch stays the same: the trainer may be training on it.  If versions
    move on past the bound before it is acknowledged, it is not handed out
    again, and the trainer is told to acknowledge and go on.  */
-#include "yard/trainers.h"
+#include "yard/trainer_api.h"
 
 static json_t *
 sample_ids (const struct wy_trainer_call *c)
--- a/src/yard/pace.c
+++ b/src/yard/poll_interval.c
@@ -4,7 +4,7 @@
    looks are close together while rows change.  One whose steps take minutes
    loses nothing by a second, and the holder of its lease would spend the whole
    of what a node may spend on control on reading the same rows.  */
-#include "yard/pace.h"
+#include "yard/poll_interval.h"
 
 enum
 {
--- a/src/yard/pace.h
+++ b/src/yard/poll_interval.h
@@ -1,6 +1,6 @@
 /* How often a yard's rows are read.  */
-#ifndef WY_YARD_PACE_H
-#define WY_YARD_PACE_H
+#ifndef WY_YARD_POLL_INTERVAL_H
+#define WY_YARD_POLL_INTERVAL_H
 
 #include <stdint.h>
 
--- a/src/yard/replica.c
+++ b/src/yard/rollout_target.c
@@ -145,7 +145,7 @@
   const struct wy_order_request request
       = { .target = x->id,
           .lease = wy_lease_name (r->lease),
-          .fence = wy_lease_fencing_token (r->lease),
+          .fencing_token = wy_lease_fencing_token (r->lease),
           .kind = kind,
           .model = r->model,
           .version = r->goal,
--- a/src/yard/routes.c
+++ b/src/yard/routes.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "http/json.h"
-#include "yard/trainers.h"
+#include "yard/trainer_api.h"
 
 enum
 {
@@ -146,7 +146,7 @@
 
 /* Answer EX when it is a call of the trainers' interface; whether it is.  */
 bool
-wy_yard_http (struct wy_yard *y, struct wy_http_exchange *ex)
+wy_yard_handle_request (struct wy_yard *y, struct wy_http_exchange *ex)
 {
   gchar **parts;
   guint n;
--- a/src/yard/runner.h
+++ b/src/yard/runner.h
@@ -27,7 +27,7 @@
   enum wy_ran ran;
   enum wy_refusal_reason refusal; /* 0 unless refused */
   uint32_t retry_after_ms;
-  const char *run;
+  const char *run_id;
   const char *text; /* the whole completion */
   uint32_t tokens;
   const struct wy_segment *segments;
@@ -56,7 +56,7 @@
 {
   const char *target;
   const char *lease;
-  int64_t fence;
+  int64_t fencing_token;
   enum wy_order_kind kind;
   const char *model;
   int64_t version;
--- a/src/yard/sample.c
+++ b/src/yard/sample.c
@@ -168,7 +168,7 @@
       fail (m, "unproven");
       return;
     }
-  m->run = g_strdup (o->run);
+  m->run = g_strdup (o->run_id);
   m->text = g_strdup (o->text ? o->text : "");
   wy_trace_event (env->o.trace, "sample.finished", "{s:s, s:s, s:s, s:O}",
                   "sample", m->id, "req", m->req, "run", m->run ? m->run : "",
--- a/src/yard/sampler.c
+++ b/src/yard/sampler.c
@@ -12,7 +12,7 @@
    steps in between.  A short outage so costs the trainer no samples.  */
 #include "yard/sampler.h"
 
-#include "yard/pace.h"
+#include "yard/poll_interval.h"
 
 #include <string.h>
 
--- a/src/yard/clean.c
+++ b/src/yard/step_cleanup.c
@@ -91,7 +91,7 @@
 wy_sampler_clean (struct wy_sampler *s, const struct wy_store_result *r)
 {
   int64_t floor = highest_acknowledged (s, r) - KEPT;
-  const struct wy_store_row *old = wy_store_find (r, s->floor_key);
+  const struct wy_store_row *old = wy_store_find_row (r, s->floor_key);
   struct wy_store_condition conditions[DELETED_MAX + 1];
   struct wy_store_write writes[DELETED_MAX + 1];
   struct wy_store_txn txn = { .cause = "clean",
--- a/src/yard/step_job.c
+++ b/src/yard/step_job.c
@@ -104,7 +104,7 @@
 {
   struct wy_step_job *j = ctx;
   struct wy_sampler *s = j->sampler;
-  const struct wy_store_row *row = wy_store_find (r, s->current_key);
+  const struct wy_store_row *row = wy_store_find_row (r, s->current_key);
 
   if (!j->gone && r->err)
     unreadable (j, r->err);
--- a/src/yard/step_row.h
+++ b/src/yard/step_row.h
@@ -8,7 +8,7 @@
 #include <glib.h>
 #include <jansson.h>
 
-#include "store/table.h"
+#include "store/client.h"
 
 enum wy_step_state
 {
--- a/src/yard/submit.c
+++ b/src/yard/submit.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #include "trace/log.h"
-#include "yard/trainers.h"
+#include "yard/trainer_api.h"
 
 enum
 {
@@ -210,7 +210,7 @@
 {
   struct wy_trainer_call *c = ctx;
 
-  if (r->err == WY_STORE_ECONFLICT && wy_store_find (r, c->version_key))
+  if (r->err == WY_STORE_ECONFLICT && wy_store_find_row (r, c->version_key))
     {
       wy_trainer_answer (
           c, WY_STATUS_ACCEPTED,
@@ -241,7 +241,7 @@
       return;
     }
   wy_trainer_take_rows (c, r);
-  if (wy_store_find (r, c->version_key))
+  if (wy_store_find_row (r, c->version_key))
     {
       wy_trainer_answer (
           c, WY_STATUS_ACCEPTED,
--- a/src/yard/trainers.c
+++ b/src/yard/trainer_api.c
@@ -1,6 +1,6 @@
 /* The trainers' interface: what its calls share.  Any entry answers any call
    from the rows and objects alone.  */
-#include "yard/trainers.h"
+#include "yard/trainer_api.h"
 
 #include <string.h>
 
@@ -84,10 +84,10 @@
                       const struct wy_store_result *r)
 {
   const struct wy_store_row *step
-      = c->step_key ? wy_store_find (r, c->step_key) : NULL;
-  const struct wy_store_row *current = wy_store_find (r, c->current_key);
+      = c->step_key ? wy_store_find_row (r, c->step_key) : NULL;
+  const struct wy_store_row *current = wy_store_find_row (r, c->current_key);
   const struct wy_store_row *floor
-      = c->floor_key ? wy_store_find (r, c->floor_key) : NULL;
+      = c->floor_key ? wy_store_find_row (r, c->floor_key) : NULL;
 
   wy_step_row_clear (&c->row);
   c->has_row = step != NULL;
--- a/src/yard/trainers.h
+++ b/src/yard/trainer_api.h
@@ -1,6 +1,6 @@
 /* The trainers' interface.  Inside the package only.  */
-#ifndef WY_YARD_TRAINERS_H
-#define WY_YARD_TRAINERS_H
+#ifndef WY_YARD_TRAINER_API_H
+#define WY_YARD_TRAINER_API_H
 
 #include "base/id.h"
 #include "http/json.h"
--- a/src/yard/yard.c
+++ b/src/yard/yard.c
@@ -7,9 +7,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "yard/pace.h"
+#include "yard/poll_interval.h"
 #include "yard/step_row.h"
-#include "yard/trainers.h"
+#include "yard/trainer_api.h"
 #include "yard/yard_state.h"
 
 enum
@@ -108,7 +108,7 @@
 {
   struct wy_one_yard *x = ctx;
   struct wy_yard *y = x->all;
-  const struct wy_store_row *row = wy_store_find (r, x->current_key);
+  const struct wy_store_row *row = wy_store_find_row (r, x->current_key);
 
   x->reading = false;
   if (!r->err && row)
--- a/src/yard/yard.h
+++ b/src/yard/yard.h
@@ -12,7 +12,7 @@
 #include "config/document.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "store/table.h"
+#include "store/client.h"
 #include "trace/metrics.h"
 #include "trace/trace.h"
 #include "yard/runner.h"
@@ -50,7 +50,7 @@
 
 struct wy_yard *wy_yard_new (const struct wy_yard_options *o);
 void wy_yard_configure (struct wy_yard *y, const struct wy_document *d);
-bool wy_yard_http (struct wy_yard *y, struct wy_http_exchange *ex);
+bool wy_yard_handle_request (struct wy_yard *y, struct wy_http_exchange *ex);
 void wy_yard_stop (struct wy_yard *y);
 void wy_yard_free (struct wy_yard *y);
 
--- a/tests/support/fake_runner.c
+++ b/tests/support/fake_runner.c
@@ -81,7 +81,7 @@
   struct wy_segment segments[2] = { { r->version, 0, TOKENS }, { 0, 0, 0 } };
   struct wy_run_outcome o = { .result = WY_RUN_DONE,
                               .ran = WY_RAN_YES,
-                              .run = run->id,
+                              .run_id = run->id,
                               .text = "text",
                               .tokens = TOKENS,
                               .segments = segments,
--- a/tests/support/yard_world.c
+++ b/tests/support/yard_world.c
@@ -15,7 +15,7 @@
 static void
 on_request (struct wy_http_exchange *ex, void *ctx)
 {
-  if (!wy_yard_http (((struct yard_entry *)ctx)->yard, ex))
+  if (!wy_yard_handle_request (((struct yard_entry *)ctx)->yard, ex))
     wy_http_respond (ex, 404, "text/plain", "", 0);
 }
 
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -2,9 +2,9 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "store/outage.h"
-#include "store/rate.h"
-#include "store/table.h"
+#include "store/circuit_breaker.h"
+#include "store/rate_limiter.h"
+#include "store/client.h"
 #include "support/fake_table.h"
 
 struct world
@@ -99,13 +99,13 @@
 static bool
 is_down (void *ctx)
 {
-  return wy_store_down (((struct world *)ctx)->store);
+  return wy_store_is_down (((struct world *)ctx)->store);
 }
 
 static bool
 is_back (void *ctx)
 {
-  return !wy_store_down (((struct world *)ctx)->store);
+  return !wy_store_is_down (((struct world *)ctx)->store);
 }
 
 static bool
--- a/tests/test_yard_rollout.c
+++ b/tests/test_yard_rollout.c
@@ -90,7 +90,7 @@
       p->t = &o->target[i];
   cr_assert_not_null (p->t);
   cr_assert_not (p->t->busy, "two orders at once to %s", r->target);
-  cr_assert_gt (r->fence, 0);
+  cr_assert_gt (r->fencing_token, 0);
   cr_assert_str_eq (r->lease, "rollout/m");
   p->t->busy = true;
   p->kind = r->kind;
@@ -98,7 +98,7 @@
   p->on_done = on_done;
   p->done_ctx = done_ctx;
   o->orders++;
-  o->fence = r->fence;
+  o->fence = r->fencing_token;
   if (r->kind == WY_ORDER_STAGE)
     {
       p->t->from_store += *r->source == '\0';
