--- a/src/gate/admission.c
+++ b/src/gate/admission.c
@@ -1,9 +1,10 @@
-/* Admission of callers' requests: configuration, key and route.  */
+/* Admission of callers' requests: checks the configuration, the access key and
+   the route.  */
 #include <string.h>
 
-#include "gate/response.h"
 #include "gate/gate_state.h"
 #include "gate/proxy.h"
+#include "gate/response.h"
 #include "orgs/access.h"
 #include "platform/request_wire.h"
 #include "trace/json_log.h"
@@ -11,17 +12,18 @@
 enum
 {
   RETRY_AFTER_MS = 500,
-  /* A configuration is the present one if the store said so within this time:
-     twice the time between two of its answers while nothing changes.  */
-  CONFIG_FRESH_MS = 2000
+  /* The configuration counts as current if the store has confirmed it within
+     this time: twice the interval between its responses while nothing
+     changes.  */
+  CONFIG_CURRENT_MS = 2000
 };
 
 static bool
-config_is_fresh (const struct wy_gate *g)
+is_config_current (const struct wy_gate *g)
 {
-  int64_t age_ms = wy_watch_age_ms (g->operator_rows);
+  int64_t age_ms = wy_watch_age_ms (g->operator_watch);
 
-  return age_ms >= 0 && age_ms <= CONFIG_FRESH_MS;
+  return age_ms >= 0 && age_ms <= CONFIG_CURRENT_MS;
 }
 
 static const char *
@@ -32,9 +34,9 @@
   return names[c];
 }
 
-/* The request that INFO tells of is not admitted.  */
+/* Respond to R, described by INFO, with the status for ACCESS and log it.  */
 static void
-refuse_access (struct wy_gate *g, struct wy_h1_request *r,
+reject_access (struct wy_gate *g, struct wy_h1_request *r,
                const struct wy_request_info *info, enum wy_access access)
 {
   int status = access == WY_ACCESS_UNAUTHORIZED ? 401
@@ -50,7 +52,7 @@
                info->id ? info->id : "", status, reason,
                credential_name (info->credential),
                (long long)g->env.routing->version,
-               (long long)wy_watch_age_ms (g->operator_rows));
+               (long long)wy_watch_age_ms (g->operator_watch));
   if (access == WY_ACCESS_UNAUTHORIZED)
     wy_respond_unauthorized (r, reason);
   else
@@ -59,40 +61,40 @@
 }
 
 static enum wy_access
-decide_access (const struct wy_gate *g, const struct wy_request_info *info,
-               enum wy_route_access route, const struct wy_org **org)
+check_access (const struct wy_gate *g, const struct wy_request_info *info,
+              enum wy_route_access route, const struct wy_org **org)
 {
   struct wy_access_query q = { .orgs = g->env.routing->orgs,
                                .credential = info->credential,
                                .key = info->key,
                                .route = route,
-                               .config_is_current = config_is_fresh (g) };
+                               .config_is_current = is_config_current (g) };
 
   return wy_access_check (&q, org);
 }
 
-/* Calls on a job name no route.  One that was submitted without a key is found
-   without one.  */
+/* Handle a call on a job, which names no route.  No key is required if the
+   host has a public job route, where jobs are submitted without one.  */
 static void
-call_job (struct wy_gate *g, struct wy_h1_request *r,
-          const struct wy_request_info *info, struct wy_job_call *call)
+handle_job_call (struct wy_gate *g, struct wy_h1_request *r,
+                 const struct wy_request_info *info, struct wy_job_call *call)
 {
-  bool open
+  bool is_public
       = info->host && wy_routing_has_public_jobs (g->env.routing, info->host);
   const struct wy_org *org;
-  enum wy_access access = decide_access (
-      g, info, open ? WY_ROUTE_ACCESS_PUBLIC : WY_ROUTE_ACCESS_KEY_REQUIRED,
-      &org);
+  enum wy_access access = check_access (
+      g, info,
+      is_public ? WY_ROUTE_ACCESS_PUBLIC : WY_ROUTE_ACCESS_KEY_REQUIRED, &org);
 
   if (access != WY_ACCESS_ALLOW)
-    refuse_access (g, r, info, access);
+    reject_access (g, r, info, access);
   else
     wy_jobs_handle_call (g->jobs, r, org ? org->name : "", call);
 }
 
-/* A caller sends R: it is admitted and passed on, or refused.  */
+/* Forward the caller's request R, or reject it.  */
 void
-wy_gate_on_caller (void *ctx, struct wy_h1_request *r)
+wy_gate_on_request (void *ctx, struct wy_h1_request *r)
 {
   struct wy_gate *g = ctx;
   struct wy_request_info info;
@@ -115,21 +117,21 @@
                      &call);
   if (call.kind != WY_JOB_CALL_NONE)
     {
-      call_job (g, r, &info, &call);
+      handle_job_call (g, r, &info, &call);
       return;
     }
   route = info.host
               ? wy_routing_match (g->env.routing, info.host, wy_h1_target (r))
               : NULL;
-  access = decide_access (g, &info,
-                          !route             ? WY_ROUTE_ACCESS_UNKNOWN
-                          : route->is_public ? WY_ROUTE_ACCESS_PUBLIC
-                                             : WY_ROUTE_ACCESS_KEY_REQUIRED,
-                          &org);
+  access = check_access (g, &info,
+                         !route             ? WY_ROUTE_ACCESS_UNKNOWN
+                         : route->is_public ? WY_ROUTE_ACCESS_PUBLIC
+                                            : WY_ROUTE_ACCESS_KEY_REQUIRED,
+                         &org);
   if (!route || access != WY_ACCESS_ALLOW)
-    refuse_access (g, r, &info, access);
+    reject_access (g, r, &info, access);
   else if (route->kind == WY_ROUTE_JOB && !strcmp (wy_h1_method (r), "POST"))
-    wy_jobs_accept (g->jobs, r, org ? org->name : "", config_is_fresh (g));
+    wy_jobs_accept (g->jobs, r, org ? org->name : "", is_config_current (g));
   else
     wy_proxy_start (&g->env, r, route, org);
 }
--- a/src/gate/busy_slots.h
+++ b/src/gate/busy_slots.h
@@ -1,5 +1,5 @@
-/* How many slots of scaled services this entry keeps busy, by availability
-   zone of the replicas, smoothed; and the sum over all entries.  */
+/* Slots of autoscaled services that an entry's requests occupy, as a moving
+   average per service and availability zone.  */
 #ifndef WY_GATE_BUSY_SLOTS_H
 #define WY_GATE_BUSY_SLOTS_H
 
@@ -8,11 +8,11 @@
 
 #include "gate/env.h"
 
-void wy_busy_sample (GHashTable *busy, const struct wy_gate_env *env);
-json_t *wy_busy_encode (GHashTable *busy);
-double wy_busy_of (const json_t *told, const char *service,
-                   const char *availability_zone);
-double wy_busy_here (GHashTable *busy, const char *service,
-                     const char *availability_zone);
+void wy_busy_slots_sample (GHashTable *busy, const struct wy_gate_env *env);
+json_t *wy_busy_slots_encode (GHashTable *busy);
+double wy_busy_slots_reported (const json_t *reported, const char *service,
+                               const char *availability_zone);
+double wy_busy_slots_local (GHashTable *busy, const char *service,
+                            const char *availability_zone);
 
 #endif
--- a/src/gate/env.h
+++ b/src/gate/env.h
@@ -1,6 +1,5 @@
-/* What the parts of the gate share: the loop, the clients, what is believed
-   of targets and configuration, and the counters.  Owned by src/gate/gate.c.
- */
+/* State that the parts of the gate share: the loop, the clients, the known
+   targets and configuration, and the counters.  Owned by src/gate/gate.c.  */
 #ifndef WY_GATE_ENV_H
 #define WY_GATE_ENV_H
 
@@ -38,8 +37,8 @@
   struct wy_hist *item_us;
   struct wy_hist *score_us;
   struct wy_metrics_family *requests_ended; /* by route, outcome and reason */
-  struct wy_metrics_family
-      *latency_by_route; /* by route, target's service and outcome */
+  /* By route, target's service and outcome.  */
+  struct wy_metrics_family *latency_by_route;
 };
 
 struct wy_gate_env
@@ -47,17 +46,17 @@
   uv_loop_t *loop;
   const struct wy_clock *clock;
   const char *node;   /* name of this instance */
-  const char *holder; /* this start of it */
+  const char *holder; /* "NODE/INCARNATION": this start of the instance */
   const char *availability_zone;
   struct wy_h1_client *http;
   struct wy_rows *rows;
   struct wy_targets *targets;
-  struct wy_routing *routing; /* in force; NULL before the first */
-  uint32_t entries;           /* alive, this one included */
+  struct wy_routing *routing; /* current; NULL before the first */
+  uint32_t entries;           /* that are alive, including this one */
   bool stopping;
   struct wy_rng rng;
   struct wy_crash_tracker crashes;
-  struct wy_usage *usage; /* NULL: nobody asks for it */
+  struct wy_usage *usage; /* NULL: usage is not reported */
   struct wy_gate_counters count;
 };
 
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -1,4 +1,4 @@
-/* The gate: its listeners, what it follows in the store, start and stop.  */
+/* The gate: its listeners, startup and shutdown.  */
 #include "gate/gate_state.h"
 
 #include <stdio.h>
@@ -9,32 +9,35 @@
 #include "platform/replica_wire.h"
 #include "trace/json_log.h"
 
-/* Beside the metrics, where wyctl asks.  */
+/* Request target of the status on the metrics listener; wyctl reads it.  */
 #define STATUS_TARGET "/v1/status"
 
 enum
 {
   CONNECT_TIMEOUT_MS = 400,
-  /* Longest time that a connection is kept; peers that close sooner say so in
-     their answers.  */
-  TARGET_IDLE_MS = 60000,
+  /* Idle connections are closed after this time.  Peers that close them sooner
+     announce it in their responses.  */
+  TARGET_IDLE_TIMEOUT_MS = 60000,
   TICK_MS = 200,
-  /* The balancer asks once a second and acts on the second miss; connections
-     keep coming for so long after a stop is asked for.  */
-  BALANCER_MS = 2500,
-  /* What is left of the grace time when work is handed over, and when the
-     process ends.  */
-  HAND_OVER_SHARE = 2,
-  END_MARGIN_MS = 1200,
-  /* Connections to one target that a gate may have though its share of the
-     limit is less.  */
+  /* The load balancer checks readiness once a second and acts on the second
+     failure; new connections arrive for this long after a stop request.  */
+  BALANCER_DRAIN_MS = 2500,
+  /* The entry leaves, so that others take over its jobs, when the grace time
+     divided by this has passed.  */
+  LEAVE_DIVISOR = 2,
+  /* The process exits this long before the grace time ends.  */
+  EXIT_MARGIN_MS = 1200,
+  /* Connections to one target that an entry may always have, even if its share
+     of the limit is smaller.  */
   CONNECTIONS_MIN = 1,
-  /* At most this part of the limit is one entry's because of its jobs.  */
-  SLOTS_SHARE = 4
+  /* An entry may exceed its share for its jobs, up to the limit divided by
+     this.  */
+  JOBS_CONNECTIONS_DIVISOR = 4
 };
 
-/* Requests that this entry may have open at one target of SERVICE: its share
-   of the connections that the target takes from all entries together.  */
+/* Number of requests that this entry may have in flight to one target of
+   SERVICE: its share of the connections that the target accepts from all
+   entries together.  0: no limit.  */
 uint32_t
 wy_gate_in_flight_limit (const struct wy_gate_env *env, const char *service)
 {
@@ -45,8 +48,8 @@
   if (!s || !s->connection_limit)
     return 0;
   share = s->connection_limit / env->entries;
-  /* Few entries run jobs at a time, and one alone can use all slots.  */
-  slots = MIN (s->slots, s->connection_limit / SLOTS_SHARE);
+  /* Few entries run jobs at a time, and a single one can use all slots.  */
+  slots = MIN (s->slots, s->connection_limit / JOBS_CONNECTIONS_DIVISOR);
   return MAX (MAX (share, slots), CONNECTIONS_MIN);
 }
 
@@ -59,8 +62,8 @@
 static bool
 is_ready (const struct wy_gate *g)
 {
-  return !g->stop_asked_ms && g->env.routing
-         && wy_watch_is_synced (g->replicas);
+  return !g->stop_requested_ms && g->env.routing
+         && wy_watch_is_synced (g->replica_watch);
 }
 
 static void
@@ -94,8 +97,9 @@
   ((struct forward *)ctx)->request = NULL;
 }
 
-/* Another process of the system calls: an entry hands a job on, or a process
-   that the store turns away sends its call through here.  */
+/* Handle a request of another process of the system: the handoff of a job, or
+   a store call that this entry relays for a process which can't reach the
+   store directly.  */
 static void
 on_peer (void *ctx, struct wy_h1_request *r)
 {
@@ -133,7 +137,7 @@
       return;
     }
   out = g_string_new (NULL);
-  wy_gate_read_gauges (g);
+  wy_gate_update_gauges (g);
   wy_metrics_print (g->metrics, out);
   wy_h1_respond (r, 200, &type, 1, out->str, out->len);
   g_string_free (out, TRUE);
@@ -148,12 +152,13 @@
   struct wy_h1_server_options o
       = { .loop = g->o.loop,
           .host = ip,
-          .limits = { .header_bytes = WY_GATE_START_HEADER_BYTES,
-                      .body_bytes = (uint32_t)g->o.settings->object_bytes * 2,
-                      .header_timeout_ms = WY_GATE_START_HEADER_MS,
-                      .idle_timeout_ms = WY_GATE_START_IDLE_MS,
-                      .buffered_bytes = (uint64_t)g->o.settings->memory_mb
-                                        * WY_GATE_MB / WY_GATE_BODY_SHARE },
+          .limits
+          = { .header_bytes = WY_GATE_INITIAL_HEADER_BYTES,
+              .body_bytes = (uint32_t)g->o.settings->object_bytes * 2,
+              .header_timeout_ms = WY_GATE_INITIAL_HEADER_TIMEOUT_MS,
+              .idle_timeout_ms = WY_GATE_INITIAL_IDLE_TIMEOUT_MS,
+              .buffered_bytes = (uint64_t)g->o.settings->memory_mb * WY_GATE_MB
+                                / WY_GATE_BODY_MEMORY_DIVISOR },
           .on_request = on_request,
           .ctx = g };
 
@@ -168,51 +173,54 @@
 start_servers (struct wy_gate *g)
 {
   const struct wy_gate_settings *s = g->o.settings;
-  int err = listen_at (g, &g->callers, s->callers, wy_gate_on_caller);
+  int err = listen_at (g, &g->caller_server, s->callers, wy_gate_on_request);
 
   if (!err)
-    err = listen_at (g, &g->ready, s->ready, on_ready_check);
+    err = listen_at (g, &g->ready_server, s->ready, on_ready_check);
   if (!err)
-    err = listen_at (g, &g->peers, s->peers, on_peer);
+    err = listen_at (g, &g->peer_server, s->peers, on_peer);
   if (!err && *s->metrics)
     err = listen_at (g, &g->metrics_server, s->metrics, on_metrics);
   return err;
 }
 
 static void
-end_process (struct wy_gate *g, const char *why)
+stop_process (struct wy_gate *g, const char *reason)
 {
   if (g->stopped)
     return;
   g->stopped = true;
-  wy_json_log ("process.stop", "reason=%s requests=%u jobs=%u", why,
-               wy_h1_server_active (g->callers), wy_jobs_running (g->jobs));
+  wy_json_log ("process.stop", "reason=%s requests=%u jobs=%u", reason,
+               wy_h1_server_active (g->caller_server),
+               wy_jobs_running (g->jobs));
   g->o.on_stopped (g->o.ctx);
 }
 
-/* Work in progress is finished first; what is still open after half of the
-   grace time is handed over, by telling the others that this entry leaves.  */
+/* Continue a requested stop.  Work in progress is finished first.  After half
+   of the grace time this entry announces that it leaves, so that other entries
+   take over the remaining jobs.  */
 static void
 check_stop (struct wy_gate *g)
 {
-  int64_t since_ms = wy_clock_mono_ms (g->env.clock) - g->stop_asked_ms;
-  bool idle = wy_h1_server_active (g->callers) == 0;
+  int64_t since_ms = wy_clock_mono_ms (g->env.clock) - g->stop_requested_ms;
+  bool idle = wy_h1_server_active (g->caller_server) == 0;
 
-  if (!g->handed_over
-      && (since_ms >= grace_ms (g) / HAND_OVER_SHARE
-          || (since_ms >= BALANCER_MS && wy_jobs_running (g->jobs) == 0)))
+  if (!g->has_left
+      && (since_ms >= grace_ms (g) / LEAVE_DIVISOR
+          || (since_ms >= BALANCER_DRAIN_MS
+              && wy_jobs_running (g->jobs) == 0)))
     {
-      g->handed_over = true;
+      g->has_left = true;
       g->env.stopping = true;
-      wy_members_leave (g->members);
+      wy_members_set_leaving (g->members);
       wy_json_log ("process.handing_over", "jobs=%u since_ms=%lld",
                    wy_jobs_running (g->jobs), (long long)since_ms);
       return;
     }
-  if (since_ms >= grace_ms (g) - END_MARGIN_MS)
-    end_process (g, "grace_over");
-  else if (g->handed_over && idle && wy_jobs_running (g->jobs) == 0)
-    end_process (g, "idle");
+  if (since_ms >= grace_ms (g) - EXIT_MARGIN_MS)
+    stop_process (g, "grace_over");
+  else if (g->has_left && idle && wy_jobs_running (g->jobs) == 0)
+    stop_process (g, "idle");
 }
 
 static void
@@ -227,14 +235,14 @@
       wy_json_log (ready ? "process.ready" : "process.not_ready",
                    "config=%lld targets_age_ms=%lld",
                    g->env.routing ? (long long)g->env.routing->version : 0LL,
-                   (long long)wy_watch_age_ms (g->replicas));
+                   (long long)wy_watch_age_ms (g->replica_watch));
     }
-  if (g->stop_asked_ms)
+  if (g->stop_requested_ms)
     check_stop (g);
 }
 
 static uint32_t
-idle_to (const void *client, const struct sockaddr_in *a)
+idle_connections (const void *client, const struct sockaddr_in *a)
 {
   return wy_h1_client_idle_count (client, a);
 }
@@ -245,7 +253,7 @@
   struct wy_h1_client_options http
       = { .loop = g->o.loop,
           .connect_timeout_ms = CONNECT_TIMEOUT_MS,
-          .idle_timeout_ms = TARGET_IDLE_MS };
+          .idle_timeout_ms = TARGET_IDLE_TIMEOUT_MS };
   struct wy_rows_options rows
       = { .loop = g->o.loop,
           .clock = g->o.clock,
@@ -256,11 +264,12 @@
   g->env.http = wy_h1_client_new (&http);
   rows.http = g->env.http;
   g->env.rows = wy_rows_new (&rows);
-  wy_targets_watch_idle (g->env.targets, idle_to, g->env.http);
+  wy_targets_set_idle_count (g->env.targets, idle_connections, g->env.http);
   return 0;
 }
 
-/* Start a gate as O says and store it in OUT.  Returns 0 or WY_H1_EBIND.  */
+/* Start a gate with the options O and store it in OUT.  Returns 0, or
+   WY_H1_EBIND if an address is invalid or can't be bound.  */
 int
 wy_gate_new (struct wy_gate **out, const struct wy_gate_options *o)
 {
@@ -275,7 +284,7 @@
                o->settings->availability_zone, o->settings->store,
                (long long)o->settings->memory_mb);
   g->metrics = wy_metrics_new ();
-  wy_gate_make_metrics (g);
+  wy_gate_register_metrics (g);
   g->env.loop = o->loop;
   g->env.clock = o->clock;
   g->env.node = o->settings->name;
@@ -285,13 +294,13 @@
   wy_rng_seed (&g->env.rng, wy_hash64 (g->incarnation, WY_ID_LEN, 0));
   g->env.targets = wy_targets_new (wy_hash64 (g->incarnation, WY_ID_LEN, 4));
   g->seeds = g_array_new (FALSE, FALSE, sizeof (struct sockaddr_in));
-  wy_gate_read_seeds (g, o->settings);
+  wy_gate_set_seeds (g, o->settings);
   err = start_store (g);
   if (!err)
     err = start_servers (g);
   if (err)
     return err;
-  wy_gate_follow_store (g);
+  wy_gate_start_watches (g);
   err = wy_gate_start_duties (g);
   if (err)
     return err;
@@ -302,46 +311,50 @@
   return 0;
 }
 
-/* Stop within the grace time: no new connections, work in progress first.  */
+/* Stop within the grace time.  The entry is no longer ready, so the load
+   balancer sends no new connections; work in progress is finished first.  A
+   second call stops at once.  */
 void
 wy_gate_stop (struct wy_gate *g)
 {
-  if (g->stop_asked_ms)
+  if (g->stop_requested_ms)
     {
-      end_process (g, "asked_twice");
+      stop_process (g, "asked_twice");
       return;
     }
-  g->stop_asked_ms = wy_clock_mono_ms (g->env.clock);
+  g->stop_requested_ms = wy_clock_mono_ms (g->env.clock);
   wy_json_log ("process.stopping", "requests=%u jobs=%u",
-               wy_h1_server_active (g->callers), wy_jobs_running (g->jobs));
-  wy_h1_server_announce_close (g->callers);
-  wy_members_drain (g->members);
+               wy_h1_server_active (g->caller_server),
+               wy_jobs_running (g->jobs));
+  wy_h1_server_announce_close (g->caller_server);
+  wy_members_set_draining (g->members);
   wy_gate_stop_duties (g);
 }
 
-/* Take in settings that have changed; addresses stay as they are.  */
+/* Apply changed settings S.  Only the seeds can change.  */
 void
 wy_gate_reload (struct wy_gate *g, const struct wy_gate_settings *s)
 {
-  wy_gate_read_seeds (g, s);
+  wy_gate_set_seeds (g, s);
   wy_gate_set_relays (g);
   wy_json_log ("process.reloaded", "seeds=%u", g->seeds->len);
 }
 
-/* Close all of G; the loop must turn some times afterwards.  */
+/* Close all handles of G.  The loop must run a few more iterations
+   afterwards.  */
 void
 wy_gate_free (struct wy_gate *g)
 {
-  wy_h1_server_free (g->callers);
-  wy_h1_server_free (g->ready);
-  wy_h1_server_free (g->peers);
+  wy_h1_server_free (g->caller_server);
+  wy_h1_server_free (g->ready_server);
+  wy_h1_server_free (g->peer_server);
   if (g->metrics_server)
     wy_h1_server_free (g->metrics_server);
   wy_gate_free_duties (g);
   wy_jobs_free (g->jobs);
   wy_members_free (g->members);
-  wy_watch_free (g->operator_rows);
-  wy_watch_free (g->replicas);
+  wy_watch_free (g->operator_watch);
+  wy_watch_free (g->replica_watch);
   wy_rows_free (g->env.rows);
   wy_h1_client_free (g->env.http);
   uv_close ((uv_handle_t *)&g->tick, NULL);
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -1,5 +1,5 @@
-/* The gate: an entry instance that reaches targets directly and keeps what
-   must last in the platform's store.  */
+/* The gate: an entry instance, which forwards callers' requests directly to
+   targets and keeps persistent state in the platform's store.  */
 #ifndef WY_GATE_GATE_H
 #define WY_GATE_GATE_H
 
--- a/src/gate/gate_metrics.c
+++ b/src/gate/gate_metrics.c
@@ -12,7 +12,7 @@
 };
 
 static void
-make_counters (struct wy_gate *g)
+register_counters (struct wy_gate *g)
 {
   struct wy_gate_counters *c = &g->env.count;
   struct wy_metrics *m = g->metrics;
@@ -53,10 +53,10 @@
                                            "Jobs taken over from others");
   c->requests_ended = wy_metrics_counter_family (
       m, "wy_gate_requests_ended_total", "Requests by how they ended",
-      WY_GATE_LABEL_SETS);
+      WY_GATE_LABEL_SETS_MAX);
   c->latency_by_route = wy_metrics_histogram_family (
       m, "wy_gate_request_us", "Time to the end of a request",
-      WY_GATE_HISTOGRAM_SETS);
+      WY_GATE_HISTOGRAM_SETS_MAX);
   c->latency_us = wy_metrics_histogram (m, "wy_gate_answer_us",
                                         "Time to a replica's whole answer");
   c->score_us = wy_metrics_histogram (m, "wy_gate_score_us",
@@ -67,14 +67,14 @@
                                      " item's result");
 }
 
-/* Describe all metrics.  */
+/* Register all metrics.  */
 void
-wy_gate_make_metrics (struct wy_gate *g)
+wy_gate_register_metrics (struct wy_gate *g)
 {
   struct wy_gate_gauges *v = &g->gauges;
   struct wy_metrics *m = g->metrics;
 
-  make_counters (g);
+  register_counters (g);
   v->connections_open = wy_metrics_gauge (
       m, "wy_gate_connections", "Connections open to targets and the store");
   v->connections_idle = wy_metrics_gauge (m, "wy_gate_connections_idle",
@@ -106,21 +106,21 @@
       m, "wy_gate_items_scoring", "Job items whose text waits for a score");
   v->items_unlisted = wy_metrics_gauge (
       m, "wy_gate_items_unlisted", "Job items whose results are not listed");
-  v->store_ended = wy_metrics_counter_family (
+  v->store_calls_ended = wy_metrics_counter_family (
       m, "wy_gate_store_calls_ended_total",
-      "Calls to the store by how they ended", WY_GATE_LABEL_SETS);
+      "Calls to the store by how they ended", WY_GATE_LABEL_SETS_MAX);
   v->table_calls = wy_metrics_counter_family (
       m, "wy_gate_store_table_calls_total", "Calls to the store by table",
-      WY_GATE_LABEL_SETS);
-  v->table_rows_read
-      = wy_metrics_counter_family (m, "wy_gate_store_rows_read_total",
-                                   "Rows read by table", WY_GATE_LABEL_SETS);
+      WY_GATE_LABEL_SETS_MAX);
+  v->table_rows_read = wy_metrics_counter_family (
+      m, "wy_gate_store_rows_read_total", "Rows read by table",
+      WY_GATE_LABEL_SETS_MAX);
   v->table_read_bytes = wy_metrics_counter_family (
       m, "wy_gate_store_read_bytes_total",
-      "Bytes of the store's answers by table", WY_GATE_LABEL_SETS);
+      "Bytes of the store's answers by table", WY_GATE_LABEL_SETS_MAX);
   v->table_written_bytes = wy_metrics_counter_family (
       m, "wy_gate_store_written_bytes_total",
-      "Bytes sent to the store by table", WY_GATE_LABEL_SETS);
+      "Bytes sent to the store by table", WY_GATE_LABEL_SETS_MAX);
   v->organisations
       = wy_metrics_gauge (m, "wy_gate_organisations",
                           "Organisations of the configuration in force");
@@ -146,7 +146,7 @@
 }
 
 static void
-read_store_calls (struct wy_gate_gauges *v, const struct wy_rows_stats *s)
+update_store_calls (struct wy_gate_gauges *v, const struct wy_rows_stats *s)
 {
   static const char *const names[WY_ROWS_OUTCOMES]
       = { "done", "not_done", "unknown" };
@@ -160,13 +160,13 @@
           continue;
         snprintf (labels, sizeof labels, "verb=\"%s\",outcome=\"%s\"",
                   wy_store_verb_name ((enum wy_store_verb)verb), names[end]);
-        *wy_metrics_family_counter (v->store_ended, labels)
+        *wy_metrics_family_counter (v->store_calls_ended, labels)
             = s->calls_by_outcome[verb][end];
       }
 }
 
 static void
-read_traffic (struct wy_gate_gauges *v, const struct wy_traffic *t)
+update_traffic (struct wy_gate_gauges *v, const struct wy_traffic *t)
 {
   for (uint32_t i = 0; i < t->n_tables; i++)
     {
@@ -183,7 +183,7 @@
 }
 
 static void
-read_duties (const struct wy_gate *g)
+update_duties (const struct wy_gate *g)
 {
   const struct wy_gate_gauges *v = &g->gauges;
   const struct wy_orgs *orgs = g->env.routing ? g->env.routing->orgs : NULL;
@@ -191,7 +191,7 @@
 
   *v->organisations = orgs ? (int64_t)wy_orgs_count (orgs) : 0;
   *v->keys = orgs ? (int64_t)wy_orgs_key_count (orgs) : 0;
-  *v->duties_held = g->duties && wy_election_is_leader (g->duties);
+  *v->duties_held = g->election && wy_election_is_leader (g->election);
   if (g->env.usage)
     wy_usage_stats (g->env.usage, &usage);
   *v->usage_reported = (int64_t)usage.reported;
@@ -201,9 +201,9 @@
   *v->scale_orders = g->scaler ? (int64_t)wy_scaler_accepted (g->scaler) : 0;
 }
 
-/* Read the gauges anew.  */
+/* Set the gauges to the current values.  */
 void
-wy_gate_read_gauges (struct wy_gate *g)
+wy_gate_update_gauges (struct wy_gate *g)
 {
   struct wy_gate_gauges *v = &g->gauges;
   struct wy_h1_client_stats http;
@@ -224,13 +224,13 @@
   *v->items_waiting = work.waiting;
   *v->items_scoring = work.scoring;
   *v->items_unlisted = work.unlisted;
-  read_store_calls (v, &rows);
-  read_traffic (v, &rows.traffic);
+  update_store_calls (v, &rows);
+  update_traffic (v, &rows.traffic);
   *v->jobs_known = wy_jobs_is_synced (g->jobs);
   *v->entries = g->env.entries;
   *v->entries_age_ms = wy_members_age_ms (g->members);
-  *v->replicas_age_ms = wy_watch_age_ms (g->replicas);
+  *v->replicas_age_ms = wy_watch_age_ms (g->replica_watch);
   *v->config_version = g->env.routing ? g->env.routing->version : 0;
-  read_duties (g);
+  update_duties (g);
   *v->log_dropped = (int64_t)wy_json_log_dropped ();
 }
--- a/src/gate/gate_state.h
+++ b/src/gate/gate_state.h
@@ -1,4 +1,4 @@
-/* Inside of the gate: all that it holds.  */
+/* Internal state of the gate.  */
 #ifndef WY_GATE_GATE_STATE_H
 #define WY_GATE_GATE_STATE_H
 
@@ -15,21 +15,22 @@
 enum
 {
   WY_GATE_MB = 1 << 20,
-  /* Share of the memory that bodies being read may take.  */
-  WY_GATE_BODY_SHARE = 8,
-  /* And that jobs may take.  */
-  WY_GATE_JOBS_SHARE = 2,
-  /* Label sets of a metric; a histogram takes 8 KB.  */
-  WY_GATE_LABEL_SETS = 256,
-  WY_GATE_HISTOGRAM_SETS = 24,
-  /* Before a configuration is known; callers are refused then anyway.  */
-  WY_GATE_START_HEADER_BYTES = 65536,
-  WY_GATE_START_BODY_BYTES = 1 << 20,
-  WY_GATE_START_HEADER_MS = 5000,
-  WY_GATE_START_IDLE_MS = 60000
+  /* The memory limit divided by this is the limit of buffered bodies.  */
+  WY_GATE_BODY_MEMORY_DIVISOR = 8,
+  /* The same for jobs.  */
+  WY_GATE_JOBS_MEMORY_DIVISOR = 2,
+  /* Label sets per metric.  A histogram takes 8 KB.  */
+  WY_GATE_LABEL_SETS_MAX = 256,
+  WY_GATE_HISTOGRAM_SETS_MAX = 24,
+  /* Limits until a configuration is known; until then callers' requests are
+     rejected anyway.  */
+  WY_GATE_INITIAL_HEADER_BYTES = 65536,
+  WY_GATE_INITIAL_BODY_BYTES = 1 << 20,
+  WY_GATE_INITIAL_HEADER_TIMEOUT_MS = 5000,
+  WY_GATE_INITIAL_IDLE_TIMEOUT_MS = 60000
 };
 
-/* Values read when the metrics are asked for.  */
+/* Values updated whenever the metrics are requested.  */
 struct wy_gate_gauges
 {
   int64_t *connections_open;
@@ -39,7 +40,7 @@
   int64_t *store_relayed;
   int64_t *store_direct;
   int64_t *jobs;
-  int64_t *jobs_known;
+  int64_t *jobs_known; /* whether all jobs of the store are known */
   int64_t *entries;
   int64_t *entries_age_ms;
   int64_t *replicas_age_ms;
@@ -57,8 +58,8 @@
   int64_t *usage_missed;
   int64_t *usage_forced;
   int64_t *scale_orders;
-  struct wy_metrics_family *store_ended; /* by verb and outcome */
-  struct wy_metrics_family *table_calls; /* by table */
+  struct wy_metrics_family *store_calls_ended; /* by verb and outcome */
+  struct wy_metrics_family *table_calls;       /* by table */
   struct wy_metrics_family *table_rows_read;
   struct wy_metrics_family *table_read_bytes;
   struct wy_metrics_family *table_written_bytes;
@@ -74,32 +75,32 @@
   struct wy_gate_gauges gauges;
   struct wy_members *members;
   struct wy_jobs *jobs;
-  struct wy_election *duties; /* NULL: the platform expects none */
+  struct wy_election *election; /* NULL: the platform expects no duties */
   struct wy_duty_calls *duty_calls;
-  struct wy_scaler *scaler; /* NULL: nobody asks for it */
-  struct wy_watch *operator_rows;
-  struct wy_watch *replicas;
-  struct wy_h1_server *callers;
-  struct wy_h1_server *ready;
-  struct wy_h1_server *peers;
+  struct wy_scaler *scaler; /* NULL: scaling is not among the duties */
+  struct wy_watch *operator_watch;
+  struct wy_watch *replica_watch;
+  struct wy_h1_server *caller_server;
+  struct wy_h1_server *ready_server;
+  struct wy_h1_server *peer_server;
   struct wy_h1_server *metrics_server;
   GArray *seeds; /* struct sockaddr_in */
   uv_timer_t tick;
-  int64_t stop_asked_ms;
+  int64_t stop_requested_ms; /* 0: not requested */
   bool was_ready;
-  bool handed_over;
+  bool has_left; /* marked as leaving; other entries take over its jobs */
   bool stopped;
 };
 
-void wy_gate_on_caller (void *ctx, struct wy_h1_request *r);
+void wy_gate_on_request (void *ctx, struct wy_h1_request *r);
 int wy_gate_start_duties (struct wy_gate *g);
 void wy_gate_stop_duties (struct wy_gate *g);
 void wy_gate_free_duties (struct wy_gate *g);
 void wy_gate_set_limits (struct wy_gate *g);
 void wy_gate_set_relays (struct wy_gate *g);
-void wy_gate_make_metrics (struct wy_gate *g);
-void wy_gate_read_gauges (struct wy_gate *g);
-void wy_gate_read_seeds (struct wy_gate *g, const struct wy_gate_settings *s);
-void wy_gate_follow_store (struct wy_gate *g);
+void wy_gate_register_metrics (struct wy_gate *g);
+void wy_gate_update_gauges (struct wy_gate *g);
+void wy_gate_set_seeds (struct wy_gate *g, const struct wy_gate_settings *s);
+void wy_gate_start_watches (struct wy_gate *g);
 
 #endif
--- a/src/gate/members.c
+++ b/src/gate/members.c
@@ -1,10 +1,10 @@
 /* The directory of entries in the store: writes the row of this entry and
-   follows the rows of the others.
+   watches the rows of the others.
 
    There is no lease: a job's writes are conditional on the version of its row,
    so an entry wrongly marked as failed can do no harm; it only loses its jobs
    and rewrites its row.  Writes to the directory are conditional on the row's
-   version too, so a delayed one has no effect.  */
+   version too, so a delayed write has no effect.  */
 #include "gate/members_state.h"
 
 #include <stdio.h>
@@ -20,21 +20,22 @@
 
 enum
 {
-  /* Short, since changes are rare and failures must be known quickly.  */
-  WATCH_GAP_MS = 100,
+  /* Short, since changes are rare and failures must be observed quickly.  */
+  WATCH_INTERVAL_MS = 100,
   /* The row is rewritten when its epoch is off by more.  */
   EPOCH_TOLERANCE_MS = 50
 };
 
 static void
-copy (json_t *doc, const char *key, char *out)
+copy_string (json_t *doc, const char *key, char *out)
 {
   const char *v = json_string_value (json_object_get (doc, key));
 
   g_strlcpy (out, v ? v : "", WY_MEMBERS_NAME_SIZE_BYTES);
 }
 
-/* The part of the directory and of the addresses that holds POSITION.  */
+/* Store the name of the partition of the directory and of the addresses that
+   holds POSITION in OUT.  */
 void
 wy_members_partition (uint64_t position,
                       char out[WY_MEMBERS_PARTITION_SIZE_BYTES])
@@ -43,8 +44,8 @@
             (unsigned)(position % WY_MEMBERS_PARTITIONS));
 }
 
-/* The key of addresses and heartbeats for POSITION.  Keys sort like positions.
- */
+/* Store the key of addresses and heartbeats for POSITION in OUT.  Keys sort
+   like positions.  */
 void
 wy_members_key (uint64_t position, char out[WY_MEMBERS_KEY_SIZE_BYTES])
 {
@@ -54,34 +55,35 @@
 
 /* Update the state derived from the directory, once per batch of rows.  */
 static void
-on_changed (uv_timer_t *t)
+on_update (uv_timer_t *t)
 {
   struct wy_members *m = t->data;
 
   m->ring_is_stale = true;
-  wy_members_learn_epoch (m);
+  wy_members_update_epoch (m);
   m->o.env->entries = wy_members_count_alive (m);
   if (m->o.on_change)
     m->o.on_change (m->o.ctx);
 }
 
 static void
-schedule_change (struct wy_members *m)
+schedule_update (struct wy_members *m)
 {
-  if (!uv_is_active ((uv_handle_t *)&m->change))
-    uv_timer_start (&m->change, on_changed, 0, 0);
+  if (!uv_is_active ((uv_handle_t *)&m->update_timer))
+    uv_timer_start (&m->update_timer, on_update, 0, 0);
 }
 
+/* Merge the LIST of suspects in the row of E.  */
 static void
-learn_crashes (struct wy_members *m, const struct member *e,
-               const json_t *list)
+merge_suspects (struct wy_members *m, const struct member *e,
+                const json_t *list)
 {
   uint32_t n;
 
   if (!strcmp (e->node, m->o.env->node))
     return;
-  n = wy_crash_rows_learn (&m->o.env->crashes, list,
-                           wy_clock_mono_ms (m->o.env->clock));
+  n = wy_suspect_list_merge (&m->o.env->crashes, list,
+                             wy_clock_mono_ms (m->o.env->clock));
   if (n)
     wy_json_log ("request.held_back", "node=%s requests=%u", e->node, n);
 }
@@ -101,11 +103,11 @@
 }
 
 static void
-decode (struct member *e, json_t *doc)
+decode_row (struct member *e, json_t *doc)
 {
   const char *address = json_string_value (json_object_get (doc, "address"));
 
-  copy (doc, "holder", e->holder);
+  copy_string (doc, "holder", e->holder);
   e->has_address = address && wy_address_parse (address, &e->address);
   e->cpu_share = json_number_value (json_object_get (doc, "cpu_share"));
   e->draining = json_is_true (json_object_get (doc, "draining"));
@@ -116,17 +118,17 @@
 }
 
 static void
-log_change (const struct wy_members *m, const struct member *was,
+log_change (const struct wy_members *m, const struct member *before,
             const struct member *e)
 {
   /* Rows of the initial read are not logged one by one.  */
   if (!wy_watch_is_synced (m->watch))
     return;
-  if (e->failed && !was->failed)
+  if (e->failed && !before->failed)
     wy_json_log ("entry.gone", "node=%s holder=%s version=%lld", e->node,
                  e->holder, (long long)e->row_version);
-  else if (strcmp (was->holder, e->holder) != 0 || was->leaving != e->leaving
-           || was->failed != e->failed)
+  else if (strcmp (before->holder, e->holder) != 0
+           || before->leaving != e->leaving || before->failed != e->failed)
     wy_json_log ("entry.seen", "node=%s holder=%s leaving=%d version=%lld",
                  e->node, e->holder, e->leaving, (long long)e->row_version);
 }
@@ -149,10 +151,10 @@
 {
   const struct member *e = g_hash_table_lookup (m->by_node, row->key);
 
-  if (!e || strcmp (e->part, row->partition) != 0)
+  if (!e || strcmp (e->partition, row->partition) != 0)
     return;
   g_hash_table_remove (m->by_node, row->key);
-  schedule_change (m);
+  schedule_update (m);
   if (strcmp (row->key, m->o.env->node) != 0)
     return;
   m->address_written = false;
@@ -164,7 +166,7 @@
 {
   struct wy_members *m = ctx;
   struct member *e;
-  struct member was;
+  struct member before;
   json_t *doc;
 
   if (row->deleted)
@@ -175,17 +177,17 @@
   e = member_for (m, row->key);
   if (row->version < e->row_version)
     return;
-  was = *e;
+  before = *e;
   doc = json_loadb (row->value, row->size_bytes, 0, NULL);
   e->row_version = row->version;
-  g_strlcpy (e->part, row->partition, sizeof e->part);
-  decode (e, doc);
-  if (e->failed && !was.failed)
+  g_strlcpy (e->partition, row->partition, sizeof e->partition);
+  decode_row (e, doc);
+  if (e->failed && !before.failed)
     e->failed_since_ms = wy_clock_mono_ms (m->o.env->clock);
-  learn_crashes (m, e, json_object_get (doc, "crashed"));
+  merge_suspects (m, e, json_object_get (doc, "crashed"));
   json_decref (doc);
-  log_change (m, &was, e);
-  schedule_change (m);
+  log_change (m, &before, e);
+  schedule_update (m);
   /* Another entry has marked this one as failed, or the row is that of a
      previous process.  */
   if (!strcmp (e->node, m->o.env->node) && row->version > m->own_version
@@ -224,7 +226,7 @@
   if (wy_crash_tracker_has_suspects (&env->crashes))
     json_object_set_new (
         doc, "crashed",
-        wy_crash_rows_encode (&env->crashes, wy_clock_mono_ms (env->clock)));
+        wy_suspect_list_encode (&env->crashes, wy_clock_mono_ms (env->clock)));
   text = json_dumps (doc, JSON_COMPACT);
   json_decref (doc);
   return text;
@@ -244,32 +246,31 @@
 on_row_written (void *ctx, const struct wy_rows_result *r)
 {
   struct wy_members *m = ctx;
-  const struct wy_row *now
+  const struct wy_row *current
       = r->err == WY_ROWS_ECONFLICT && r->n ? r->rows : NULL;
 
   if (!r->err)
     set_stored_row (m, r->version);
-  else if (now && now->size_bytes == strlen (m->pending_row)
-           && !memcmp (now->value, m->pending_row, now->size_bytes))
-    /* An earlier attempt was applied although its answer was lost.  */
-    set_stored_row (m, now->version);
+  else if (current && current->size_bytes == strlen (m->pending_row)
+           && !memcmp (current->value, m->pending_row, current->size_bytes))
+    /* An earlier attempt was applied although its response was lost.  */
+    set_stored_row (m, current->version);
   else
     {
       g_clear_pointer (&m->pending_row, g_free);
       if (r->err != WY_ROWS_ECONFLICT)
         return;
-      m->own_version = now ? now->version : 0;
+      m->own_version = current ? current->version : 0;
       wy_members_write_row (m);
     }
 }
 
 /* Write the row of this entry if it differs from the stored one.  The first
-   write includes the address, for processes that do not follow the directory.
- */
+   write includes the address, for processes that don't watch the directory. */
 void
 wy_members_write_row (struct wy_members *m)
 {
-  char part[WY_MEMBERS_PARTITION_SIZE_BYTES];
+  char partition[WY_MEMBERS_PARTITION_SIZE_BYTES];
   char key[WY_MEMBERS_KEY_SIZE_BYTES];
   char *text;
   struct wy_row_ref condition = { .table = WY_MEMBERS_TABLE,
@@ -281,7 +282,7 @@
             .key = key,
             .value = m->o.address,
             .size_bytes = strlen (m->o.address) } };
-  struct wy_rows_tx tx = { .partition = part,
+  struct wy_rows_tx tx = { .partition = partition,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .writes = writes,
@@ -295,7 +296,7 @@
       free (text);
       return;
     }
-  wy_members_partition (m->position, part);
+  wy_members_partition (m->position, partition);
   wy_members_key (m->position, key);
   m->pending_row = g_strdup (text);
   free (text);
@@ -304,7 +305,7 @@
   wy_rows_tx (m->o.env->rows, &tx, on_row_written, m);
 }
 
-/* Start writing to and following the directory as configured by O.  */
+/* Start writing to and watching the directory with the options O.  */
 struct wy_members *
 wy_members_new (const struct wy_members_options *o)
 {
@@ -314,7 +315,7 @@
                                 .rows = o->env->rows,
                                 .table = WY_MEMBERS_TABLE,
                                 .all_partitions = true,
-                                .min_interval_ms = WATCH_GAP_MS,
+                                .min_interval_ms = WATCH_INTERVAL_MS,
                                 .seed = o->seed,
                                 .on_row = on_row,
                                 .ctx = m };
@@ -323,36 +324,40 @@
   m->position = wy_hash64 (o->env->node, strlen (o->env->node), 0);
   m->usage_complete = -1;
   m->by_node = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
-  m->busy = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  m->unseen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  uv_timer_init (o->env->loop, &m->change);
-  m->change.data = m;
+  m->busy_slots
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  m->unknown_holders
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  uv_timer_init (o->env->loop, &m->update_timer);
+  m->update_timer.data = m;
   m->watch = wy_watch_new (&w);
   wy_members_start_heartbeats (m);
   return m;
 }
 
-/* Stop.  The memory of M stays, since a call of it may be under way.  */
+/* Stop.  The memory of M isn't freed, since store calls that refer to it may
+   be in progress.  */
 void
 wy_members_free (struct wy_members *m)
 {
-  wy_members_follow_load (m, false);
+  wy_members_watch_load (m, false);
   wy_watch_free (m->watch);
-  uv_close ((uv_handle_t *)&m->change, NULL);
+  uv_close ((uv_handle_t *)&m->update_timer, NULL);
   wy_members_stop_heartbeats (m);
 }
 
-/* Tell the others that this entry takes no new jobs.  */
+/* Announce that this entry accepts no new jobs.  */
 void
-wy_members_drain (struct wy_members *m)
+wy_members_set_draining (struct wy_members *m)
 {
   m->draining = true;
   wy_members_write_row (m);
 }
 
-/* Tell the others that this entry is about to stop.  */
+/* Announce that this entry is about to stop, so that other entries take over
+   its jobs.  */
 void
-wy_members_leave (struct wy_members *m)
+wy_members_set_leaving (struct wy_members *m)
 {
   m->leaving = true;
   wy_members_write_row (m);
--- a/src/gate/members.h
+++ b/src/gate/members.h
@@ -1,9 +1,9 @@
-/* The entries that are alive.
+/* Membership: the entries that are alive.
 
    The directory in the store has a row for each entry, which changes when the
-   entry starts, drains, leaves, fails or returns; every entry follows it.
-   Heartbeats are kept in a separate table.  Only a few other entries read each
-   of them, and mark the directory row of an entry that has failed.  */
+   entry starts, drains, leaves, fails or recovers; every entry watches it.
+   Heartbeats are kept in a separate table.  Each is read by only a few other
+   entries, which mark the directory row of an entry that has failed.  */
 #ifndef WY_GATE_MEMBERS_H
 #define WY_GATE_MEMBERS_H
 
@@ -20,9 +20,9 @@
 
 enum
 {
-  /* Parts of the directory and of the addresses.  A part serializes its
-     transactions, some hundred a second; a starting entry reads every part of
-     the directory.  */
+  /* Partitions of the directory and of the addresses.  A partition serializes
+     its transactions, a few hundred per second; a starting entry reads every
+     partition of the directory.  */
   WY_MEMBERS_PARTITIONS = 8,
   WY_MEMBERS_PARTITION_SIZE_BYTES = 8,
   /* Keys of addresses and heartbeats.  */
@@ -34,14 +34,14 @@
 struct wy_members_options
 {
   struct wy_gate_env *env;
-  const char *address; /* "IP:PORT" where peers' store calls are taken */
+  const char *address; /* "IP:PORT" on which this entry serves peers */
   uint64_t seed;
   double cpu_share; /* of this entry, in cores */
   void (*on_change) (void *ctx);
   void *ctx;
 };
 
-/* One entry as it is believed to be.  */
+/* One entry, as known here.  */
 struct wy_member_view
 {
   const char *node;
@@ -52,23 +52,23 @@
 
 struct wy_members *wy_members_new (const struct wy_members_options *o);
 void wy_members_free (struct wy_members *m);
-void wy_members_leave (struct wy_members *m);
+void wy_members_set_leaving (struct wy_members *m);
 void wy_members_publish_usage (struct wy_members *m, int64_t window);
-void wy_members_follow_load (struct wy_members *m, bool follow);
-double wy_members_busy (const struct wy_members *m, const char *service,
-                        const char *availability_zone);
+void wy_members_watch_load (struct wy_members *m, bool enable);
+double wy_members_busy_slots (const struct wy_members *m, const char *service,
+                              const char *availability_zone);
 bool wy_members_load_is_known (const struct wy_members *m);
 int64_t wy_members_epoch_ms (const struct wy_members *m);
 int64_t wy_members_usage_complete (const struct wy_members *m);
 uint32_t wy_members_count_alive (const struct wy_members *m);
 bool wy_members_holder_is_gone (struct wy_members *m, const char *holder);
-void wy_members_drain (struct wy_members *m);
+void wy_members_set_draining (struct wy_members *m);
 bool wy_members_choose_holder (const struct wy_members *m, const char *key,
                                const char **holder,
                                struct sockaddr_in *address);
 uint32_t wy_members_rank (const struct wy_members *m, const char *key);
-size_t wy_members_addresses (const struct wy_members *m,
-                             struct sockaddr_in *out, size_t max);
+size_t wy_members_peer_addresses (const struct wy_members *m,
+                                  struct sockaddr_in *out, size_t max);
 void wy_members_partition (uint64_t position,
                            char out[WY_MEMBERS_PARTITION_SIZE_BYTES]);
 void wy_members_key (uint64_t position, char out[WY_MEMBERS_KEY_SIZE_BYTES]);
--- a/src/gate/members_heartbeat.c
+++ b/src/gate/members_heartbeat.c
@@ -1,9 +1,9 @@
 /* Heartbeats: writes that of this entry, reads those of its successors on the
    ring and marks the directory rows of entries that have failed.
 
-   Reading the heartbeats of all entries would grow with the square of the
-   fleet.  Rows are keyed by position on the ring, so that one range read
-   returns neighbours.  */
+   If every entry read the heartbeats of all entries, the load on the store
+   would grow with the square of their number.  Rows are keyed by position on
+   the ring, so that one range read returns neighbours.  */
 #include "gate/members_state.h"
 
 #include <stdlib.h>
@@ -16,12 +16,13 @@
 
 enum
 {
-  BEAT_MS = 500,
+  HEARTBEAT_MS = 500,
   POLL_MS = 250,
-  /* The top bits of a position select one of 64 parts, each of which takes
-     some hundred writes a second: enough for several thousand entries.  */
-  PART_SHIFT = 58,
-  PART_SIZE_BYTES = 4,
+  /* The top bits of a position select one of 64 partitions, each of which
+     accepts a few hundred writes per second: enough for several thousand
+     entries.  */
+  PARTITION_SHIFT = 58,
+  PARTITION_SIZE_BYTES = 4,
   /* Polls between scans for expired rows.  */
   EXPIRY_POLLS = 20,
   /* How long the row of a failed entry is kept.  */
@@ -29,27 +30,28 @@
 };
 
 static unsigned
-part_of (uint64_t position)
+partition_of (uint64_t position)
 {
-  return (unsigned)(position >> PART_SHIFT);
+  return (unsigned)(position >> PARTITION_SHIFT);
 }
 
 static void
-on_beat_written (void *ctx, const struct wy_rows_result *r)
+on_heartbeat_written (void *ctx, const struct wy_rows_result *r)
 {
-  ((struct wy_members *)ctx)->writing_beat = false;
+  ((struct wy_members *)ctx)->writing_heartbeat = false;
 }
 
 static void
-write_beat (struct wy_members *m)
+write_heartbeat (struct wy_members *m)
 {
-  char part[PART_SIZE_BYTES];
+  char partition[PARTITION_SIZE_BYTES];
   char key[WY_MEMBERS_KEY_SIZE_BYTES];
   struct wy_row_write w = { .table = WY_HEARTBEATS_TABLE, .key = key };
-  struct wy_rows_tx tx = { .partition = part, .writes = &w, .n_writes = 1 };
+  struct wy_rows_tx tx
+      = { .partition = partition, .writes = &w, .n_writes = 1 };
   json_t *doc = json_pack ("{s:s, s:I}", "holder", m->o.env->holder, "beat",
-                           (json_int_t)++m->beats);
-  json_t *busy = wy_busy_encode (m->busy);
+                           (json_int_t)++m->heartbeats);
+  json_t *busy = wy_busy_slots_encode (m->busy_slots);
   char *value;
 
   if (busy)
@@ -57,24 +59,24 @@
   if (m->usage_complete >= 0)
     json_object_set_new (doc, "usage_complete",
                          json_integer (m->usage_complete));
-  g_snprintf (part, sizeof part, "%u", part_of (m->position));
+  g_snprintf (partition, sizeof partition, "%u", partition_of (m->position));
   wy_members_key (m->position, key);
   value = json_dumps (doc, JSON_COMPACT);
   json_decref (doc);
   w.value = value;
   w.size_bytes = strlen (value);
-  m->writing_beat = true;
-  wy_rows_tx (m->o.env->rows, &tx, on_beat_written, m);
+  m->writing_heartbeat = true;
+  wy_rows_tx (m->o.env->rows, &tx, on_heartbeat_written, m);
   free (value);
 }
 
 static void
-on_beat (uv_timer_t *t)
+on_heartbeat_timer (uv_timer_t *t)
 {
   struct wy_members *m = t->data;
 
-  if (!m->writing_beat)
-    write_beat (m);
+  if (!m->writing_heartbeat)
+    write_heartbeat (m);
   wy_members_write_row (m);
 }
 
@@ -100,12 +102,12 @@
   struct successor *w = find_successor (k->members, k->node);
 
   if (w)
-    w->marking = false;
+    w->mark_pending = false;
   g_free (k);
 }
 
-/* Mark the row of W, silent for SILENT_MS, as failed unless the row has
-   changed meanwhile.  */
+/* Mark the directory row of W as failed, unless the row has changed meanwhile.
+   SILENT_MS is the time since the last observed heartbeat.  */
 static void
 mark_failed (struct wy_members *m, struct successor *w, int64_t silent_ms)
 {
@@ -120,7 +122,7 @@
   json_t *doc;
   char *value;
 
-  if (!e || e->failed || w->marking)
+  if (!e || e->failed || w->mark_pending)
     return;
   wy_json_log ("entry.silent", "node=%s holder=%s silent_ms=%lld version=%lld",
                e->node, e->holder, (long long)silent_ms,
@@ -131,18 +133,18 @@
   k = g_new0 (struct mark_request, 1);
   k->members = m;
   g_strlcpy (k->node, e->node, sizeof k->node);
-  tx.partition = e->part;
+  tx.partition = e->partition;
   condition.version = e->row_version;
   write.value = value;
   write.size_bytes = strlen (value);
-  w->marking = true;
+  w->mark_pending = true;
   wy_rows_tx (m->o.env->rows, &tx, on_marked, k);
   free (value);
 }
 
-/* A read of the heartbeats from position FIRST to LAST, both inclusive, of one
-   part.  */
-struct beat_read
+/* A read of the heartbeats of one partition from position FIRST to LAST, both
+   inclusive.  */
+struct heartbeat_read
 {
   struct wy_members *members;
   uint64_t first;
@@ -162,9 +164,9 @@
 }
 
 static void
-on_beats (void *ctx, const struct wy_rows_result *r)
+on_heartbeats_read (void *ctx, const struct wy_rows_result *r)
 {
-  struct beat_read *b = ctx;
+  struct heartbeat_read *b = ctx;
   struct wy_members *m = b->members;
   int64_t now_ms = wy_clock_mono_ms (m->o.env->clock);
 
@@ -186,35 +188,36 @@
 }
 
 static void
-read_beats (struct wy_members *m, uint64_t first, uint64_t last)
+read_heartbeats (struct wy_members *m, uint64_t first, uint64_t last)
 {
-  struct beat_read *b = g_new0 (struct beat_read, 1);
-  char part[PART_SIZE_BYTES];
+  struct heartbeat_read *b = g_new0 (struct heartbeat_read, 1);
+  char partition[PARTITION_SIZE_BYTES];
   char from[WY_MEMBERS_KEY_SIZE_BYTES];
   char to[WY_MEMBERS_KEY_SIZE_BYTES + 1];
-  struct wy_rows_range range = {
-    .table = WY_HEARTBEATS_TABLE, .partition = part, .from = from, .to = to
-  };
+  struct wy_rows_range range = { .table = WY_HEARTBEATS_TABLE,
+                                 .partition = partition,
+                                 .from = from,
+                                 .to = to };
 
   b->members = m;
   b->first = first;
   b->last = last;
-  g_snprintf (part, sizeof part, "%u", part_of (first));
+  g_snprintf (partition, sizeof partition, "%u", partition_of (first));
   wy_members_key (first, from);
   wy_members_key (last, to);
   g_strlcat (to, "0", sizeof to);
   m->pending_reads++;
-  wy_rows_get (m->o.env->rows, &range, on_beats, b);
+  wy_rows_get (m->o.env->rows, &range, on_heartbeats_read, b);
 }
 
-/* Read the heartbeats of the monitored entries, one range per part.  */
+/* Read the heartbeats of the monitored entries, one range per partition.  */
 static void
 read_monitored (struct wy_members *m)
 {
   bool done[WY_MEMBERS_SUCCESSORS_MAX] = { false };
 
   m->n_monitored = (uint32_t)wy_ring_monitored (m->liveness, m->n_successors,
-                                                WY_MEMBERS_MONITORED);
+                                                WY_MEMBERS_MONITORED_MIN);
   for (uint32_t i = 0; i < m->n_monitored; i++)
     {
       uint64_t first = m->successors[i].position;
@@ -223,18 +226,18 @@
       if (done[i])
         continue;
       for (uint32_t k = i; k < m->n_monitored; k++)
-        if (part_of (m->successors[k].position) == part_of (first))
+        if (partition_of (m->successors[k].position) == partition_of (first))
           {
             done[k] = true;
             first = MIN (first, m->successors[k].position);
             last = MAX (last, m->successors[k].position);
           }
-      read_beats (m, first, last);
+      read_heartbeats (m, first, last);
     }
 }
 
 static gint
-by_position (gconstpointer a, gconstpointer b)
+compare_positions (gconstpointer a, gconstpointer b)
 {
   uint64_t x = (*(struct member *const *)a)->position;
   uint64_t y = (*(struct member *const *)b)->position;
@@ -242,8 +245,8 @@
   return x < y ? -1 : x > y;
 }
 
-/* The entries alive, ordered by position; their number is stored in N.  The
-   caller frees the list.  */
+/* The entries that are alive, ordered by position; their number is stored in
+   N.  The caller frees the list with g_free.  */
 struct member **
 wy_members_ring (const struct wy_members *m, size_t *n)
 {
@@ -255,15 +258,15 @@
   while (g_hash_table_iter_next (&it, NULL, &p))
     if (wy_member_is_alive (p))
       g_ptr_array_add (all, p);
-  g_ptr_array_sort (all, by_position);
+  g_ptr_array_sort (all, compare_positions);
   *n = all->len;
   return (struct member **)g_ptr_array_free (all, FALSE);
 }
 
-/* Recompute the successors of this entry, keeping the state of those that
+/* Recompute the successors of this entry and keep the state of those that
    remain.  */
 static void
-choose_successors (struct wy_members *m)
+update_successors (struct wy_members *m)
 {
   struct successor previous[WY_MEMBERS_SUCCESSORS_MAX];
   struct wy_liveness previous_liveness[WY_MEMBERS_SUCCESSORS_MAX];
@@ -306,7 +309,7 @@
 
 /* Remove the directory and address rows of E.  */
 static void
-remove_failed (struct wy_members *m, const struct member *e)
+remove_member (struct wy_members *m, const struct member *e)
 {
   char key[WY_MEMBERS_KEY_SIZE_BYTES];
   struct wy_row_ref condition = { .table = WY_MEMBERS_TABLE,
@@ -314,7 +317,7 @@
                                   .version = e->row_version };
   struct wy_row_ref removals[2]
       = { condition, { .table = WY_ADDRESSES_TABLE, .key = key } };
-  struct wy_rows_tx tx = { .partition = e->part,
+  struct wy_rows_tx tx = { .partition = e->partition,
                            .conditions = &condition,
                            .n_conditions = 1,
                            .removals = removals,
@@ -341,7 +344,7 @@
 
       if (e->failed && now_ms - e->failed_since_ms >= FAILED_RETENTION_MS
           && wy_members_rank (m, e->node) == 0)
-        remove_failed (m, e);
+        remove_member (m, e);
     }
 }
 
@@ -350,11 +353,11 @@
 {
   struct wy_members *m = t->data;
 
-  wy_busy_sample (m->busy, m->o.env);
+  wy_busy_slots_sample (m->busy_slots, m->o.env);
   if (!wy_watch_is_synced (m->watch) || m->pending_reads)
     return;
   if (m->ring_is_stale)
-    choose_successors (m);
+    update_successors (m);
   read_monitored (m);
   if (++m->polls % EXPIRY_POLLS == 0)
     remove_expired (m);
@@ -367,18 +370,18 @@
   uv_loop_t *loop = m->o.env->loop;
 
   m->ring_is_stale = true;
-  uv_timer_init (loop, &m->beat);
-  m->beat.data = m;
-  uv_timer_start (&m->beat, on_beat, 0, BEAT_MS);
-  uv_timer_init (loop, &m->poll);
-  m->poll.data = m;
-  uv_timer_start (&m->poll, on_poll, POLL_MS, POLL_MS);
+  uv_timer_init (loop, &m->heartbeat_timer);
+  m->heartbeat_timer.data = m;
+  uv_timer_start (&m->heartbeat_timer, on_heartbeat_timer, 0, HEARTBEAT_MS);
+  uv_timer_init (loop, &m->poll_timer);
+  m->poll_timer.data = m;
+  uv_timer_start (&m->poll_timer, on_poll, POLL_MS, POLL_MS);
 }
 
 /* Stop writing and reading heartbeats.  */
 void
 wy_members_stop_heartbeats (struct wy_members *m)
 {
-  uv_close ((uv_handle_t *)&m->beat, NULL);
-  uv_close ((uv_handle_t *)&m->poll, NULL);
+  uv_close ((uv_handle_t *)&m->heartbeat_timer, NULL);
+  uv_close ((uv_handle_t *)&m->poll_timer, NULL);
 }
--- a/src/gate/members_load.c
+++ b/src/gate/members_load.c
@@ -1,6 +1,7 @@
 /* Load and usage that entries report with their heartbeats: busy slots of
-   scaled services, and the window up to which counted usage is stored.  Only
-   the holder of the duties reads the heartbeats of all entries.  */
+   autoscaled services, and the window up to which counted usage is stored.
+   Only the leader, which performs the duties, reads the heartbeats of all
+   entries.  */
 #include "gate/members_state.h"
 
 #include <string.h>
@@ -9,12 +10,12 @@
 
 enum
 {
-  WATCH_GAP_MS = 250
+  WATCH_INTERVAL_MS = 250
 };
 
 struct load
 {
-  json_t *busy;           /* NULL: none */
+  json_t *busy_slots;     /* NULL: none reported */
   int64_t usage_complete; /* -1: none reported */
 };
 
@@ -23,7 +24,7 @@
 {
   struct load *l = p;
 
-  json_decref (l->busy);
+  json_decref (l->busy_slots);
   g_free (l);
 }
 
@@ -43,30 +44,30 @@
   doc = json_loadb (row->value, row->size_bytes, 0, NULL);
   window = json_object_get (doc, "usage_complete");
   l = g_new0 (struct load, 1);
-  l->busy = json_incref (json_object_get (doc, "busy"));
+  l->busy_slots = json_incref (json_object_get (doc, "busy"));
   l->usage_complete
       = json_is_integer (window) ? json_integer_value (window) : -1;
   g_hash_table_insert (m->load_by_key, g_strdup (row->key), l);
   json_decref (doc);
 }
 
-/* Start or stop following the heartbeats of all entries.  */
+/* Start or stop watching the heartbeats of all entries.  */
 void
-wy_members_follow_load (struct wy_members *m, bool follow)
+wy_members_watch_load (struct wy_members *m, bool enable)
 {
   struct wy_watch_options w = { .loop = m->o.env->loop,
                                 .clock = m->o.env->clock,
                                 .rows = m->o.env->rows,
                                 .table = WY_HEARTBEATS_TABLE,
                                 .all_partitions = true,
-                                .min_interval_ms = WATCH_GAP_MS,
+                                .min_interval_ms = WATCH_INTERVAL_MS,
                                 .seed = m->o.seed + 1,
                                 .on_row = on_row,
                                 .ctx = m };
 
-  if (follow == (m->load_watch != NULL))
+  if (enable == (m->load_watch != NULL))
     return;
-  if (follow)
+  if (enable)
     {
       m->load_by_key
           = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_load);
@@ -79,7 +80,7 @@
   m->load_by_key = NULL;
 }
 
-/* Whether the heartbeats of all entries are followed and were read once.  */
+/* Whether the heartbeats of all entries are watched and have been read.  */
 bool
 wy_members_load_is_known (const struct wy_members *m)
 {
@@ -95,14 +96,14 @@
   return g_hash_table_lookup (m->load_by_key, key);
 }
 
-/* Slots of SERVICE in AVAILABILITY_ZONE that the entries alive keep busy,
-   as far as their load is known; without wy_members_follow_load, those of this
+/* Busy slots of SERVICE in AVAILABILITY_ZONE, summed over the entries that are
+   alive and whose load is known; without wy_members_watch_load, those of this
    entry only.  */
 double
-wy_members_busy (const struct wy_members *m, const char *service,
-                 const char *availability_zone)
+wy_members_busy_slots (const struct wy_members *m, const char *service,
+                       const char *availability_zone)
 {
-  double sum = wy_busy_here (m->busy, service, availability_zone);
+  double sum = wy_busy_slots_local (m->busy_slots, service, availability_zone);
   GHashTableIter it;
   gpointer p;
 
@@ -115,13 +116,14 @@
       const struct load *l = load_of (m, e);
 
       if (l && wy_member_is_alive (e) && strcmp (e->node, m->o.env->node) != 0)
-        sum += wy_busy_of (l->busy, service, availability_zone);
+        sum += wy_busy_slots_reported (l->busy_slots, service,
+                                       availability_zone);
     }
   return sum;
 }
 
-/* The newest window for which all entries alive have stored the usage that
-   they counted; -1: not known.  */
+/* The newest window for which all entries that are alive have stored the usage
+   that they counted; -1: not known.  */
 int64_t
 wy_members_usage_complete (const struct wy_members *m)
 {
@@ -144,8 +146,8 @@
   return complete;
 }
 
-/* Tell the others, with the next heartbeat, that the usage counted here is in
-   the store for all windows up to WINDOW.  */
+/* Publish with the next heartbeat that the usage counted here is in the store
+   for all windows up to WINDOW.  */
 void
 wy_members_publish_usage (struct wy_members *m, int64_t window)
 {
--- a/src/gate/members_query.c
+++ b/src/gate/members_query.c
@@ -1,5 +1,5 @@
-/* What follows from the list of entries: who is alive, who runs what, where
-   calls are passed on.  */
+/* Queries on the list of entries: which ones are alive, which one runs a job,
+   which ones relay store calls.  */
 #include "gate/members_state.h"
 
 #include <math.h>
@@ -10,15 +10,15 @@
 
 enum
 {
-  /* Time after which a holder without a row is considered gone.  */
-  UNSEEN_GONE_MS = 1600,
-  /* Places in the order of tries that one takes which is not to run jobs.  */
-  WEAK_RANKS = 16
+  /* A holder that has had no row for this long is considered gone.  */
+  UNKNOWN_GONE_MS = 1600,
+  /* Factor on the rank of an entry that is not to run jobs.  */
+  NO_JOBS_RANK_FACTOR = 16
 };
 
-/* Of the most processor time that an entry has, what one must have to run
-   jobs.  */
-static const double strong_share = 0.5;
+/* To run jobs an entry must have at least this fraction of the largest CPU
+   share of an entry.  */
+static const double job_cpu_fraction = 0.5;
 
 /* Whether E is neither leaving nor failed.  */
 bool
@@ -27,7 +27,7 @@
   return !e->leaving && !e->failed;
 }
 
-/* Number of entries alive; at least 1, this one.  */
+/* Number of entries that are alive; at least 1, this one.  */
 uint32_t
 wy_members_count_alive (const struct wy_members *m)
 {
@@ -42,7 +42,7 @@
 }
 
 static gint
-by_value (gconstpointer a, gconstpointer b)
+compare_values (gconstpointer a, gconstpointer b)
 {
   int64_t x = *(const int64_t *)a;
   int64_t y = *(const int64_t *)b;
@@ -50,12 +50,12 @@
   return x < y ? -1 : x > y;
 }
 
-/* Take the median of what the entries tell of the time of day, which is off,
-   or steps, on some of them.  */
+/* Update the epoch to the median of those that the entries report, since the
+   wall clock of some is wrong or steps.  */
 void
-wy_members_learn_epoch (struct wy_members *m)
+wy_members_update_epoch (struct wy_members *m)
 {
-  GArray *told = g_array_new (FALSE, FALSE, sizeof (int64_t));
+  GArray *reported = g_array_new (FALSE, FALSE, sizeof (int64_t));
   GHashTableIter it;
   gpointer p;
 
@@ -65,40 +65,41 @@
       const struct member *e = p;
 
       if (wy_member_is_alive (e) && e->epoch_ms)
-        g_array_append_val (told, e->epoch_ms);
+        g_array_append_val (reported, e->epoch_ms);
     }
-  g_array_sort (told, by_value);
-  if (told->len)
-    m->epoch_ms = g_array_index (told, int64_t, told->len / 2);
-  g_array_free (told, TRUE);
+  g_array_sort (reported, compare_values);
+  if (reported->len)
+    m->epoch_ms = g_array_index (reported, int64_t, reported->len / 2);
+  g_array_free (reported, TRUE);
 }
 
-/* The time of day at zero of the store's clock, as the entries together tell
-   it; 0: not known yet.  */
+/* Wall-clock time at zero of the store's clock, the median of what the entries
+   report; 0: not known yet.  */
 int64_t
 wy_members_epoch_ms (const struct wy_members *m)
 {
   return m->epoch_ms;
 }
 
-/* A holder that no row tells of may just have started, its job's row being
-   seen before its own: it is gone when that stays so.  */
+/* Whether HOLDER, which has no row, is gone.  It may have just started, and
+   its job's row may have arrived before its own; so it is gone only if it has
+   no row for some time.  */
 static bool
-is_gone_unseen (struct wy_members *m, const char *holder)
+unknown_is_gone (struct wy_members *m, const char *holder)
 {
   int64_t now_ms = wy_clock_mono_ms (m->o.env->clock);
-  int64_t *since_ms = g_hash_table_lookup (m->unseen, holder);
+  int64_t *since_ms = g_hash_table_lookup (m->unknown_holders, holder);
 
   if (since_ms)
-    return now_ms - *since_ms >= UNSEEN_GONE_MS;
+    return now_ms - *since_ms >= UNKNOWN_GONE_MS;
   since_ms = g_new (int64_t, 1);
   *since_ms = now_ms;
-  g_hash_table_insert (m->unseen, g_strdup (holder), since_ms);
+  g_hash_table_insert (m->unknown_holders, g_strdup (holder), since_ms);
   return false;
 }
 
-/* Whether HOLDER, "NODE/INCARNATION", will do no more work: its instance is
-   silent or leaving, or has started anew since.  */
+/* Whether HOLDER, "NODE/INCARNATION", will do no more work: its instance has
+   failed, is leaving, or has restarted since.  */
 bool
 wy_members_holder_is_gone (struct wy_members *m, const char *holder)
 {
@@ -113,92 +114,99 @@
   memcpy (node, holder, (size_t)(slash - holder));
   node[slash - holder] = '\0';
   e = g_hash_table_lookup (m->by_node, node);
-  /* Incarnations are in the order of their starts.  */
+  /* Incarnations sort by start time: a greater one is newer than the row.  */
   if (!e || strcmp (holder, e->holder) > 0)
-    return is_gone_unseen (m, holder);
+    return unknown_is_gone (m, holder);
   return !wy_member_is_alive (e) || strcmp (e->holder, holder) != 0;
 }
 
 static uint64_t
-weight_of (const char *node, const char *key)
+hash_of (const char *node, const char *key)
 {
   return wy_hash64 (node, strlen (node), wy_hash64 (key, strlen (key), 0));
 }
 
+/* CPU_SHARE, or 1 core if it isn't known.  */
 static double
-share_of (double cpu_share)
+effective_cpu_share (double cpu_share)
 {
   return cpu_share > 0 ? cpu_share : 1;
 }
 
-/* Weighted rendezvous hashing: the largest of these wins, with a chance in
-   proportion to CPU_SHARE, and stays the winner while it is there.  Instances
-   differ fivefold, and one that runs a job reads all of its streams.  */
+/* Weight of NODE for KEY in weighted rendezvous hashing.  The entry with the
+   largest weight is chosen, with a probability in proportion to CPU_SHARE, and
+   stays chosen while it is alive.  The CPU shares of instances differ by up to
+   a factor of five, and an entry that runs a job reads all of its streams.  */
 static double
-claim_of (const char *node, const char *key, double cpu_share)
+rendezvous_weight (const char *node, const char *key, double cpu_share)
 {
-  double u = ((double)weight_of (node, key) + 1) / 18446744073709551616.0;
+  /* The hash, scaled to a number between 0 and 1; the divisor is 2^64.  */
+  double u = ((double)hash_of (node, key) + 1) / 18446744073709551616.0;
 
-  return share_of (cpu_share) / -log (u < 1 ? u : 0.5);
+  return effective_cpu_share (cpu_share) / -log (u < 1 ? u : 0.5);
 }
 
 static bool
-takes_work (const struct member *e)
+accepts_jobs (const struct member *e)
 {
   return wy_member_is_alive (e) && !e->draining && !e->relayed
          && e->has_address;
 }
 
 static bool
-takes_work_here (const struct wy_members *m)
+accepts_jobs_locally (const struct wy_members *m)
 {
   return !m->draining && wy_rows_is_direct (m->o.env->rows);
 }
 
-/* The least processor time of an entry that is to run jobs.  A job of some
-   hundred items is read as it is made, listed and kept by one entry; on one
-   with a fifth of the processor time of others each of these is late, and with
-   them the step.  So the weaker ones run jobs only where there are no others.
- */
+/* Minimum CPU share of an entry that is to run jobs.  A single entry reads the
+   streams of a job's several hundred items, stores their text and lists the
+   results; with a fifth of the processor time of others it does all of this
+   late and delays the training step.  So entries with a small CPU share run
+   jobs only where there are no larger ones.  */
 static double
-least_share (const struct wy_members *m)
+min_cpu_share (const struct wy_members *m)
 {
-  double most = takes_work_here (m) ? share_of (m->o.cpu_share) : 0;
+  double largest
+      = accepts_jobs_locally (m) ? effective_cpu_share (m->o.cpu_share) : 0;
   GHashTableIter it;
   gpointer p;
 
   g_hash_table_iter_init (&it, m->by_node);
   while (g_hash_table_iter_next (&it, NULL, &p))
-    if (takes_work (p))
-      most = MAX (most, share_of (((const struct member *)p)->cpu_share));
-  return most * strong_share;
+    if (accepts_jobs (p))
+      largest
+          = MAX (largest,
+                 effective_cpu_share (((const struct member *)p)->cpu_share));
+  return largest * job_cpu_fraction;
 }
 
-/* The entry that work of KEY goes to: always the same one while it is alive,
-   so that its connections to the targets are used again.  One that the store
-   turns away does not get new work: each of its results would take a detour,
-   and its heartbeats may be missed.  False: this entry, or none that is known;
-   HOLDER and ADDRESS are set else.  */
+/* Choose the entry that is to run the jobs of KEY: always the same one while
+   it is alive, so that its connections to the targets are reused.  An entry
+   that can't reach the store directly gets no new jobs: its results would have
+   to be relayed, and its heartbeats may be late.  If another entry is chosen,
+   return true and set HOLDER and ADDRESS; false means this entry, or that no
+   entry is suitable.  */
 bool
 wy_members_choose_holder (const struct wy_members *m, const char *key,
                           const char **holder, struct sockaddr_in *address)
 {
   const char *node = m->o.env->node;
-  double least = least_share (m);
+  double min = min_cpu_share (m);
   double best = 0;
   const struct member *found = NULL;
   GHashTableIter it;
   gpointer p;
 
-  if (takes_work_here (m) && share_of (m->o.cpu_share) >= least)
-    best = claim_of (node, key, m->o.cpu_share);
+  if (accepts_jobs_locally (m) && effective_cpu_share (m->o.cpu_share) >= min)
+    best = rendezvous_weight (node, key, m->o.cpu_share);
   g_hash_table_iter_init (&it, m->by_node);
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
       const struct member *e = p;
-      double w = claim_of (e->node, key, e->cpu_share);
+      double w = rendezvous_weight (e->node, key, e->cpu_share);
 
-      if (!takes_work (e) || share_of (e->cpu_share) < least
+      if (!accepts_jobs (e) || effective_cpu_share (e->cpu_share) < min
           || !strcmp (e->node, node) || w <= best)
         continue;
       best = w;
@@ -211,17 +219,18 @@
   return true;
 }
 
-/* Place of this entry among those alive in the order that KEY gives them;
-   each key gives another, so that work without a holder spreads.  Those that
-   are to run jobs come first, the others so far behind that all of them
-   together rarely come before.  */
+/* Rank of this entry among those alive in an order that depends on KEY, so
+   that takeovers of jobs without a holder spread over the entries; 0 is the
+   first.  Entries that are to run jobs rank first.  The rank of the others is
+   multiplied so that they rarely act before one of these.  */
 uint32_t
 wy_members_rank (const struct wy_members *m, const char *key)
 {
   const char *node = m->o.env->node;
-  uint64_t own = weight_of (node, key);
-  double least = least_share (m);
-  bool strong = takes_work_here (m) && share_of (m->o.cpu_share) >= least;
+  uint64_t own = hash_of (node, key);
+  double min = min_cpu_share (m);
+  bool runs_jobs = accepts_jobs_locally (m)
+                   && effective_cpu_share (m->o.cpu_share) >= min;
   GHashTableIter it;
   gpointer p;
   uint32_t rank = 0;
@@ -230,24 +239,25 @@
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
       const struct member *e = p;
-      bool other = takes_work (e) && share_of (e->cpu_share) >= least;
+      bool other_runs_jobs
+          = accepts_jobs (e) && effective_cpu_share (e->cpu_share) >= min;
 
       if (!wy_member_is_alive (e) || !strcmp (e->node, node))
         continue;
-      if (other != strong)
-        rank += other;
+      if (other_runs_jobs != runs_jobs)
+        rank += other_runs_jobs;
       else
-        rank += weight_of (e->node, key) > own;
+        rank += hash_of (e->node, key) > own;
     }
-  return strong ? rank : rank * WEAK_RANKS;
+  return runs_jobs ? rank : rank * NO_JOBS_RANK_FACTOR;
 }
 
-/* Write the addresses of other entries alive to OUT, MAX at most, starting
-   with the successor of this entry so that load spreads over the fleet.
-   Returns their number.  */
+/* Write the addresses of other entries that are alive to OUT, at most MAX,
+   starting with the successor of this entry so that the load spreads over all
+   entries.  Returns their number.  */
 size_t
-wy_members_addresses (const struct wy_members *m, struct sockaddr_in *out,
-                      size_t max)
+wy_members_peer_addresses (const struct wy_members *m, struct sockaddr_in *out,
+                           size_t max)
 {
   size_t n_ring;
   struct member **ring = wy_members_ring (m, &n_ring);
@@ -267,8 +277,8 @@
   return n;
 }
 
-/* Where the entry of ROW, of the table of addresses, takes calls to the store;
-   false: it can't be read.  */
+/* Parse ROW of the table of addresses: the address on which its entry relays
+   store calls.  Returns false if the row is invalid.  */
 bool
 wy_member_parse_address (const struct wy_row *row, struct sockaddr_in *out)
 {
@@ -300,7 +310,7 @@
   return -1;
 }
 
-/* Tell FN of each entry that is known.  */
+/* Call FN for each known entry.  */
 void
 wy_members_each (const struct wy_members *m,
                  void (*fn) (void *ctx, const struct wy_member_view *v),
@@ -322,7 +332,7 @@
     }
 }
 
-/* Age in ms of what is known; -1: nothing is.  */
+/* Age in ms of the known state of the entries; -1: nothing is known.  */
 int64_t
 wy_members_age_ms (const struct wy_members *m)
 {
--- a/src/gate/members_state.h
+++ b/src/gate/members_state.h
@@ -1,4 +1,4 @@
-/* Inside of the list of entries: src/gate/members*.c.  */
+/* Internal state of src/gate/members*.c.  */
 #ifndef WY_GATE_MEMBERS_STATE_H
 #define WY_GATE_MEMBERS_STATE_H
 
@@ -11,8 +11,9 @@
 {
   WY_MEMBERS_NAME_SIZE_BYTES = 128,
   WY_MEMBERS_SUCCESSORS_MAX = 16,
-  /* Successors to monitor while none of them is late.  */
-  WY_MEMBERS_MONITORED = 4
+  /* Successors to monitor while none of them is late; each late one adds
+     more.  */
+  WY_MEMBERS_MONITORED_MIN = 4
 };
 
 /* An entry as described by its row in the directory.  */
@@ -20,19 +21,19 @@
 {
   char node[WY_MEMBERS_NAME_SIZE_BYTES];
   char holder[WY_MEMBERS_NAME_SIZE_BYTES];
-  char part[WY_MEMBERS_PARTITION_SIZE_BYTES]; /* of its row */
+  char partition[WY_MEMBERS_PARTITION_SIZE_BYTES]; /* of its row */
   int64_t row_version;
   uint64_t position; /* on the ring */
   struct sockaddr_in address;
   bool has_address;
   double cpu_share;
-  bool draining; /* takes no new jobs */
-  bool relayed;  /* reaches the store through others alone */
-  bool leaving;  /* its jobs are free */
+  bool draining; /* accepts no new jobs */
+  bool relayed;  /* reaches the store only through other entries */
+  bool leaving;  /* its jobs may be taken over */
   bool failed;
   int64_t failed_since_ms; /* local time at which the mark was read */
-  int64_t epoch_ms;        /* its time of day at zero of the store's clock; 0:
-                              not told */
+  int64_t epoch_ms;        /* wall-clock time, by its clock, at zero of the
+                              store's clock; 0: not reported */
 };
 
 /* An entry that this one may monitor.  */
@@ -40,19 +41,21 @@
 {
   char node[WY_MEMBERS_NAME_SIZE_BYTES];
   uint64_t position;
-  bool marking; /* a write of the mark is pending */
+  bool mark_pending; /* a write that marks it as failed is in progress */
 };
 
 struct wy_members
 {
   struct wy_members_options o;
   struct wy_watch *watch;
-  uv_timer_t change; /* runs on_changed */
-  uv_timer_t beat;
-  uv_timer_t poll;
+  uv_timer_t update_timer; /* runs on_update */
+  uv_timer_t heartbeat_timer;
+  uv_timer_t poll_timer;
   uint64_t position;   /* of this entry */
   GHashTable *by_node; /* struct member */
-  GHashTable *unseen;  /* holder -> time at which it was first asked for */
+  /* Holders without a row, int64_t *: the time at which each was first looked
+     up.  */
+  GHashTable *unknown_holders;
   bool ring_is_stale;
   struct successor successors[WY_MEMBERS_SUCCESSORS_MAX]; /* nearest first */
   struct wy_liveness liveness[WY_MEMBERS_SUCCESSORS_MAX]; /* likewise */
@@ -61,14 +64,14 @@
   uint32_t pending_reads; /* of heartbeats */
   int64_t last_read_ms;   /* time of the last successful one; 0: none */
   uint32_t polls;
-  uint64_t beats;
-  bool writing_beat;
-  GHashTable *busy;            /* double * by name, of this entry */
-  struct wy_watch *load_watch; /* on all heartbeats, or NULL */
+  uint64_t heartbeats; /* written so far */
+  bool writing_heartbeat;
+  GHashTable *busy_slots;      /* double * by "service/zone", of this entry */
+  struct wy_watch *load_watch; /* on all heartbeats; NULL: not watched */
   GHashTable *load_by_key;     /* struct load; NULL without load_watch */
-  int64_t epoch_ms;            /* median of the entries' */
+  int64_t epoch_ms;            /* median of the entries'; 0: not known */
   int64_t published_epoch_ms;  /* in the row of this entry; 0: none */
-  int64_t usage_complete;      /* of this entry; -1: it does not count */
+  int64_t usage_complete;      /* newest window stored; -1: not counted here */
   int64_t own_version;         /* of the row of this entry; 0: no row */
   char *stored_row;            /* text of that row; NULL: unknown */
   char *pending_row;           /* text being written; NULL: none */
@@ -78,7 +81,7 @@
 };
 
 bool wy_member_is_alive (const struct member *e);
-void wy_members_learn_epoch (struct wy_members *m);
+void wy_members_update_epoch (struct wy_members *m);
 void wy_members_write_row (struct wy_members *m);
 struct member **wy_members_ring (const struct wy_members *m, size_t *n);
 
--- a/src/gate/proxy.c
+++ b/src/gate/proxy.c
@@ -1,11 +1,11 @@
-/* Passes a caller's request on to a replica and its answer back.
-
-   An idempotent request that gets no answer in good time is sent to a second
-   replica while the first still works on it, and the first whole answer
-   wins; that keeps one slow or silent replica from costing callers more than
-   about half of the latency they are promised.  A non-idempotent one goes
-   elsewhere only if the replica says, or the lack of a connection proves,
-   that it has not run.  */
+/* Proxy: forwards a caller's request to a replica and the response back.
+
+   An idempotent request is hedged: if the response is late, the request is
+   sent to a second replica while the first still runs it, and the first
+   complete response is used.  So a slow or unresponsive replica costs callers
+   at most about half of the route's target latency.  A non-idempotent request
+   is sent to another replica only if the first states, or the lack of a
+   connection proves, that it has not run.  */
 #include "gate/proxy_state.h"
 
 #include <string.h>
@@ -16,121 +16,122 @@
 
 enum
 {
-  /* Sends that replicas turned away unrun do not count as attempts; this many
-     bound them.  */
+  /* Requests that replicas reject without running them do not count as
+     attempts.  This limits the total.  */
   SENDS_MAX = 8,
-  /* Without a promised latency a second replica is asked after this share of
-     the time limit.  */
+  /* On routes without a target latency the hedge is sent after the timeout
+     divided by this.  */
   HEDGE_DIVISOR = 4,
   DEFAULT_TIMEOUT_MS = 30000,
-  /* The answer leaves this much before the caller's own limit, so that it
-     arrives.  */
-  REPLY_MARGIN_MS = 10,
-  /* All targets turned it away, or have just failed: they are asked again
-     after this time, for about as long as one of them takes to come back from
-     a refusal; a stream that has begun goes on trying to its time limit.  */
-  ROUND_MS = 40,
-  ROUNDS_MAX = 6,
-  /* A stream that pauses for so long has lost its replica.  */
-  STREAM_SILENCE_MS = 2000,
-  /* A stream whose caller has fallen this far behind is broken off: what it
-     does not read lies in this process's memory.  */
+  /* The response is sent this long before the caller's deadline, so that it
+     arrives in time.  */
+  RESPONSE_MARGIN_MS = 10,
+  /* When all targets have rejected the request or have just failed, it is
+     retried at this interval, for about as long as a target is avoided after a
+     rejection.  A stream that has begun is retried until its deadline.  */
+  CAPACITY_RETRY_MS = 40,
+  CAPACITY_RETRIES_MAX = 6,
+  /* If a stream pauses for this long, its replica counts as failed.  */
+  STREAM_IDLE_TIMEOUT_MS = 2000,
+  /* A stream whose caller reads too slowly is aborted at this size: unsent
+     data is buffered in memory.  */
   UNSENT_LIMIT_BYTES = 4 << 20,
-  /* A whole answer is kept until its last byte has come; a longer one is
-     taken for spoilt.  */
-  ANSWER_LIMIT_BYTES = 16 << 20
+  /* A response that isn't streamed is buffered until it is complete; a longer
+     one is treated as invalid.  */
+  RESPONSE_LIMIT_BYTES = 16 << 20
 };
 
-static void launch (struct wy_proxied *p);
+static void start_attempt (struct wy_proxy_request *p);
 static void on_timer (uv_timer_t *timer);
 
 static bool
-is_repeatable (const struct wy_proxied *p)
+is_repeatable (const struct wy_proxy_request *p)
 {
   return p->kind == WY_ROUTE_IDEMPOTENT
          || (p->kind == WY_ROUTE_STREAM && p->resumable);
 }
 
 static bool
-any_running (const struct wy_proxied *p)
+has_running_attempt (const struct wy_proxy_request *p)
 {
-  for (size_t i = 0; i < WY_PROXY_TRIES_MAX; i++)
-    if (p->tries[i].target)
+  for (size_t i = 0; i < WY_PROXY_ATTEMPTS_MAX; i++)
+    if (p->running[i].target)
       return true;
   return false;
 }
 
-/* A try has ended without an answer to pass on: go on or give up.  */
+/* An attempt has ended without a usable response: start another one or fail
+   the request.  */
 static void
-go_on (struct wy_proxied *p, const char *reason)
+continue_or_fail (struct wy_proxy_request *p, const char *reason)
 {
   bool repeatable = is_repeatable (p) || !p->may_have_run;
 
-  if (any_running (p))
+  if (has_running_attempt (p))
     {
       if (repeatable && p->attempts_left)
-        launch (p);
+        start_attempt (p);
       return;
     }
   if (!repeatable || p->attempts_left == 0
       || (p->sends >= SENDS_MAX && !p->streaming))
     {
-      wy_proxy_give_up (p, false, reason);
+      wy_proxy_fail (p, false, reason);
       return;
     }
-  launch (p);
+  start_attempt (p);
 }
 
 static void
-try_failed (struct wy_try *t, enum wy_target_outcome outcome, bool ran,
-            const char *reason)
+attempt_failed (struct wy_proxy_attempt *t, enum wy_target_outcome outcome,
+                bool may_have_run, const char *reason)
 {
-  struct wy_proxied *p = t->p;
+  struct wy_proxy_request *p = t->p;
 
-  wy_proxy_log_try (t, reason);
-  if (ran)
+  wy_proxy_log_failed_attempt (t, reason);
+  if (may_have_run)
     p->may_have_run = true;
   else
     p->attempts_left++;
-  wy_proxy_end_try (t, outcome);
-  if (!ran && !p->may_have_run && !any_running (p))
-    wy_proxy_usage_settle (p, false);
+  wy_proxy_end_attempt (t, outcome);
+  if (!may_have_run && !p->may_have_run && !has_running_attempt (p))
+    wy_proxy_usage_end (p, false);
   wy_sse_reset (&p->events);
   (*p->env->count.retries)++;
-  go_on (p, reason);
+  continue_or_fail (p, reason);
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_response *a)
+on_head (void *ctx, const struct wy_h1_response *r)
 {
-  struct wy_try *t = ctx;
-  struct wy_proxied *p = t->p;
+  struct wy_proxy_attempt *t = ctx;
+  struct wy_proxy_request *p = t->p;
 
-  t->heard_ms = wy_proxy_now_ms (p);
+  t->last_received_ms = wy_proxy_now_ms (p);
   wy_target_response_started (t->target);
-  wy_response_parse_head (a->status, a->head, &t->info);
+  wy_response_parse_head (r->status, r->head, &t->info);
   if (t->info.has_load)
     wy_target_record_load (t->target, t->info.running + t->info.waiting,
-                           t->heard_ms);
-  /* An answer to another request, left over on the connection.  */
+                           t->last_received_ms);
+  /* A response to another request, left over on the connection.  */
   if (t->info.id && strcmp (t->info.id, p->id) != 0)
-    t->bad = true;
-  if (a->status < 300 && (t->info.encoded || !t->info.stamp))
-    t->bad = true;
+    t->invalid = true;
+  if (r->status < 300 && (t->info.encoded || !t->info.stamp))
+    t->invalid = true;
   t->not_run = t->info.not_run;
-  t->answer = wy_response_new (a->status, a->head);
-  if (p->kind == WY_ROUTE_STREAM && a->status == 200 && !t->bad
+  t->response = wy_response_new (r->status, r->head);
+  if (p->kind == WY_ROUTE_STREAM && r->status == 200 && !t->invalid
       && !p->streaming)
     {
       p->streaming = true;
-      wy_response_begin (t->answer, p->request);
+      wy_response_begin (t->response, p->request);
     }
 }
 
 static void
 on_event (void *ctx, const struct wy_sse_event *ev)
 {
-  struct wy_proxied *p = ctx;
+  struct wy_proxy_request *p = ctx;
 
   if (ev->id >= 0 && ev->id <= p->after_event)
     return;
@@ -142,73 +143,75 @@
 static void
 on_data (void *ctx, const char *bytes, size_t n)
 {
-  struct wy_try *t = ctx;
-  struct wy_proxied *p = t->p;
+  struct wy_proxy_attempt *t = ctx;
+  struct wy_proxy_request *p = t->p;
 
-  t->heard_ms = wy_proxy_now_ms (p);
-  if (t->bad)
+  t->last_received_ms = wy_proxy_now_ms (p);
+  if (t->invalid)
     return;
-  if (!p->streaming || t->answer->status != 200)
+  if (!p->streaming || t->response->status != 200)
     {
-      if (t->answer->body->len + n > ANSWER_LIMIT_BYTES)
-        t->bad = true;
+      if (t->response->body->len + n > RESPONSE_LIMIT_BYTES)
+        t->invalid = true;
       else
-        g_string_append_len (t->answer->body, bytes, (gssize)n);
+        g_string_append_len (t->response->body, bytes, (gssize)n);
       return;
     }
   wy_sse_feed (&p->events, bytes, n, on_event, p);
   if (wy_h1_unsent_bytes (p->request) > UNSENT_LIMIT_BYTES)
-    wy_proxy_give_up (p, false, "slow_caller");
+    wy_proxy_fail (p, false, "slow_caller");
 }
 
 static void
 on_end (void *ctx, int err)
 {
-  struct wy_try *t = ctx;
-  struct wy_proxied *p = t->p;
-  int status = t->answer ? t->answer->status : 0;
+  struct wy_proxy_attempt *t = ctx;
+  struct wy_proxy_request *p = t->p;
+  int status = t->response ? t->response->status : 0;
   struct wy_attempt a = { .sent = wy_h1_call_sent (t->call),
                           .complete = !err,
-                          .mismatched = t->bad,
+                          .mismatched = t->invalid,
                           .not_run = t->not_run,
                           .status = status };
-  bool ran = wy_attempt_may_have_run (&a);
+  bool may_have_run = wy_attempt_may_have_run (&a);
 
   t->call = NULL;
   if (!a.sent)
-    try_failed (t, WY_TARGET_FAILED, ran, "no_connection");
+    attempt_failed (t, WY_TARGET_FAILED, may_have_run, "no_connection");
   else if (err)
     {
-      if (!t->answer)
+      if (!t->response)
         wy_crash_tracker_run_interrupted (
             &p->env->crashes, wy_proxy_fingerprint (p), t->target->info.id,
             wy_proxy_now_ms (p));
-      try_failed (t, WY_TARGET_FAILED, ran,
-                  err == WY_H1_EPARTIAL ? "cut_short" : "broken_off");
+      attempt_failed (t, WY_TARGET_FAILED, may_have_run,
+                      err == WY_H1_EPARTIAL ? "cut_short" : "broken_off");
     }
-  else if (t->bad)
-    try_failed (t, WY_TARGET_FAILED, ran, "spoilt_answer");
+  else if (t->invalid)
+    attempt_failed (t, WY_TARGET_FAILED, may_have_run, "spoilt_answer");
   else if (t->not_run)
-    try_failed (t, status == 421 ? WY_TARGET_MISDIRECTED : WY_TARGET_REJECTED,
-                ran, status == 421 ? "not_there" : "full");
+    attempt_failed (t,
+                    status == 421 ? WY_TARGET_MISDIRECTED : WY_TARGET_REJECTED,
+                    may_have_run, status == 421 ? "not_there" : "full");
   else if (wy_attempt_is_unclear_refusal (&a) && !p->streaming)
-    try_failed (t, WY_TARGET_ANSWERED, ran, "unclear_refusal");
+    attempt_failed (t, WY_TARGET_ANSWERED, may_have_run, "unclear_refusal");
   else if (p->streaming && wy_sse_has_partial (&p->events))
-    try_failed (t, WY_TARGET_FAILED, true, "cut_short");
+    attempt_failed (t, WY_TARGET_FAILED, true, "cut_short");
   else if (status >= 500 && !p->streaming && is_repeatable (p)
            && p->attempts_left)
     {
-      wy_response_free (p->spare);
-      p->spare = t->answer;
-      t->answer = NULL;
-      try_failed (t, WY_TARGET_ANSWERED, true, "replica_failed");
+      wy_response_free (p->error_response);
+      p->error_response = t->response;
+      t->response = NULL;
+      attempt_failed (t, WY_TARGET_ANSWERED, true, "replica_failed");
     }
-  else if (t->answer)
+  else if (t->response)
     wy_proxy_succeed (p, t);
 }
 
 static void
-send_to (struct wy_proxied *p, struct wy_target *g, struct wy_try *t)
+send_attempt (struct wy_proxy_request *p, struct wy_target *g,
+              struct wy_proxy_attempt *t)
 {
   GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
   int64_t now_ms = wy_proxy_now_ms (p);
@@ -230,7 +233,7 @@
   t->p = p;
   t->target = g;
   t->started_ms = now_ms;
-  t->heard_ms = now_ms;
+  t->last_received_ms = now_ms;
   wy_request_forward_fields (wy_h1_head (p->request), &f, fields);
   o.fields = (const struct wy_h1_header *)fields->data;
   o.n_fields = fields->len;
@@ -241,137 +244,140 @@
   wy_target_request_started (g);
   p->sends++;
   p->attempts_left--;
-  wy_proxy_usage_sent (p);
+  wy_proxy_usage_begin (p);
   t->call = wy_h1_call_start (p->env->http, &o);
   g_array_free (fields, TRUE);
 }
 
 static struct wy_target *
-pick (struct wy_proxied *p, bool again)
+pick_target (struct wy_proxy_request *p, bool allow_tried)
 {
   struct wy_target_criteria q
       = { .service = p->service,
           .availability_zone = p->env->availability_zone,
           .in_flight_limit = wy_gate_in_flight_limit (p->env, p->service),
           .tried = (const struct wy_target *const *)p->tried->pdata,
-          .n_tried = again ? 0 : p->tried->len };
+          .n_tried = allow_tried ? 0 : p->tried->len };
 
   return wy_targets_pick (p->env->targets, &q, wy_proxy_now_ms (p));
 }
 
-static struct wy_try *
-free_try (struct wy_proxied *p)
+static struct wy_proxy_attempt *
+unused_attempt (struct wy_proxy_request *p)
 {
-  for (size_t i = 0; i < WY_PROXY_TRIES_MAX; i++)
-    if (!p->tries[i].target)
-      return &p->tries[i];
+  for (size_t i = 0; i < WY_PROXY_ATTEMPTS_MAX; i++)
+    if (!p->running[i].target)
+      return &p->running[i];
   return NULL;
 }
 
 static void
-arm (struct wy_proxied *p)
+arm_timer (struct wy_proxy_request *p)
 {
   int64_t now_ms = wy_proxy_now_ms (p);
-  int64_t due_ms = p->deadline_ms - REPLY_MARGIN_MS;
+  int64_t due_ms = p->deadline_ms - RESPONSE_MARGIN_MS;
 
   if (p->hedge_due_ms && p->hedge_due_ms < due_ms)
     due_ms = p->hedge_due_ms;
-  if (p->round_due_ms && p->round_due_ms < due_ms)
-    due_ms = p->round_due_ms;
-  if (p->streaming && due_ms > now_ms + STREAM_SILENCE_MS)
-    due_ms = now_ms + STREAM_SILENCE_MS;
+  if (p->retry_due_ms && p->retry_due_ms < due_ms)
+    due_ms = p->retry_due_ms;
+  if (p->streaming && due_ms > now_ms + STREAM_IDLE_TIMEOUT_MS)
+    due_ms = now_ms + STREAM_IDLE_TIMEOUT_MS;
   uv_update_time (p->env->loop);
   uv_timer_start (&p->timer, on_timer,
                   due_ms > now_ms ? (uint64_t)(due_ms - now_ms) : 0, 0);
 }
 
-/* Send the request to one more target.  Where all have been tried, or are
-   full, another round follows shortly; where there is none, the caller hears
-   at once.  */
+/* Send the request to one more target, one that has not been tried if
+   possible.  If no target can accept it now, retry shortly; if the service has
+   no target, fail at once.  */
 static void
-launch (struct wy_proxied *p)
+start_attempt (struct wy_proxy_request *p)
 {
-  struct wy_try *t = free_try (p);
-  struct wy_target *g = pick (p, false);
+  struct wy_proxy_attempt *t = unused_attempt (p);
+  struct wy_target *g = pick_target (p, false);
 
-  p->round_due_ms = 0;
+  p->retry_due_ms = 0;
   if (!t)
     return;
-  if (!g && !any_running (p) && (is_repeatable (p) || !p->may_have_run))
-    g = pick (p, true);
+  if (!g && !has_running_attempt (p)
+      && (is_repeatable (p) || !p->may_have_run))
+    g = pick_target (p, true);
   if (g)
     {
-      send_to (p, g, t);
+      send_attempt (p, g, t);
       p->hedge_due_ms = is_repeatable (p) && p->attempts_left && !p->streaming
-                            ? wy_proxy_now_ms (p) + p->hedge_ms
+                            ? wy_proxy_now_ms (p) + p->hedge_delay_ms
                             : 0;
-      arm (p);
+      arm_timer (p);
       return;
     }
-  if (any_running (p))
+  if (has_running_attempt (p))
     return;
   if (wy_targets_count_ready (p->env->targets, p->service) == 0)
     {
-      wy_proxy_give_up (p, false, "no_target");
+      wy_proxy_fail (p, false, "no_target");
       return;
     }
-  if (++p->rounds > ROUNDS_MAX && !p->streaming)
+  if (++p->capacity_retries > CAPACITY_RETRIES_MAX && !p->streaming)
     {
-      wy_proxy_give_up (p, false, "full");
+      wy_proxy_fail (p, false, "full");
       return;
     }
-  p->round_due_ms = wy_proxy_now_ms (p) + ROUND_MS;
-  arm (p);
+  p->retry_due_ms = wy_proxy_now_ms (p) + CAPACITY_RETRY_MS;
+  arm_timer (p);
 }
 
 static void
-check_stream (struct wy_proxied *p)
+check_stream (struct wy_proxy_request *p)
 {
-  for (size_t i = 0; i < WY_PROXY_TRIES_MAX; i++)
+  for (size_t i = 0; i < WY_PROXY_ATTEMPTS_MAX; i++)
     {
-      struct wy_try *t = &p->tries[i];
+      struct wy_proxy_attempt *t = &p->running[i];
 
-      if (t->target && wy_proxy_now_ms (p) - t->heard_ms >= STREAM_SILENCE_MS)
+      if (t->target
+          && wy_proxy_now_ms (p) - t->last_received_ms
+                 >= STREAM_IDLE_TIMEOUT_MS)
         {
-          try_failed (t, WY_TARGET_TIMED_OUT, true, "silent");
+          attempt_failed (t, WY_TARGET_TIMED_OUT, true, "silent");
           return;
         }
     }
-  arm (p);
+  arm_timer (p);
 }
 
 static void
 on_timer (uv_timer_t *timer)
 {
-  struct wy_proxied *p = timer->data;
+  struct wy_proxy_request *p = timer->data;
   int64_t now_ms = wy_proxy_now_ms (p);
 
-  if (now_ms >= p->deadline_ms - REPLY_MARGIN_MS)
+  if (now_ms >= p->deadline_ms - RESPONSE_MARGIN_MS)
     {
-      if (any_running (p))
+      if (has_running_attempt (p))
         p->may_have_run = true;
-      wy_proxy_give_up (p, true, "time_limit");
+      wy_proxy_fail (p, true, "time_limit");
     }
-  else if (p->round_due_ms && now_ms >= p->round_due_ms)
-    launch (p);
+  else if (p->retry_due_ms && now_ms >= p->retry_due_ms)
+    start_attempt (p);
   else if (p->hedge_due_ms && now_ms >= p->hedge_due_ms)
     {
       p->hedge_due_ms = 0;
       (*p->env->count.hedges)++;
       p->may_have_run = true;
-      launch (p);
+      start_attempt (p);
       if (!p->ended)
-        arm (p);
+        arm_timer (p);
     }
   else if (p->streaming)
     check_stream (p);
   else
-    arm (p);
+    arm_timer (p);
 }
 
 static void
-set_times (struct wy_proxied *p, const struct wy_route *route,
-           const struct wy_request_info *info, int64_t received_ms)
+set_deadlines (struct wy_proxy_request *p, const struct wy_route *route,
+               const struct wy_request_info *info, int64_t received_ms)
 {
   int64_t limit_ms = route->timeout_ms ? route->timeout_ms : 0;
 
@@ -382,14 +388,16 @@
   p->started_ms = received_ms;
   p->deadline_ms
       = received_ms + (p->has_deadline ? limit_ms : DEFAULT_TIMEOUT_MS);
-  p->hedge_ms = route->target_latency_ms
-                    ? route->target_latency_ms / 2
-                    : (uint32_t)(p->deadline_ms - received_ms) / HEDGE_DIVISOR;
+  p->hedge_delay_ms
+      = route->target_latency_ms
+            ? route->target_latency_ms / 2
+            : (uint32_t)(p->deadline_ms - received_ms) / HEDGE_DIVISOR;
 }
 
-/* Whether targets crashed under requests like P, here or at other entries. */
+/* Whether P is blocked because targets crashed while running equal requests,
+   here or at other entries.  */
 static bool
-is_held_back (struct wy_proxied *p)
+is_blocked (struct wy_proxy_request *p)
 {
   struct wy_crash_tracker *w = &p->env->crashes;
 
@@ -401,12 +409,13 @@
   return true;
 }
 
-/* Pass R on as ROUTE says, for ORG, or NULL; the answer follows.  */
+/* Forward R as configured by ROUTE, for ORG, which may be NULL.  The response
+   follows asynchronously.  */
 void
 wy_proxy_start (struct wy_gate_env *env, struct wy_h1_request *r,
                 const struct wy_route *route, const struct wy_org *org)
 {
-  struct wy_proxied *p = g_new0 (struct wy_proxied, 1);
+  struct wy_proxy_request *p = g_new0 (struct wy_proxy_request, 1);
   struct wy_request_info info;
 
   wy_request_parse_head (wy_h1_head (r), &info);
@@ -426,12 +435,12 @@
   p->after_event = info.after_event;
   p->tried = g_ptr_array_new ();
   wy_sse_init (&p->events);
-  set_times (p, route, &info, wy_h1_received_ms (r));
+  set_deadlines (p, route, &info, wy_h1_received_ms (r));
   uv_timer_init (env->loop, &p->timer);
   p->timer.data = p;
   wy_h1_on_hangup (r, wy_proxy_on_hangup, p);
-  if (is_held_back (p))
-    wy_proxy_give_up (p, false, WY_PROXY_CRASHES_TARGETS);
+  if (is_blocked (p))
+    wy_proxy_fail (p, false, WY_PROXY_REASON_CRASHES_TARGETS);
   else
-    launch (p);
+    start_attempt (p);
 }
--- a/src/gate/proxy.h
+++ b/src/gate/proxy.h
@@ -1,4 +1,4 @@
-/* Passes a caller's request on to a replica and its answer back.  */
+/* Proxy: forwards a caller's request to a replica and the response back.  */
 #ifndef WY_GATE_PROXY_H
 #define WY_GATE_PROXY_H
 
--- a/src/gate/proxy_end.c
+++ b/src/gate/proxy_end.c
@@ -1,5 +1,4 @@
-/* How a request that is passed on ends: answered, given up, or left by its
-   caller.  */
+/* End of a forwarded request: success, failure, or hang-up of the caller.  */
 #include "gate/proxy_state.h"
 
 #include <string.h>
@@ -10,32 +9,32 @@
 
 enum
 {
-  /* When a refused caller may come back: full targets have a slot again after
-     some requests, targets that are gone take longer.  */
+  /* When a rejected caller may retry: targets at capacity have a free slot
+     again after a few requests, targets that are gone take longer.  */
   RETRY_AFTER_FULL_MS = 200,
-  RETRY_AFTER_NONE_MS = 500,
-  /* No use before whoever knows the request has looked at it.  */
+  RETRY_AFTER_NO_TARGET_MS = 500,
+  /* A retry is of no use before an operator has looked at the request.  */
   RETRY_AFTER_CRASHES_MS = 30000
 };
 
-/* The organisation that P runs for, "" for none.  */
+/* The organisation of P's caller, "" for none.  */
 const char *
-wy_proxy_organisation (const struct wy_proxied *p)
+wy_proxy_organisation (const struct wy_proxy_request *p)
 {
   return p->organisation ? p->organisation : "";
 }
 
 /* Monotonic time in ms.  */
 int64_t
-wy_proxy_now_ms (const struct wy_proxied *p)
+wy_proxy_now_ms (const struct wy_proxy_request *p)
 {
   return wy_clock_mono_ms (p->env->clock);
 }
 
-/* What tells the request P from others when it is sent again: its target and
-   its body.  */
+/* Fingerprint of P, a hash of its request target and body, by which the same
+   request is recognized when it is sent again; never 0.  */
 uint64_t
-wy_proxy_fingerprint (struct wy_proxied *p)
+wy_proxy_fingerprint (struct wy_proxy_request *p)
 {
   const char *target = wy_h1_target (p->request);
   size_t n;
@@ -49,9 +48,10 @@
   return p->fingerprint;
 }
 
-/* End T with OUTCOME for its target; nothing if it is free.  */
+/* End T with OUTCOME for its target.  Does nothing if T isn't in use.  */
 void
-wy_proxy_end_try (struct wy_try *t, enum wy_target_outcome outcome)
+wy_proxy_end_attempt (struct wy_proxy_attempt *t,
+                      enum wy_target_outcome outcome)
 {
   struct wy_target *g = t->target;
 
@@ -61,8 +61,8 @@
     wy_h1_call_cancel (t->call);
   t->call = NULL;
   t->target = NULL;
-  wy_response_free (t->answer);
-  t->answer = NULL;
+  wy_response_free (t->response);
+  t->response = NULL;
   wy_target_request_ended (t->p->env->targets, g, outcome,
                            wy_proxy_now_ms (t->p));
 }
@@ -73,34 +73,35 @@
   g_free (h->data);
 }
 
-/* What a try that is stopped says of its target: one that has not begun to
-   answer in the time after which a second one is asked is left alone for a
-   while, or every caller would wait that long for it in turn.  */
+/* Outcome for the target of T, which is cancelled.  A target that has not
+   begun to respond within the hedge delay is avoided for a while; otherwise
+   each caller in turn would wait that long for it.  */
 static enum wy_target_outcome
-outcome_of (const struct wy_try *t)
+outcome_of (const struct wy_proxy_attempt *t)
 {
-  const struct wy_proxied *p = t->p;
+  const struct wy_proxy_request *p = t->p;
 
-  if (!t->target || t->answer
-      || wy_proxy_now_ms (p) - t->started_ms < (int64_t)p->hedge_ms)
+  if (!t->target || t->response
+      || wy_proxy_now_ms (p) - t->started_ms < (int64_t)p->hedge_delay_ms)
     return WY_TARGET_CANCELLED;
   return WY_TARGET_STALLED;
 }
 
-/* Free P; its answer is out.  */
+/* Cancel the attempts of P that are still running and free P.  Its response
+   has been sent.  */
 void
-wy_proxy_finish (struct wy_proxied *p)
+wy_proxy_free (struct wy_proxy_request *p)
 {
   p->ended = true;
-  for (size_t i = 0; i < WY_PROXY_TRIES_MAX; i++)
-    if (p->tries[i].target)
-      wy_proxy_end_try (&p->tries[i], outcome_of (&p->tries[i]));
+  for (size_t i = 0; i < WY_PROXY_ATTEMPTS_MAX; i++)
+    if (p->running[i].target)
+      wy_proxy_end_attempt (&p->running[i], outcome_of (&p->running[i]));
   for (guint i = 0; i < p->tried->len; i++)
     wy_target_unref (p->env->targets, g_ptr_array_index (p->tried, i));
-  wy_proxy_usage_settle (p, true);
+  wy_proxy_usage_end (p, true);
   g_ptr_array_free (p->tried, TRUE);
   wy_sse_clear (&p->events);
-  wy_response_free (p->spare);
+  wy_response_free (p->error_response);
   g_free (p->id);
   g_free (p->route);
   g_free (p->service);
@@ -108,16 +109,17 @@
   uv_close ((uv_handle_t *)&p->timer, on_timer_closed);
 }
 
-/* Count the end of P in the metrics.  */
+/* Record the end of P in the metrics.  */
 static void
-count_end (const struct wy_proxied *p, const char *outcome, const char *reason)
+count_end (const struct wy_proxy_request *p, const char *outcome,
+           const char *reason)
 {
   char *route = wy_metrics_label ("route", p->route);
   char *service = wy_metrics_label ("service", p->service);
-  char *end = wy_metrics_label ("outcome", outcome);
-  char *why = wy_metrics_label ("reason", reason);
-  char *ended = g_strjoin (",", route, end, why, NULL);
-  char *latency = g_strjoin (",", route, service, end, NULL);
+  char *outcome_label = wy_metrics_label ("outcome", outcome);
+  char *reason_label = wy_metrics_label ("reason", reason);
+  char *ended = g_strjoin (",", route, outcome_label, reason_label, NULL);
+  char *latency = g_strjoin (",", route, service, outcome_label, NULL);
   int64_t ms = wy_proxy_now_ms (p) - p->started_ms;
 
   ++*wy_metrics_family_counter (p->env->count.requests_ended, ended);
@@ -126,14 +128,14 @@
       (uint64_t)ms * WY_US_PER_MS);
   g_free (latency);
   g_free (ended);
-  g_free (why);
-  g_free (end);
+  g_free (reason_label);
+  g_free (outcome_label);
   g_free (service);
   g_free (route);
 }
 
 static void
-log_end (const struct wy_proxied *p, const char *outcome, int status,
+log_end (const struct wy_proxy_request *p, const char *outcome, int status,
          const char *reason)
 {
   count_end (p, outcome, reason);
@@ -150,18 +152,19 @@
 void
 wy_proxy_on_hangup (void *ctx)
 {
-  struct wy_proxied *p = ctx;
+  struct wy_proxy_request *p = ctx;
 
   p->request = NULL;
   (*p->env->count.hung_up)++;
   log_end (p, "hung_up", 0, "caller");
-  wy_proxy_finish (p);
+  wy_proxy_free (p);
 }
 
-/* Log that T has ended without an answer, and what was believed of its target.
- */
+/* Log that T has ended without a usable response, and the known state of its
+   target.  */
 void
-wy_proxy_log_try (const struct wy_try *t, const char *outcome)
+wy_proxy_log_failed_attempt (const struct wy_proxy_attempt *t,
+                             const char *outcome)
 {
   const struct wy_target *g = t->target;
   int64_t now_ms = wy_proxy_now_ms (t->p);
@@ -180,35 +183,35 @@
 {
   if (!strcmp (reason, "full"))
     return RETRY_AFTER_FULL_MS;
-  if (!strcmp (reason, WY_PROXY_CRASHES_TARGETS))
+  if (!strcmp (reason, WY_PROXY_REASON_CRASHES_TARGETS))
     return RETRY_AFTER_CRASHES_MS;
-  return RETRY_AFTER_NONE_MS;
+  return RETRY_AFTER_NO_TARGET_MS;
 }
 
-/* Give the request up.  503 promises that it has not run; where it may have,
-   502 and 504 promise nothing.  */
+/* Fail the request for REASON; TIMED_OUT if its deadline has passed.  Status
+   503 guarantees that it has not run; 502 and 504 are used if it may have.  */
 void
-wy_proxy_give_up (struct wy_proxied *p, bool late, const char *reason)
+wy_proxy_fail (struct wy_proxy_request *p, bool timed_out, const char *reason)
 {
   struct wy_h1_request *r = p->request;
-  int status = wy_attempt_failure_status (p->may_have_run, late);
+  int status = wy_attempt_failure_status (p->may_have_run, timed_out);
   uint32_t after_ms = retry_after_ms (reason);
 
   p->request = NULL;
-  for (size_t i = 0; i < WY_PROXY_TRIES_MAX; i++)
-    if (p->tries[i].target)
-      wy_proxy_log_try (&p->tries[i], "unanswered");
+  for (size_t i = 0; i < WY_PROXY_ATTEMPTS_MAX; i++)
+    if (p->running[i].target)
+      wy_proxy_log_failed_attempt (&p->running[i], "unanswered");
   if (p->streaming)
     {
       (*p->env->count.failed)++;
       log_end (p, "broken_off", 0, reason);
       wy_h1_abort (r);
     }
-  else if (p->spare)
+  else if (p->error_response)
     {
       (*p->env->count.answered)++;
-      log_end (p, "answered", p->spare->status, "replica_failed");
-      wy_response_send (p->spare, r);
+      log_end (p, "answered", p->error_response->status, "replica_failed");
+      wy_response_send (p->error_response, r);
     }
   else
     {
@@ -216,21 +219,21 @@
       log_end (p, status == 503 ? "refused" : "failed", status, reason);
       wy_respond_status (r, status, reason, status == 503 ? after_ms : 0);
     }
-  wy_proxy_finish (p);
+  wy_proxy_free (p);
 }
 
-/* Pass the answer of T on.  */
+/* Pass the response of T on to the caller.  */
 void
-wy_proxy_succeed (struct wy_proxied *p, struct wy_try *t)
+wy_proxy_succeed (struct wy_proxy_request *p, struct wy_proxy_attempt *t)
 {
   struct wy_h1_request *r = p->request;
-  struct wy_response *a = t->answer;
+  struct wy_response *response = t->response;
   int64_t now_ms = wy_proxy_now_ms (p);
 
   if (wy_crash_tracker_has_suspects (&p->env->crashes))
     wy_crash_tracker_clear (&p->env->crashes, wy_proxy_fingerprint (p));
   p->request = NULL;
-  t->answer = NULL;
+  t->response = NULL;
   (*p->env->count.answered)++;
   wy_hist_add (p->env->count.latency_us,
                (uint64_t)(now_ms - p->started_ms) * WY_US_PER_MS);
@@ -239,18 +242,19 @@
                "outcome=answered status=%d target=%s sends=%u ms=%lld "
                "target_ms=%lld",
                p->id, p->route, p->service, wy_proxy_organisation (p),
-               (long long)p->config_version, a->status, t->target->info.id,
-               p->sends, (long long)(now_ms - p->started_ms),
+               (long long)p->config_version, response->status,
+               t->target->info.id, p->sends,
+               (long long)(now_ms - p->started_ms),
                (long long)(now_ms - t->started_ms));
   count_end (p, "answered", "replica");
   if (p->streaming)
     wy_h1_end_response (r);
   else
-    wy_response_send (a, r);
-  wy_response_free (a);
+    wy_response_send (response, r);
+  wy_response_free (response);
   if (p->kind != WY_ROUTE_STREAM)
     wy_target_record_pace (t->target, WY_WORK_REQUEST,
                            (double)(now_ms - t->started_ms), now_ms);
-  wy_proxy_end_try (t, WY_TARGET_ANSWERED);
-  wy_proxy_finish (p);
+  wy_proxy_end_attempt (t, WY_TARGET_ANSWERED);
+  wy_proxy_free (p);
 }
--- a/src/gate/proxy_state.h
+++ b/src/gate/proxy_state.h
@@ -1,78 +1,82 @@
-/* Inside of the pass-through: a request under way and its tries.  */
+/* Internal state of the proxy: a request in progress and its attempts.  */
 #ifndef WY_GATE_PROXY_STATE_H
 #define WY_GATE_PROXY_STATE_H
 
+#include "gate/proxy.h"
 #include "gate/response.h"
 #include "gate/sse.h"
-#include "gate/proxy.h"
 #include "platform/request_wire.h"
 
-/* Why a request is refused under which targets crashed.  */
-#define WY_PROXY_CRASHES_TARGETS "crashes_targets"
+/* Reason for rejecting a request that is suspected of crashing targets.  */
+#define WY_PROXY_REASON_CRASHES_TARGETS "crashes_targets"
 
 enum
 {
-  WY_PROXY_TRIES_MAX = 2 /* at once */
+  WY_PROXY_ATTEMPTS_MAX = 2 /* at the same time: the first and its hedge */
 };
 
-struct wy_try
+struct wy_proxy_attempt
 {
-  struct wy_proxied *p;
-  struct wy_target *target; /* NULL: free */
+  struct wy_proxy_request *p;
+  struct wy_target *target; /* NULL: not in use */
   struct wy_h1_call *call;
-  struct wy_response *answer;
+  struct wy_response *response; /* NULL: its head has not arrived */
   struct wy_response_info info;
   int64_t started_ms;
-  int64_t heard_ms;
-  bool bad;
-  bool not_run;
+  int64_t last_received_ms;
+  bool invalid; /* the response must not be passed on */
+  bool not_run; /* the target states that it did not run the request */
 };
 
-struct wy_proxied
+struct wy_proxy_request
 {
   struct wy_gate_env *env;
   struct wy_h1_request *request;
   uv_timer_t timer;
   enum wy_route_kind kind;
   bool resumable;
-  bool streaming; /* the answer has begun */
+  bool streaming; /* the streamed response to the caller has begun */
   bool ended;
   char *id;
   char *route;
   char *service;
   bool has_orgs;
-  char *organisation;   /* that it runs for; NULL: none */
-  int64_t usage_window; /* that it is counted in; 0: not counted */
+  char *organisation;   /* of the caller; NULL: none */
+  int64_t usage_window; /* in which it is counted; 0: not counted */
   int64_t config_version;
   int64_t started_ms;
-  int64_t deadline_ms; /* the caller must have an answer */
-  bool has_deadline;
-  uint32_t hedge_ms;
+  int64_t deadline_ms; /* of the response */
+  bool has_deadline;   /* the caller or the route has set it */
+  uint32_t hedge_delay_ms;
   uint32_t attempts;
-  uint32_t attempts_left; /* runs */
-  uint32_t sends;
-  uint32_t rounds;
+  uint32_t attempts_left; /* an attempt that has not run isn't counted */
+  uint32_t sends;         /* all attempts so far */
+  uint32_t capacity_retries;
   uint64_t fingerprint; /* 0: not computed */
-  int64_t after_event;
+  int64_t after_event;  /* id of the caller's last event; -1: none */
   bool may_have_run;
-  int64_t hedge_due_ms;      /* 0: none */
-  int64_t round_due_ms;      /* 0: none */
-  struct wy_response *spare; /* a replica's failure, if nothing better comes */
-  struct wy_try tries[WY_PROXY_TRIES_MAX];
-  GPtrArray *tried; /* struct wy_target, held */
+  int64_t hedge_due_ms; /* 0: none */
+  int64_t retry_due_ms; /* 0: none */
+  /* A replica's error, passed on if no attempt succeeds.  */
+  struct wy_response *error_response;
+  struct wy_proxy_attempt running[WY_PROXY_ATTEMPTS_MAX];
+  GPtrArray *tried; /* struct wy_target, referenced */
   struct wy_sse_parser events;
 };
 
-uint64_t wy_proxy_fingerprint (struct wy_proxied *p);
-void wy_proxy_usage_sent (struct wy_proxied *p);
-void wy_proxy_usage_settle (struct wy_proxied *p, bool begun);
-const char *wy_proxy_organisation (const struct wy_proxied *p);
-int64_t wy_proxy_now_ms (const struct wy_proxied *p);
-void wy_proxy_end_try (struct wy_try *t, enum wy_target_outcome outcome);
-void wy_proxy_finish (struct wy_proxied *p);
+uint64_t wy_proxy_fingerprint (struct wy_proxy_request *p);
+void wy_proxy_usage_begin (struct wy_proxy_request *p);
+void wy_proxy_usage_end (struct wy_proxy_request *p, bool has_run);
+const char *wy_proxy_organisation (const struct wy_proxy_request *p);
+int64_t wy_proxy_now_ms (const struct wy_proxy_request *p);
+void wy_proxy_end_attempt (struct wy_proxy_attempt *t,
+                           enum wy_target_outcome outcome);
+void wy_proxy_free (struct wy_proxy_request *p);
 void wy_proxy_on_hangup (void *ctx);
-void wy_proxy_log_try (const struct wy_try *t, const char *outcome);
-void wy_proxy_give_up (struct wy_proxied *p, bool late, const char *reason);
-void wy_proxy_succeed (struct wy_proxied *p, struct wy_try *t);
+void wy_proxy_log_failed_attempt (const struct wy_proxy_attempt *t,
+                                  const char *outcome);
+void wy_proxy_fail (struct wy_proxy_request *p, bool timed_out,
+                    const char *reason);
+void wy_proxy_succeed (struct wy_proxy_request *p, struct wy_proxy_attempt *t);
 
 #endif
--- a/src/gate/replica.h
+++ b/src/gate/replica.h
@@ -1,5 +1,5 @@
-/* What is said of a replica: by itself in the list of replicas, and in its
-   own reports.  */
+/* A replica as described by its row in the list of replicas and by its own
+   reports, and orders to it.  */
 #ifndef WY_GATE_REPLICA_H
 #define WY_GATE_REPLICA_H
 
@@ -20,7 +20,7 @@
   int64_t version;
 };
 
-/* Its entry in the list.  */
+/* Its row in the list of replicas.  */
 struct wy_replica
 {
   char id[WY_REPLICA_NAME_SIZE_BYTES];
@@ -29,12 +29,12 @@
   struct sockaddr_in address;
   uint32_t slots;
   bool draining;
-  int64_t started_ms; /* wall time of its start; 0: not told */
+  int64_t started_ms; /* wall-clock time of its start; 0: not given */
   struct wy_model_version models[WY_REPLICA_MODELS_MAX];
   uint32_t n_models;
 };
 
-/* Its own report on the orders it has taken.  */
+/* Its report on the orders it has accepted.  */
 struct wy_replica_report
 {
   bool order_in_progress;
@@ -46,8 +46,8 @@
 
 enum wy_load_mode
 {
-  WY_LOAD_WAIT_FOR_RUNS, /* runs finish first */
-  WY_LOAD_DURING_RUNS    /* runs go on under the new version */
+  WY_LOAD_WAIT_FOR_RUNS, /* after the current runs have finished */
+  WY_LOAD_DURING_RUNS    /* runs continue with the new version */
 };
 
 /* An order to load a version of a model's weights.  */
@@ -58,15 +58,17 @@
   enum wy_load_mode mode;
   const char *holder;
   int64_t generation;
-  int64_t orders_accepted; /* that the replica must have accepted so far */
+  /* Orders that the replica must have accepted so far; otherwise it rejects
+     this one.  */
+  int64_t orders_accepted;
 };
 
 enum wy_order_outcome
 {
   WY_ORDER_ACCEPTED,
-  WY_ORDER_ALREADY_LOADED, /* it is so already */
-  WY_ORDER_BUSY,           /* another is in progress, or the count differs */
-  WY_ORDER_FENCED,
+  WY_ORDER_ALREADY_LOADED,
+  WY_ORDER_BUSY,   /* another is in progress, or orders_accepted differs */
+  WY_ORDER_FENCED, /* the generation is out of date */
   WY_ORDER_INVALID,
   WY_ORDER_MISDIRECTED, /* another replica has the address */
   WY_ORDER_UNKNOWN
--- a/src/gate/response.c
+++ b/src/gate/response.c
@@ -1,4 +1,4 @@
-/* Answers of the entry's own, and a replica's answer kept whole.  */
+/* Responses that the entry makes itself, and stored responses of replicas.  */
 #include "gate/response.h"
 
 #include <string.h>
@@ -10,9 +10,9 @@
   MS_PER_S = 1000
 };
 
-/* Answer R with STATUS of our own.  REASON is one word for the caller's
-   logs; RETRY_AFTER_MS tells when a new attempt is worth its while, 0: not
-   told.  429, 503 and 408 promise that the request has not run.  */
+/* Respond to R with STATUS.  REASON is one word for the caller's logs;
+   RETRY_AFTER_MS goes into the Retry-After field unless it is 0.  429, 503
+   and 408 guarantee that the request has not run.  */
 void
 wy_respond_status (struct wy_h1_request *r, int status, const char *reason,
                    uint32_t retry_after_ms)
@@ -34,7 +34,7 @@
   wy_h1_respond (r, status, fields, n, body, strlen (body));
 }
 
-/* Answer R with 401: its caller has shown no valid key.  */
+/* Respond to R with 401: the caller has presented no valid key.  */
 void
 wy_respond_unauthorized (struct wy_h1_request *r, const char *reason)
 {
@@ -48,81 +48,84 @@
 }
 
 static void
-keep_text (struct wy_response *a, const char *text)
+add_string (struct wy_response *resp, const char *s)
 {
-  uint32_t at = (uint32_t)a->texts->len;
+  uint32_t offset = (uint32_t)resp->strings->len;
 
-  g_array_append_val (a->fields, at);
-  g_string_append_len (a->texts, text, (gssize)strlen (text) + 1);
+  g_array_append_val (resp->offsets, offset);
+  g_string_append_len (resp->strings, s, (gssize)strlen (s) + 1);
 }
 
-/* Keep status and fields of a replica's answer, as they go to a caller.  */
+/* Store STATUS and the header fields of a replica's response that are
+   forwarded to the caller.  The body is empty.  */
 struct wy_response *
 wy_response_new (int status, const struct wy_h1_head *head)
 {
-  struct wy_response *a = g_new0 (struct wy_response, 1);
-  GArray *pairs = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
-
-  a->status = status;
-  a->texts = g_string_new (NULL);
-  a->fields = g_array_new (FALSE, FALSE, sizeof (uint32_t));
-  a->body = g_string_new (NULL);
-  wy_response_forward_fields (head, pairs);
-  for (guint i = 0; i < pairs->len; i++)
+  struct wy_response *resp = g_new0 (struct wy_response, 1);
+  GArray *headers = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
+
+  resp->status = status;
+  resp->strings = g_string_new (NULL);
+  resp->offsets = g_array_new (FALSE, FALSE, sizeof (uint32_t));
+  resp->body = g_string_new (NULL);
+  wy_response_forward_fields (head, headers);
+  for (guint i = 0; i < headers->len; i++)
     {
-      keep_text (a, g_array_index (pairs, struct wy_h1_header, i).name);
-      keep_text (a, g_array_index (pairs, struct wy_h1_header, i).value);
+      add_string (resp, g_array_index (headers, struct wy_h1_header, i).name);
+      add_string (resp, g_array_index (headers, struct wy_h1_header, i).value);
     }
-  g_array_free (pairs, TRUE);
-  return a;
+  g_array_free (headers, TRUE);
+  return resp;
 }
 
-/* Free A, which may be NULL.  */
+/* Free RESP, which may be NULL.  */
 void
-wy_response_free (struct wy_response *a)
+wy_response_free (struct wy_response *resp)
 {
-  if (!a)
+  if (!resp)
     return;
-  g_string_free (a->texts, TRUE);
-  g_array_free (a->fields, TRUE);
-  g_string_free (a->body, TRUE);
-  g_free (a);
+  g_string_free (resp->strings, TRUE);
+  g_array_free (resp->offsets, TRUE);
+  g_string_free (resp->body, TRUE);
+  g_free (resp);
 }
 
 static GArray *
-pairs_of (const struct wy_response *a)
+headers_of (const struct wy_response *resp)
 {
   GArray *out = g_array_new (FALSE, FALSE, sizeof (struct wy_h1_header));
 
-  for (guint i = 0; i + 1 < a->fields->len; i += 2)
+  for (guint i = 0; i + 1 < resp->offsets->len; i += 2)
     {
-      struct wy_h1_header p
-          = { a->texts->str + g_array_index (a->fields, uint32_t, i),
-              a->texts->str + g_array_index (a->fields, uint32_t, i + 1) };
+      struct wy_h1_header h
+          = { resp->strings->str + g_array_index (resp->offsets, uint32_t, i),
+              resp->strings->str
+                  + g_array_index (resp->offsets, uint32_t, i + 1) };
 
-      g_array_append_val (out, p);
+      g_array_append_val (out, h);
     }
   return out;
 }
 
-/* Send A whole as the answer to R.  */
+/* Send the complete response RESP to R.  */
 void
-wy_response_send (const struct wy_response *a, struct wy_h1_request *r)
+wy_response_send (const struct wy_response *resp, struct wy_h1_request *r)
 {
-  GArray *p = pairs_of (a);
+  GArray *headers = headers_of (resp);
 
-  wy_h1_respond (r, a->status, (const struct wy_h1_header *)p->data, p->len,
-                 a->body->str, a->body->len);
-  g_array_free (p, TRUE);
+  wy_h1_respond (r, resp->status, (const struct wy_h1_header *)headers->data,
+                 headers->len, resp->body->str, resp->body->len);
+  g_array_free (headers, TRUE);
 }
 
-/* Begin a stream with A's status and fields as the answer to R.  */
+/* Begin a streamed response to R with RESP's status and header fields.  */
 void
-wy_response_begin (const struct wy_response *a, struct wy_h1_request *r)
+wy_response_begin (const struct wy_response *resp, struct wy_h1_request *r)
 {
-  GArray *p = pairs_of (a);
+  GArray *headers = headers_of (resp);
 
-  wy_h1_begin_response (r, a->status, (const struct wy_h1_header *)p->data,
-                        p->len);
-  g_array_free (p, TRUE);
+  wy_h1_begin_response (r, resp->status,
+                        (const struct wy_h1_header *)headers->data,
+                        headers->len);
+  g_array_free (headers, TRUE);
 }
--- a/src/gate/response.h
+++ b/src/gate/response.h
@@ -1,4 +1,4 @@
-/* Answers of the entry's own, and a replica's answer kept whole.  */
+/* Responses that the entry makes itself, and stored responses of replicas.  */
 #ifndef WY_GATE_RESPONSE_H
 #define WY_GATE_RESPONSE_H
 
@@ -11,8 +11,8 @@
 struct wy_response
 {
   int status;
-  GString *texts; /* names and values, each with its NUL */
-  GArray *fields; /* offsets into texts: name, value, name, ... */
+  GString *strings; /* names and values, each with its NUL */
+  GArray *offsets;  /* uint32_t, into strings: name, value, name, ... */
   GString *body;
 };
 
@@ -21,8 +21,10 @@
 void wy_respond_unauthorized (struct wy_h1_request *r, const char *reason);
 struct wy_response *wy_response_new (int status,
                                      const struct wy_h1_head *head);
-void wy_response_free (struct wy_response *a);
-void wy_response_send (const struct wy_response *a, struct wy_h1_request *r);
-void wy_response_begin (const struct wy_response *a, struct wy_h1_request *r);
+void wy_response_free (struct wy_response *resp);
+void wy_response_send (const struct wy_response *resp,
+                       struct wy_h1_request *r);
+void wy_response_begin (const struct wy_response *resp,
+                        struct wy_h1_request *r);
 
 #endif
--- a/src/gate/routing.c
+++ b/src/gate/routing.c
@@ -28,7 +28,7 @@
   g_free (s);
 }
 
-/* An empty routing.  */
+/* Create an empty routing table.  */
 struct wy_routing *
 wy_routing_new (void)
 {
@@ -84,7 +84,8 @@
   return m < n ? 1 : m > n ? -1 : 0;
 }
 
-/* Put the routes of R in the order in which they are matched.  */
+/* Sort the routes of R into the order in which they are matched.  Call it once
+   after all routes are added.  */
 void
 wy_routing_sort (struct wy_routing *r)
 {
@@ -96,13 +97,12 @@
 {
   size_t n = strlen (r->host);
 
-  /* A port behind the name is not part of it.  */
+  /* A port after the name is ignored.  */
   return !strncasecmp (r->host, host, n)
          && (host[n] == '\0' || host[n] == ':');
 }
 
-/* The route of HOST whose prefix is the longest that begins PATH; NULL:
-   none.  */
+/* The route of HOST with the longest prefix of PATH; NULL: none.  */
 const struct wy_route *
 wy_routing_match (const struct wy_routing *r, const char *host,
                   const char *path)
@@ -131,7 +131,7 @@
   return false;
 }
 
-/* The service NAME; NULL: none.  */
+/* The service named NAME; NULL: none.  */
 const struct wy_service *
 wy_routing_service (const struct wy_routing *r, const char *name)
 {
@@ -145,9 +145,9 @@
   return NULL;
 }
 
-/* Whether the number of replicas of some service is ordered.  */
+/* Whether any service is autoscaled.  */
 bool
-wy_routing_has_scaled (const struct wy_routing *r)
+wy_routing_has_autoscaled (const struct wy_routing *r)
 {
   for (guint i = 0; i < r->services->len; i++)
     if (((const struct wy_service *)g_ptr_array_index (r->services, i))
@@ -156,9 +156,10 @@
   return false;
 }
 
-/* The service of R that the number DRAW chooses by the weights.  */
+/* Pick a service of R with a probability in proportion to its weight.  RANDOM
+   is a uniformly distributed number.  */
 const char *
-wy_route_pick_service (const struct wy_route *r, uint32_t draw)
+wy_route_pick_service (const struct wy_route *r, uint32_t random)
 {
   uint64_t total = 0;
   uint64_t at;
@@ -167,7 +168,7 @@
     total += g_array_index (r->splits, struct wy_traffic_split, i).weight;
   if (total == 0)
     return g_array_index (r->splits, struct wy_traffic_split, 0).service;
-  at = draw % total;
+  at = random % total;
   for (guint i = 0; i < r->splits->len; i++)
     {
       const struct wy_traffic_split *s
--- a/src/gate/routing.h
+++ b/src/gate/routing.h
@@ -1,5 +1,5 @@
-/* Routing of callers' requests: which service a host and path belong to, and
-   what may be done with a request on the way.  */
+/* Routing of callers' requests: the service for a host and path, and how its
+   requests may be handled.  */
 #ifndef WY_GATE_ROUTING_H
 #define WY_GATE_ROUTING_H
 
@@ -14,9 +14,9 @@
 enum wy_route_kind
 {
   WY_ROUTE_IDEMPOTENT,     /* may run more than once */
-  WY_ROUTE_NON_IDEMPOTENT, /* runs at most once an attempt of the caller */
-  WY_ROUTE_STREAM,         /* events; non-idempotent unless resumable */
-  WY_ROUTE_JOB             /* many requests submitted at once */
+  WY_ROUTE_NON_IDEMPOTENT, /* runs at most once per attempt of the caller */
+  WY_ROUTE_STREAM, /* server-sent events; non-idempotent unless resumable */
+  WY_ROUTE_JOB     /* many requests submitted at once */
 };
 
 struct wy_traffic_split
@@ -34,21 +34,21 @@
   uint32_t timeout_ms;        /* 0: none */
   uint32_t target_latency_ms; /* 0: none */
   uint32_t priority;          /* 0 is the highest */
-  uint32_t attempts;          /* replicas that one attempt may run on */
+  uint32_t attempts; /* replicas that may run one request of a caller */
   bool resumable;
   bool single_version;
   bool is_public;              /* needs no key */
-  uint32_t retention_ms;       /* jobs: then the rest is given up */
-  uint32_t result_deadline_ms; /* jobs: results are due */
+  uint32_t retention_ms;       /* jobs: unfinished items are then given up */
+  uint32_t result_deadline_ms; /* jobs: results are due after this time */
   GArray *splits;              /* struct wy_traffic_split, at least one */
 };
 
 struct wy_service
 {
   char *name;
-  uint32_t connection_limit; /* of one replica, over all callers; 0: none */
-  uint32_t slots;            /* of one replica; 0: not told */
-  bool is_autoscaled;        /* its number of replicas is ordered */
+  uint32_t connection_limit; /* of one replica, over all entries; 0: none */
+  uint32_t slots;            /* of one replica; 0: not known */
+  bool is_autoscaled;        /* the duties adjust the number of replicas */
   uint32_t replicas_min;     /* in each availability zone */
   uint32_t replicas_max;
   uint32_t boot_ms;  /* from the order to the first request served */
@@ -77,7 +77,7 @@
 const struct wy_service *wy_routing_service (const struct wy_routing *r,
                                              const char *name);
 bool wy_routing_has_public_jobs (const struct wy_routing *r, const char *host);
-bool wy_routing_has_scaled (const struct wy_routing *r);
-const char *wy_route_pick_service (const struct wy_route *r, uint32_t draw);
+bool wy_routing_has_autoscaled (const struct wy_routing *r);
+const char *wy_route_pick_service (const struct wy_route *r, uint32_t random);
 
 #endif
--- a/src/gate/settings.h
+++ b/src/gate/settings.h
@@ -8,20 +8,20 @@
 {
   char *name;
   char *availability_zone;
-  char *callers; /* IP:PORT of the callers' interface */
-  char *ready;   /* IP:PORT of the readiness check */
-  char *peers;   /* IP:PORT for other processes of the system */
-  char *metrics; /* IP:PORT, or "" */
-  char *store;   /* IP:PORT */
-  GPtrArray *seeds;
+  char *callers;    /* IP:PORT of the callers' interface */
+  char *ready;      /* IP:PORT of the readiness check */
+  char *peers;      /* IP:PORT for other processes of the system */
+  char *metrics;    /* IP:PORT; "": not served */
+  char *store;      /* IP:PORT */
+  GPtrArray *seeds; /* char *, IP:PORT of other entries */
   int64_t object_bytes;
   int64_t row_bytes;
   int64_t memory_mb;
   double keep_s;
   double cpu_share;
   double grace_s;
-  char *platform; /* IP:PORT of the calls that one entry makes; "": none */
-  GPtrArray *duties;
+  char *platform;    /* IP:PORT that takes the duties' calls; "": none */
+  GPtrArray *duties; /* char *, names of the duties */
   double usage_window_s;
   double usage_late_s;
   int64_t lease_ms;
--- a/src/gate/sse.c
+++ b/src/gate/sse.c
@@ -1,7 +1,8 @@
-/* Cuts a stream of events into whole events.
+/* Parser for server-sent events (text/event-stream).
 
-   A replica may stop in the middle of an event, and what it sent of it must
-   reach nobody: the run that goes on elsewhere sends that event again.  */
+   Only complete events are passed on.  A replica may fail in the middle of an
+   event, and the run that continues on another replica sends that event
+   again.  */
 #include "gate/sse.h"
 
 #include <stdlib.h>
@@ -9,7 +10,12 @@
 
 #include "platform/request_wire.h"
 
-/* Prepare E for a stream.  */
+enum
+{
+  ID_DIGITS_MAX = 15
+};
+
+/* Initialize E for a new stream.  */
 void
 wy_sse_init (struct wy_sse_parser *e)
 {
@@ -18,7 +24,7 @@
   e->last_id = -1;
 }
 
-/* Free what E holds.  */
+/* Free the buffers of E.  */
 void
 wy_sse_clear (struct wy_sse_parser *e)
 {
@@ -26,14 +32,14 @@
   g_string_free (e->data, TRUE);
 }
 
-/* Drop an event cut short; the next bytes come from another run.  */
+/* Discard an incomplete event; the next bytes come from another run.  */
 void
 wy_sse_reset (struct wy_sse_parser *e)
 {
   g_string_truncate (e->partial_event, 0);
 }
 
-/* Whether the stream has stopped inside an event.  */
+/* Whether the input so far ends inside an event.  */
 bool
 wy_sse_has_partial (const struct wy_sse_parser *e)
 {
@@ -63,7 +69,7 @@
 {
   int64_t id = 0;
 
-  if (n == 0 || n > 15)
+  if (n == 0 || n > ID_DIGITS_MAX)
     return -1;
   for (size_t i = 0; i < n; i++)
     {
@@ -113,7 +119,8 @@
   out->data_n = e->data->len;
 }
 
-/* Length of the first whole event at P, its blank line included; 0: none.  */
+/* Length of the first complete event at P, including its blank line; 0: there
+   is none.  */
 static size_t
 event_size (const char *p, size_t n)
 {
@@ -129,7 +136,8 @@
   return 0;
 }
 
-/* Take N more bytes of the stream and tell each event that is whole.  */
+/* Parse N more bytes of the stream and call ON_EVENT for each event that is
+   complete.  */
 void
 wy_sse_feed (struct wy_sse_parser *e, const char *p, size_t n,
              void (*on_event) (void *ctx, const struct wy_sse_event *ev),
--- a/src/gate/sse.h
+++ b/src/gate/sse.h
@@ -1,4 +1,4 @@
-/* Cuts a stream of events (text/event-stream) into whole events.  */
+/* Parser for server-sent events (text/event-stream).  */
 #ifndef WY_GATE_SSE_H
 #define WY_GATE_SSE_H
 
@@ -10,19 +10,19 @@
 
 struct wy_sse_event
 {
-  const char *raw; /* the event with its blank line */
+  const char *raw; /* the event as received, with its blank line */
   size_t raw_n;
   int64_t id;       /* -1: none */
-  const char *data; /* its data lines, joined by line feeds */
+  const char *data; /* its data fields, joined by line feeds */
   size_t data_n;
-  int64_t version; /* of the weights from here on; -1: not told */
+  int64_t version; /* of the weights from this event on; -1: not given */
 };
 
 struct wy_sse_parser
 {
-  GString *partial_event; /* of an event not yet whole */
-  GString *data;
-  int64_t last_id; /* -1: none yet */
+  GString *partial_event; /* bytes of an incomplete event */
+  GString *data;          /* of the event being parsed */
+  int64_t last_id;        /* -1: none yet */
 };
 
 void wy_sse_init (struct wy_sse_parser *e);
--- a/src/gate/status.c
+++ b/src/gate/status.c
@@ -1,5 +1,5 @@
-/* What an entry knows and believes, and how old that is: configuration, store,
-   other entries, replicas, jobs.  Read by wyctl status.  */
+/* Status of an entry: what it knows of the configuration, the store, other
+   entries, replicas and jobs, and the age of that.  Read by wyctl status.  */
 #include "gate/status.h"
 
 #include <stdlib.h>
@@ -8,9 +8,9 @@
 
 enum
 {
-  /* Jobs told of: those that run first of all; a page of thousands that have
-     ended helps nobody.  */
-  JOBS_MAX = 100
+  /* Jobs in the status, running ones first.  Thousands that have ended would
+     be of no use.  */
+  JOBS_SHOWN_MAX = 100
 };
 
 static json_t *
@@ -28,18 +28,19 @@
                     integer (r ? r->version : 0), "routes",
                     r ? (int)r->routes->len : 0, "organisations",
                     r && r->orgs ? (int)wy_orgs_count (r->orgs) : 0, "age_ms",
-                    integer (wy_watch_age_ms (g->operator_rows)));
+                    integer (wy_watch_age_ms (g->operator_watch)));
 }
 
-/* Who makes the platform's single calls, as last seen here.  */
+/* The entry that performs the duties, as last observed here, and the usage
+   reports of this entry.  */
 static json_t *
 duties_of (const struct wy_gate *g)
 {
   struct wy_election_status v = { .holder = "" };
   struct wy_usage_stats usage = { 0 };
 
-  if (g->duties)
-    wy_election_status (g->duties, &v);
+  if (g->election)
+    wy_election_status (g->election, &v);
   if (g->env.usage)
     wy_usage_stats (g->env.usage, &usage);
   return json_pack ("{s:s, s:o, s:b, s:o, s:o, s:o}", "holder", v.holder,
@@ -96,13 +97,7 @@
   return text;
 }
 
-struct replicas
-{
-  const struct wy_gate *gate;
-  json_t *list;
-};
-
-/* What is believed of the times of T, by the kind of work.  */
+/* The pace of T by kind of work.  */
 static json_t *
 pace_of (const struct wy_target *t)
 {
@@ -111,6 +106,12 @@
                     t->pace[WY_WORK_SCORE].ms);
 }
 
+struct replicas
+{
+  const struct wy_gate *gate;
+  json_t *list;
+};
+
 static void
 add_replica (void *ctx, const struct wy_target *t)
 {
@@ -147,7 +148,7 @@
 {
   json_t *list = ctx;
 
-  if (json_array_size (list) < JOBS_MAX)
+  if (json_array_size (list) < JOBS_SHOWN_MAX)
     json_array_append_new (
         list, json_pack ("{s:s, s:s, s:s, s:b, s:i, s:i, s:o}", "id", j->id,
                          "state", j->state, "holder", j->holder, "here",
@@ -171,12 +172,12 @@
 {
   json_t *doc = json_pack (
       "{s:s, s:s, s:b, s:o, s:o, s:o, s:o, s:o, s:o, s:o, s:o}", "node",
-      g->env.node, "holder", g->env.holder, "stopping", g->stop_asked_ms != 0,
-      "config", config_of (g), "duties", duties_of (g), "store", store_of (g),
-      "entries_age_ms", integer (wy_members_age_ms (g->members)), "entries",
-      entries_of (g), "replicas_age_ms",
-      integer (wy_watch_age_ms (g->replicas)), "replicas", replicas_of (g),
-      "jobs", jobs_of (g));
+      g->env.node, "holder", g->env.holder, "stopping",
+      g->stop_requested_ms != 0, "config", config_of (g), "duties",
+      duties_of (g), "store", store_of (g), "entries_age_ms",
+      integer (wy_members_age_ms (g->members)), "entries", entries_of (g),
+      "replicas_age_ms", integer (wy_watch_age_ms (g->replica_watch)),
+      "replicas", replicas_of (g), "jobs", jobs_of (g));
   char *text = json_dumps (doc, JSON_COMPACT);
   char *out = g_strdup (text);
 
--- a/src/gate/status.h
+++ b/src/gate/status.h
@@ -1,4 +1,4 @@
-/* What an entry knows and believes, for operators.  */
+/* Status of an entry, for operators.  */
 #ifndef WY_GATE_STATUS_H
 #define WY_GATE_STATUS_H
 
--- a/src/gate/store_watch.c
+++ b/src/gate/store_watch.c
@@ -1,5 +1,5 @@
-/* What the gate follows in the store: the operator's configuration, replicas,
-   other entries.  */
+/* Watches on the store: the operator's configuration, replicas, other entries
+   and jobs.  */
 #include "gate/gate_state.h"
 
 #include <string.h>
@@ -10,41 +10,44 @@
 
 enum
 {
-  /* Least time between two waits for changes of a table: well under the
-     time within which a change must be in force everywhere.  */
-  WATCH_GAP_MS = 150,
+  /* Minimum interval between two waits for changes of a table: well under the
+     time within which a change must take effect everywhere.  */
+  WATCH_INTERVAL_MS = 150,
   RELAYS_MAX = 32
 };
 
-/* Hold callers to the limits of the configuration in force.  */
+/* Set the limits on callers' requests from the current configuration.  */
 void
 wy_gate_set_limits (struct wy_gate *g)
 {
   const struct wy_routing *r = g->env.routing;
-  struct wy_h1_limits l = {
-    .header_bytes = r ? r->header_limit_bytes : WY_GATE_START_HEADER_BYTES,
-    .body_bytes = r ? r->body_limit_bytes : WY_GATE_START_BODY_BYTES,
-    .header_timeout_ms = r ? r->header_timeout_ms : WY_GATE_START_HEADER_MS,
-    .idle_timeout_ms = r ? r->idle_timeout_ms : WY_GATE_START_IDLE_MS,
-    .buffered_bytes
-    = (uint64_t)g->o.settings->memory_mb * WY_GATE_MB / WY_GATE_BODY_SHARE
-  };
-
-  wy_h1_server_set_limits (g->callers, &l);
+  struct wy_h1_limits l
+      = { .header_bytes
+          = r ? r->header_limit_bytes : WY_GATE_INITIAL_HEADER_BYTES,
+          .body_bytes = r ? r->body_limit_bytes : WY_GATE_INITIAL_BODY_BYTES,
+          .header_timeout_ms
+          = r ? r->header_timeout_ms : WY_GATE_INITIAL_HEADER_TIMEOUT_MS,
+          .idle_timeout_ms
+          = r ? r->idle_timeout_ms : WY_GATE_INITIAL_IDLE_TIMEOUT_MS,
+          .buffered_bytes = (uint64_t)g->o.settings->memory_mb * WY_GATE_MB
+                            / WY_GATE_BODY_MEMORY_DIVISOR };
+
+  wy_h1_server_set_limits (g->caller_server, &l);
 }
 
-/* A configuration is in force: versions only rise, whatever order they come
-   in.  */
+/* Apply the configuration in ROW unless the current one is as new: rows may
+   arrive in any order, and the version only increases.  */
 static void
-learn_config (struct wy_gate *g, const struct wy_row *row)
+apply_config (struct wy_gate *g, const struct wy_row *row)
 {
-  const char *why;
-  struct wy_routing *r = wy_config_decode (row->value, row->size_bytes, &why);
+  const char *reason;
+  struct wy_routing *r
+      = wy_config_decode (row->value, row->size_bytes, &reason);
 
   if (!r)
     {
       wy_json_log ("config.rejected", "row_version=%lld reason=%s",
-                   (long long)row->version, why);
+                   (long long)row->version, reason);
       return;
     }
   if (g->env.routing && g->env.routing->version >= r->version)
@@ -62,7 +65,7 @@
 }
 
 static void
-learn_version (struct wy_gate *g, const struct wy_row *row)
+announce_version (struct wy_gate *g, const struct wy_row *row)
 {
   struct wy_requested_version v;
 
@@ -81,18 +84,18 @@
   switch (wy_operator_row_kind (row->key))
     {
     case WY_OPERATOR_CONFIG:
-      learn_config (ctx, row);
+      apply_config (ctx, row);
       break;
     case WY_OPERATOR_VERSION:
-      learn_version (ctx, row);
+      announce_version (ctx, row);
       break;
     case WY_OPERATOR_OTHER:
       break;
     }
 }
 
-/* The target ID is gone, or has started anew, without having said that it
-   would leave.  */
+/* The target ID has been removed or has restarted without announcing it, so
+   it counts as crashed.  */
 static void
 target_crashed (struct wy_gate *g, const char *id)
 {
@@ -103,9 +106,9 @@
     wy_json_log ("request.held_back", "target=%s requests=%u", id, n);
 }
 
-/* The target T has restarted under the same id, as its entry INFO shows.
-   Idle connections lead to the former process: a request on one would fail, or
-   wait for its time limit if the former host lost power.  */
+/* The target T has restarted under the same id, as its row INFO shows.  Close
+   idle connections, which lead to the previous process: a request on one would
+   fail, or time out if the previous host lost power.  */
 static void
 target_restarted (struct wy_gate *g, const struct wy_target *t,
                   const struct wy_replica *info)
@@ -124,7 +127,7 @@
   struct wy_gate *g = ctx;
   struct wy_replica info;
   struct wy_target *t = wy_targets_find (g->env.targets, row->key);
-  const char *wrong;
+  const char *invalid_field;
 
   if (row->deleted)
     {
@@ -135,15 +138,16 @@
       wy_targets_remove (g->env.targets, row->key);
       return;
     }
-  wrong = wy_replica_decode (row->key, row->value, row->size_bytes, &info);
-  if (wrong)
+  invalid_field
+      = wy_replica_decode (row->key, row->value, row->size_bytes, &info);
+  if (invalid_field)
     {
       wy_json_log ("target.rejected", "id=%s version=%lld field=%s", row->key,
-                   (long long)row->version, wrong);
+                   (long long)row->version, invalid_field);
       wy_targets_remove (g->env.targets, row->key);
       return;
     }
-  if (wy_watch_is_synced (g->replicas)
+  if (wy_watch_is_synced (g->replica_watch)
       && (!t || t->info.draining != info.draining || !t->listed))
     wy_json_log ("target.seen",
                  "id=%s service=%s zone=%s draining=%d version=%lld", info.id,
@@ -156,12 +160,13 @@
     wy_jobs_targets_changed (g->jobs);
 }
 
-/* Tell the store's client which peers pass calls on.  */
+/* Set the peers through which the store client may relay its calls: the known
+   entries, or else the seeds.  */
 void
 wy_gate_set_relays (struct wy_gate *g)
 {
   struct sockaddr_in a[RELAYS_MAX];
-  size_t n = wy_members_addresses (g->members, a, RELAYS_MAX);
+  size_t n = wy_members_peer_addresses (g->members, a, RELAYS_MAX);
 
   for (guint i = 0; n == 0 && i < g->seeds->len; i++)
     a[n++] = g_array_index (g->seeds, struct sockaddr_in, i);
@@ -169,7 +174,7 @@
 }
 
 static void
-on_members (void *ctx)
+on_members_changed (void *ctx)
 {
   struct wy_gate *g = ctx;
 
@@ -177,9 +182,9 @@
     wy_gate_set_relays (g);
 }
 
-/* Take the peers that the settings S name.  */
+/* Set the seeds from the settings S, without the own address.  */
 void
-wy_gate_read_seeds (struct wy_gate *g, const struct wy_gate_settings *s)
+wy_gate_set_seeds (struct wy_gate *g, const struct wy_gate_settings *s)
 {
   g_array_set_size (g->seeds, 0);
   for (guint i = 0; i < s->seeds->len; i++)
@@ -192,16 +197,17 @@
     }
 }
 
-/* Follow what the store tells of the operator, replicas, entries and jobs.  */
+/* Start watching the store's tables of the operator, replicas, entries and
+   jobs.  */
 void
-wy_gate_follow_store (struct wy_gate *g)
+wy_gate_start_watches (struct wy_gate *g)
 {
   uint64_t seed = wy_hash64 (g->incarnation, WY_ID_LEN, 2);
   struct wy_watch_options w = { .loop = g->o.loop,
                                 .clock = g->o.clock,
                                 .rows = g->env.rows,
                                 .table = WY_OPERATOR_TABLE,
-                                .min_interval_ms = WATCH_GAP_MS,
+                                .min_interval_ms = WATCH_INTERVAL_MS,
                                 .seed = seed,
                                 .on_row = on_operator_row,
                                 .ctx = g };
@@ -209,7 +215,7 @@
                                   .address = g->o.settings->peers,
                                   .cpu_share = g->o.settings->cpu_share,
                                   .seed = seed + 2,
-                                  .on_change = on_members,
+                                  .on_change = on_members_changed,
                                   .ctx = g };
   struct wy_jobs_options j
       = { .env = &g->env,
@@ -219,13 +225,13 @@
           .result_retention_ms
           = (int64_t)(g->o.settings->keep_s * WY_MS_PER_S),
           .memory_limit_bytes = (uint64_t)g->o.settings->memory_mb * WY_GATE_MB
-                                / WY_GATE_JOBS_SHARE };
+                                / WY_GATE_JOBS_MEMORY_DIVISOR };
 
-  g->operator_rows = wy_watch_new (&w);
+  g->operator_watch = wy_watch_new (&w);
   w.table = WY_REPLICA_TABLE;
   w.on_row = on_replica_row;
   w.seed = seed + 1;
-  g->replicas = wy_watch_new (&w);
+  g->replica_watch = wy_watch_new (&w);
   g->members = wy_members_new (&m);
   wy_gate_set_relays (g);
   j.members = g->members;
--- a/src/gate/suspect_list.c
+++ b/src/gate/suspect_list.c
@@ -1,8 +1,8 @@
-/* Requests that crash replicas, as entries tell them to each other.
+/* Requests suspected of crashing replicas, as entries exchange them.
 
-   Whoever sends such a request sends it to any entry.  The list is part of the
-   entry's row in the directory, which all of them follow, and is written when
-   it changes.  */
+   A caller may send such a request to any entry, so all entries need the list.
+   It is part of the entry's row in the directory, which all entries watch, and
+   is written when it changes.  */
 #include "gate/suspect_list.h"
 
 #include <inttypes.h>
@@ -11,15 +11,15 @@
 
 enum
 {
-  /* Suspects told at a time, those proven by most crashes first: about 60
-     bytes each in a row that every entry reads.  */
-  TOLD_MAX = 8,
+  /* Suspects in one list, those with the most crashes first.  Each takes about
+     60 bytes of a row that every entry reads.  */
+  SUSPECTS_SENT_MAX = 8,
   HEX_SIZE_BYTES = 17,
   HEX_BASE = 16
 };
 
 static json_t *
-hex (uint64_t v)
+json_hex (uint64_t v)
 {
   char text[HEX_SIZE_BYTES];
 
@@ -28,55 +28,59 @@
 }
 
 static uint64_t
-unhex (const json_t *j)
+parse_hex (const json_t *j)
 {
   const char *text = json_string_value (j);
 
   return text ? strtoull (text, NULL, HEX_BASE) : 0;
 }
 
+/* Append to LIST the suspects of S that this entry has seen itself, with
+   exactly CRASHES crashes.  */
 static void
-add_proven_by (struct wy_suspects *s, uint32_t crashes, int64_t now_ms,
-               json_t *list)
+add_with_crashes (struct wy_suspects *s, uint32_t crashes, int64_t now_ms,
+                  json_t *list)
 {
   for (uint32_t i = 0;
-       i < WY_SUSPECTS_MAX && json_array_size (list) < TOLD_MAX; i++)
+       i < WY_SUSPECTS_MAX && json_array_size (list) < SUSPECTS_SENT_MAX; i++)
     {
       const struct wy_suspect *e = &s->slot[i];
-      json_t *one;
+      json_t *item;
 
       if (e->fingerprint == 0 || e->is_remote || e->crashes != crashes
           || wy_suspects_check (s, e->fingerprint, now_ms)
                  == WY_SUSPICION_NONE)
         continue;
-      one = json_array ();
-      json_array_append_new (one, hex (e->fingerprint));
+      item = json_array ();
+      json_array_append_new (item, json_hex (e->fingerprint));
       for (uint32_t k = 0; k < e->crashes; k++)
-        json_array_append_new (one, hex (e->target[k]));
-      json_array_append_new (list, one);
+        json_array_append_new (item, json_hex (e->target[k]));
+      json_array_append_new (list, item);
     }
 }
 
-/* What this entry has seen itself: a list of [fingerprint, target, ...].  */
+/* The suspects that this entry has seen itself, as a list of
+   [fingerprint, target, ...] with each number in hexadecimal.  */
 json_t *
-wy_crash_rows_encode (struct wy_crash_tracker *w, int64_t now_ms)
+wy_suspect_list_encode (struct wy_crash_tracker *w, int64_t now_ms)
 {
   json_t *list = json_array ();
 
   for (uint32_t n = WY_SUSPECT_CRASHES_MAX; n > 0; n--)
-    add_proven_by (&w->suspects, n, now_ms, list);
+    add_with_crashes (&w->suspects, n, now_ms, list);
   return list;
 }
 
 static struct wy_suspect
-decode (const json_t *one)
+parse_suspect (const json_t *item)
 {
-  struct wy_suspect s = { .fingerprint = unhex (json_array_get (one, 0)) };
+  struct wy_suspect s
+      = { .fingerprint = parse_hex (json_array_get (item, 0)) };
 
   for (size_t k = 1;
-       k < json_array_size (one) && s.crashes < WY_SUSPECT_CRASHES_MAX; k++)
+       k < json_array_size (item) && s.crashes < WY_SUSPECT_CRASHES_MAX; k++)
     {
-      uint64_t target = unhex (json_array_get (one, k));
+      uint64_t target = parse_hex (json_array_get (item, k));
 
       if (target)
         s.target[s.crashes++] = target;
@@ -84,23 +88,23 @@
   return s;
 }
 
-/* Take in the LIST of another entry; NULL, or what can't be read, is nothing.
-   Returns the number of requests that are held back from now on.  */
+/* Merge the LIST of another entry into W.  LIST may be NULL; invalid elements
+   are ignored.  Returns the number of requests that this blocks.  */
 uint32_t
-wy_crash_rows_learn (struct wy_crash_tracker *w, const json_t *list,
-                     int64_t now_ms)
+wy_suspect_list_merge (struct wy_crash_tracker *w, const json_t *list,
+                       int64_t now_ms)
 {
-  uint32_t held = 0;
+  uint32_t blocked = 0;
 
   for (size_t i = 0; i < json_array_size (list); i++)
     {
-      struct wy_suspect s = decode (json_array_get (list, i));
+      struct wy_suspect s = parse_suspect (json_array_get (list, i));
 
       if (s.fingerprint == 0
           || wy_crash_tracker_is_blocked (w, s.fingerprint, now_ms))
         continue;
       wy_suspects_merge (&w->suspects, &s, now_ms);
-      held += wy_crash_tracker_is_blocked (w, s.fingerprint, now_ms);
+      blocked += wy_crash_tracker_is_blocked (w, s.fingerprint, now_ms);
     }
-  return held;
+  return blocked;
 }
--- a/src/gate/suspect_list.h
+++ b/src/gate/suspect_list.h
@@ -1,5 +1,5 @@
-/* What entries tell each other, with their heartbeats, of requests that crash
-   replicas.  */
+/* The list of requests suspected of crashing replicas that entries exchange in
+   their directory rows.  */
 #ifndef WY_GATE_SUSPECT_LIST_H
 #define WY_GATE_SUSPECT_LIST_H
 
@@ -7,8 +7,8 @@
 
 #include "decide/crash_tracker.h"
 
-json_t *wy_crash_rows_encode (struct wy_crash_tracker *w, int64_t now_ms);
-uint32_t wy_crash_rows_learn (struct wy_crash_tracker *w, const json_t *list,
-                              int64_t now_ms);
+json_t *wy_suspect_list_encode (struct wy_crash_tracker *w, int64_t now_ms);
+uint32_t wy_suspect_list_merge (struct wy_crash_tracker *w, const json_t *list,
+                                int64_t now_ms);
 
 #endif
--- a/src/gate/targets.c
+++ b/src/gate/targets.c
@@ -1,4 +1,4 @@
-/* Beliefs about replicas and the choice between them.  */
+/* Known state of targets and the choice between them.  */
 #include "gate/targets.h"
 
 #include <stdlib.h>
@@ -8,57 +8,66 @@
 
 enum
 {
-  /* A target that failed is left alone for this long, doubled with each
-     further failure: a crashed one comes back within some seconds, and each
-     try at it costs a request the time to connect.  */
+  /* Time for which a target is avoided after a failure, doubled with each
+     further failure: a crashed target restarts within a few seconds, and each
+     attempt at it costs a request the time to connect.  */
   AVOID_MIN_MS = 250,
   AVOID_MAX_MS = 2000,
-  /* A target that turned work away is full, or loads weights for about a
-     second.  It is tried with one request at a time, first after this time,
-     then after twice as long, so that a whole job does not knock at it.  */
-  AVOID_FULL_MS = 50,
-  AVOID_FULL_MAX_MS = 200,
-  /* One whose address another replica has is about to leave the list.  */
-  AVOID_ELSEWHERE_MS = 3000,
-  /* A load told in an answer says little after this time.  */
-  LOAD_TRUST_MS = 1000,
-  /* A slow target is believed to be slow for so long without new proof;
-     else it would never be tried again.  */
-  PACE_TRUST_MS = 4000,
+  /* The same after a rejection: the target is at capacity, or loads weights,
+     which takes about a second.  Until it accepts work again it gets one
+     request at a time, first after this time, then after twice as long, so
+     that it isn't sent all items of a job at once.  */
+  AVOID_REJECTED_MS = 50,
+  AVOID_REJECTED_MAX_MS = 200,
+  /* The same for a target whose address another replica has; it will soon be
+     removed from the list.  */
+  AVOID_MISDIRECTED_MS = 3000,
+  /* The load reported in a response is out of date after this time.  */
+  LOAD_VALID_MS = 1000,
+  /* The pace of a target is unknown after this time without a new sample;
+     otherwise a slow target would never be tried again.  */
+  PACE_VALID_MS = 4000,
   AVOID_STALLED_MS = 150,
-  /* Targets looked at for the typical pace; a sample of more is as good.  */
-  TYPICAL_MAX = 64
+  /* Targets used for the median pace; more would not make it better.  */
+  MEDIAN_SAMPLE_MAX = 64
 };
 
-/* Weight of the newest sample in the smoothed pace: about the last five.  */
-static const double pace_weight = 0.2;
-/* Worth of a target in the same availability zone, as a share of the pace:
-   it only decides between equals.  */
-static const double near_bonus = 0.02;
-/* Text made under older weights than the newest can't be used by a later job,
-   which is lost for the few items that do not end in this one.  But half of a
-   model's targets have those, and the more of a step runs on the other half,
-   the slower its longest items are, for which all wait.  So it costs as much
-   as about a third of the slots in use.  */
-static const double old_weights_cost = 0.15;
-/* A new connection takes a target about a ms of one of its slots and may be
-   priced; one that is open and unused is worth a detour to a target with up
-   to half of its slots more in use, no further.  Not for items of jobs: they
-   use all connections anyway, and a fuller batch is a slower one.  */
-static const double idle_bonus = 0.25;
-/* A full target costs this many paces for each request ahead, by slot.  */
-static const double queue_cost = 4.0;
+/* Weight of a new sample in the moving average of the pace, which so covers
+   about the last five samples.  */
+static const double pace_smoothing = 0.2;
+
+/* The costs and bonuses below are in units of the pace.  */
+
+/* Bonus for a target in the same availability zone: only large enough to
+   decide between equals.  */
+static const double same_zone_bonus = 0.02;
+/* Cost of a target with older weights than the newest.  Partial text from
+   older weights can't be reused by a later job, so it is lost for the few
+   items that this job leaves unfinished.  But half of a model's targets have
+   older weights, and the more items of a step run on the other half, the
+   slower its longest items are, for which the whole step waits.  So this costs
+   as much as about a third of the slots being busy.  */
+static const double older_weights_cost = 0.15;
+/* Bonus for a target with an idle connection.  Opening a connection costs the
+   target about 1 ms of a slot and may be billed, so an idle one outweighs up
+   to half of the target's slots being busy, but no more.  Doesn't apply to job
+   items: they use all connections anyway, and a larger batch is slower.  */
+static const double idle_connection_bonus = 0.25;
+/* Cost of waiting for a slot of a target without a free one, per request and
+   slot.  */
+static const double queueing_cost = 4.0;
 
 struct wy_targets
 {
   GHashTable *by_id; /* struct wy_target */
   struct wy_rng rng;
-  /* Connections to a target that are open and unused; NULL: not known.  */
-  uint32_t (*idle) (const void *ctx, const struct sockaddr_in *a);
-  const void *idle_ctx;
+  /* Returns the number of idle connections to a target; NULL: not known.  */
+  uint32_t (*idle_count) (const void *ctx, const struct sockaddr_in *a);
+  const void *idle_count_ctx;
 };
 
-/* An empty set; SEED makes choices between equals differ between entries.  */
+/* Create an empty set.  SEED makes choices between equals differ between
+   entries.  */
 struct wy_targets *
 wy_targets_new (uint64_t seed)
 {
@@ -69,15 +78,15 @@
   return t;
 }
 
-/* Ask IDLE for the unused connections to a target from now on.  */
+/* Set the function that returns the number of idle connections to a target. */
 void
-wy_targets_watch_idle (struct wy_targets *t,
-                       uint32_t (*idle) (const void *ctx,
-                                         const struct sockaddr_in *a),
-                       const void *ctx)
+wy_targets_set_idle_count (
+    struct wy_targets *t,
+    uint32_t (*idle_count) (const void *ctx, const struct sockaddr_in *a),
+    const void *ctx)
 {
-  t->idle = idle;
-  t->idle_ctx = ctx;
+  t->idle_count = idle_count;
+  t->idle_count_ctx = ctx;
 }
 
 /* Free T and all targets.  */
@@ -94,10 +103,11 @@
   g_free (t);
 }
 
+/* Free G if it isn't listed and nothing refers to it.  */
 static void
-collect (struct wy_targets *t, struct wy_target *g)
+free_if_unused (struct wy_targets *t, struct wy_target *g)
 {
-  if (g->listed || g->in_flight || g->held)
+  if (g->listed || g->in_flight || g->refs)
     return;
   if (g_hash_table_lookup (t->by_id, g->info.id) == g)
     g_hash_table_remove (t->by_id, g->info.id);
@@ -105,7 +115,7 @@
 }
 
 /* Discard what was observed of G's process before it restarted.  Requests to
-   the former process stay in the in-flight count until they end.  */
+   the previous process stay in the in-flight count until they end.  */
 static void
 reset_observations (struct wy_target *g)
 {
@@ -114,12 +124,12 @@
   g->unanswered = 0;
   g->avoid_until_ms = 0;
   g->reported_load = 0;
-  g->in_flight_then = 0;
+  g->in_flight_at_report = 0;
   g->reported_ms = 0;
   memset (g->pace, 0, sizeof g->pace);
 }
 
-/* Take in the entry INFO of a replica.  */
+/* Add or update a target from INFO, the replica's row in the list.  */
 struct wy_target *
 wy_targets_set (struct wy_targets *t, const struct wy_replica *info)
 {
@@ -144,13 +154,13 @@
     reset_observations (g);
   g->info = *info;
   g->listed = true;
-  /* Entries lag behind what answers have told: versions only rise.  */
+  /* Rows lag behind the versions seen in responses, which only increase.  */
   for (uint32_t i = 0; i < n_known; i++)
     wy_target_record_version (g, known[i].model, known[i].version);
   return g;
 }
 
-/* The replica ID has left the list.  */
+/* Mark the target ID as not listed.  It is freed when nothing refers to it. */
 void
 wy_targets_remove (struct wy_targets *t, const char *id)
 {
@@ -159,10 +169,10 @@
   if (!g)
     return;
   g->listed = false;
-  collect (t, g);
+  free_if_unused (t, g);
 }
 
-/* The target ID; NULL: not known.  */
+/* Find the target ID; NULL: not known.  */
 struct wy_target *
 wy_targets_find (struct wy_targets *t, const char *id)
 {
@@ -175,7 +185,7 @@
   return g->listed && !g->info.draining && !strcmp (g->info.service, service);
 }
 
-/* Tell FN of each target that is known.  */
+/* Call FN for each known target.  */
 void
 wy_targets_each (const struct wy_targets *t,
                  void (*fn) (void *ctx, const struct wy_target *g), void *ctx)
@@ -188,7 +198,7 @@
     fn (ctx, g);
 }
 
-/* Number of targets of SERVICE that take work.  */
+/* Number of targets of SERVICE that are listed and not draining.  */
 uint32_t
 wy_targets_count_ready (const struct wy_targets *t, const char *service)
 {
@@ -202,7 +212,7 @@
   return n;
 }
 
-/* The version of MODEL that G was last known to have; 0: not known.  */
+/* Version of MODEL's weights that G was last known to have; 0: not known.  */
 int64_t
 wy_target_version (const struct wy_target *g, const char *model)
 {
@@ -212,7 +222,7 @@
   return 0;
 }
 
-/* G has answered under VERSION of MODEL.  */
+/* Record that G has responded with VERSION of MODEL's weights.  */
 void
 wy_target_record_version (struct wy_target *g, const char *model,
                           int64_t version)
@@ -235,21 +245,21 @@
   return false;
 }
 
-/* Requests at G, of all callers, as far as this entry can tell.  */
+/* Estimated number of requests of all entries at G.  */
 static uint32_t
-load_of (const struct wy_target *g, int64_t now_ms)
+estimated_load (const struct wy_target *g, int64_t now_ms)
 {
   int64_t load;
 
-  if (g->reported_ms == 0 || now_ms - g->reported_ms > LOAD_TRUST_MS)
+  if (g->reported_ms == 0 || now_ms - g->reported_ms > LOAD_VALID_MS)
     return g->in_flight;
-  load = (int64_t)g->reported_load + g->in_flight - g->in_flight_then;
+  load = (int64_t)g->reported_load + g->in_flight - g->in_flight_at_report;
   return load > (int64_t)g->in_flight ? (uint32_t)load : g->in_flight;
 }
 
-/* Slots of G that the request of P may take; at least one.  */
+/* Number of slots of G that may be used under the criteria P; at least 1.  */
 static uint32_t
-slots_of (const struct wy_target *g, const struct wy_target_criteria *p)
+usable_slots (const struct wy_target *g, const struct wy_target_criteria *p)
 {
   uint32_t n = p->slots_share > 0 ? (uint32_t)(g->info.slots * p->slots_share)
                                   : g->info.slots;
@@ -260,21 +270,21 @@
   return n ? n : 1;
 }
 
-/* Time of a unit of WORK at G; UNKNOWN_MS when there is no fresh proof.  */
+/* Pace of G at WORK in ms; UNKNOWN_MS if there is no recent sample.  */
 static double
-pace_of (const struct wy_target *g, enum wy_work work, double unknown_ms,
+pace_of (const struct wy_target *g, enum wy_work_kind work, double unknown_ms,
          int64_t now_ms)
 {
-  const struct wy_pace *p = &g->pace[work];
+  const struct wy_work_pace *p = &g->pace[work];
 
-  if (p->ms <= 0 || now_ms - p->seen_ms > PACE_TRUST_MS)
+  if (p->ms <= 0 || now_ms - p->seen_ms > PACE_VALID_MS)
     return unknown_ms;
   return p->ms;
 }
 
 static bool
-fits (const struct wy_target *g, const struct wy_target_criteria *p,
-      int64_t now_ms)
+is_eligible (const struct wy_target *g, const struct wy_target_criteria *p,
+             int64_t now_ms)
 {
   if (!is_ready (g, p->service) || was_tried (p, g))
     return false;
@@ -282,43 +292,44 @@
     return false;
   if (p->model && p->min_version > wy_target_version (g, p->model))
     return false;
-  if (p->require_free_slot && load_of (g, now_ms) >= slots_of (g, p))
+  if (p->require_free_slot
+      && estimated_load (g, now_ms) >= usable_slots (g, p))
     return false;
   if (p->pace_limit_ms > 0
       && pace_of (g, p->work, 0, now_ms) > p->pace_limit_ms)
     return false;
-  /* After a failure one request at a time shows whether it is back.  */
+  /* After a failure or rejection, probe with one request at a time.  */
   if ((g->failures && g->in_flight) || (g->refusals && g->unanswered))
     return false;
   return now_ms >= g->avoid_until_ms;
 }
 
-/* Expected cost of one more request on G: its pace, rising a little with the
-   load while there are free slots, since a larger batch is a slower one, and
-   steeply beyond, where the request would wait for another to end.  */
+/* Expected cost of one more request on G: its pace, increasing slightly with
+   the load while there are free slots, since a larger batch is slower, and
+   steeply beyond, where the request would wait for another to finish.  */
 static double
 cost_of (const struct wy_targets *t, const struct wy_target *g,
-         const struct wy_target_criteria *p, double typical_ms, int64_t now_ms)
+         const struct wy_target_criteria *p, double median_ms, int64_t now_ms)
 {
-  double pace = pace_of (g, p->work, typical_ms, now_ms);
-  double load = (double)load_of (g, now_ms) / g->info.slots;
+  double pace = pace_of (g, p->work, median_ms, now_ms);
+  double load = (double)estimated_load (g, now_ms) / g->info.slots;
   double cost = pace * (1 + load / 2);
 
   if (load >= 1)
-    cost += pace * queue_cost * load;
+    cost += pace * queueing_cost * load;
   if (p->model && p->newest_version > wy_target_version (g, p->model))
-    cost += pace * old_weights_cost;
-  if (!p->model && load < 1 && t->idle
-      && t->idle (t->idle_ctx, &g->info.address))
-    cost -= pace * idle_bonus;
+    cost += pace * older_weights_cost;
+  if (!p->model && load < 1 && t->idle_count
+      && t->idle_count (t->idle_count_ctx, &g->info.address))
+    cost -= pace * idle_connection_bonus;
   if (p->availability_zone
       && !strcmp (g->info.availability_zone, p->availability_zone))
-    cost -= pace * near_bonus;
+    cost -= pace * same_zone_bonus;
   return cost;
 }
 
 static int
-by_value (const void *a, const void *b)
+compare_values (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -326,20 +337,19 @@
   return x < y ? -1 : x > y;
 }
 
-/* The pace that most targets of SERVICE keep at WORK: the median over them,
-   which a few slow ones do not move; 1 when none is known, so that costs can
-   be compared.  */
+/* Median pace at WORK, in ms, of the targets of SERVICE, which a few slow
+   targets don't affect; 1 if none is known, so that costs can be compared.  */
 double
 wy_targets_median_pace_ms (const struct wy_targets *t, const char *service,
-                           enum wy_work work)
+                           enum wy_work_kind work)
 {
-  double pace[TYPICAL_MAX];
+  double pace[MEDIAN_SAMPLE_MAX];
   GHashTableIter it;
   gpointer p;
   uint32_t n = 0;
 
   g_hash_table_iter_init (&it, t->by_id);
-  while (g_hash_table_iter_next (&it, NULL, &p) && n < TYPICAL_MAX)
+  while (g_hash_table_iter_next (&it, NULL, &p) && n < MEDIAN_SAMPLE_MAX)
     {
       const struct wy_target *g = p;
 
@@ -348,19 +358,19 @@
     }
   if (n == 0)
     return 1;
-  qsort (pace, n, sizeof *pace, by_value);
+  qsort (pace, n, sizeof *pace, compare_values);
   return pace[(n - 1) / 2];
 }
 
-/* Choose the target for a request.  It answers bursts that would pile up on
-   one replica and single replicas that have turned slow: the one with the
-   least expected cost gets the work, ties fall by chance so that the entries
-   do not all choose the same.  NULL: none fits now.  */
+/* Choose the target for a request that meets P and has the least expected
+   cost; this spreads bursts over the replicas and avoids slow ones.  Ties are
+   broken at random, so that the entries don't all choose the same target.
+   NULL: no target is suitable now.  */
 struct wy_target *
 wy_targets_pick (struct wy_targets *t, const struct wy_target_criteria *p,
                  int64_t now_ms)
 {
-  double typical_ms = wy_targets_median_pace_ms (t, p->service, p->work);
+  double median_ms = wy_targets_median_pace_ms (t, p->service, p->work);
   struct wy_target *best = NULL;
   double best_cost = 0;
   uint32_t ties = 0;
@@ -373,9 +383,9 @@
       struct wy_target *g = v;
       double cost;
 
-      if (!fits (g, p, now_ms))
+      if (!is_eligible (g, p, now_ms))
         continue;
-      cost = cost_of (t, g, p, typical_ms, now_ms);
+      cost = cost_of (t, g, p, median_ms, now_ms);
       if (!best || cost < best_cost)
         {
           best = g;
@@ -388,22 +398,22 @@
   return best;
 }
 
-/* Keep G while something points to it.  */
+/* Add a reference to G, which keeps it allocated.  */
 void
 wy_target_ref (struct wy_target *g)
 {
-  g->held++;
+  g->refs++;
 }
 
-/* Undo wy_target_ref.  */
+/* Drop a reference to G, which may free it.  */
 void
 wy_target_unref (struct wy_targets *t, struct wy_target *g)
 {
-  g->held--;
-  collect (t, g);
+  g->refs--;
+  free_if_unused (t, g);
 }
 
-/* A request goes to G.  */
+/* Record that a request is being sent to G.  */
 void
 wy_target_request_started (struct wy_target *g)
 {
@@ -411,7 +421,7 @@
   g->unanswered++;
 }
 
-/* G has begun to answer a request.  */
+/* Record that G has begun to respond to a request.  */
 void
 wy_target_response_started (struct wy_target *g)
 {
@@ -426,7 +436,7 @@
     g->avoid_until_ms = now_ms + ms;
 }
 
-/* A request at G has ended.  G may be freed by this.  */
+/* Record that a request at G has ended with OUTCOME.  This may free G.  */
 void
 wy_target_request_ended (struct wy_targets *t, struct wy_target *g,
                          enum wy_target_outcome outcome, int64_t now_ms)
@@ -443,20 +453,21 @@
     case WY_TARGET_CANCELLED:
       break;
     case WY_TARGET_REJECTED:
-      /* Requests turned away together are one refusal.  */
+      /* Requests rejected at the same time count once.  */
       if (now_ms >= g->avoid_until_ms)
         g->refusals++;
-      avoid (g,
-             MIN (AVOID_FULL_MS << MIN (g->refusals ? g->refusals - 1 : 0, 4),
-                  AVOID_FULL_MAX_MS),
-             now_ms);
+      avoid (
+          g,
+          MIN (AVOID_REJECTED_MS << MIN (g->refusals ? g->refusals - 1 : 0, 4),
+               AVOID_REJECTED_MAX_MS),
+          now_ms);
       break;
     case WY_TARGET_FAILED:
     case WY_TARGET_TIMED_OUT:
       {
         uint32_t n = MIN (g->failures, 3);
 
-        /* Requests that break together are one failure.  */
+        /* Requests that fail at the same time count once.  */
         if (now_ms >= g->avoid_until_ms)
           g->failures++;
         avoid (g, MIN (AVOID_MIN_MS << n, AVOID_MAX_MS), now_ms);
@@ -467,31 +478,32 @@
       avoid (g, AVOID_STALLED_MS, now_ms);
       break;
     case WY_TARGET_MISDIRECTED:
-      avoid (g, AVOID_ELSEWHERE_MS, now_ms);
+      avoid (g, AVOID_MISDIRECTED_MS, now_ms);
       break;
     }
-  collect (t, g);
+  free_if_unused (t, g);
 }
 
-/* G has told its load, that of this entry included.  */
+/* Record the LOAD that G has reported: the number of requests of all entries,
+   including this one.  */
 void
 wy_target_record_load (struct wy_target *g, uint32_t load, int64_t now_ms)
 {
   g->reported_load = load;
-  g->in_flight_then = g->in_flight;
+  g->in_flight_at_report = g->in_flight;
   g->reported_ms = now_ms;
 }
 
-/* G has done a unit of WORK in MS.  */
+/* Record that G took MS for a unit of WORK.  */
 void
-wy_target_record_pace (struct wy_target *g, enum wy_work work, double ms,
+wy_target_record_pace (struct wy_target *g, enum wy_work_kind work, double ms,
                        int64_t now_ms)
 {
-  struct wy_pace *p = &g->pace[work];
+  struct wy_work_pace *p = &g->pace[work];
 
-  if (p->ms <= 0 || now_ms - p->seen_ms > PACE_TRUST_MS)
+  if (p->ms <= 0 || now_ms - p->seen_ms > PACE_VALID_MS)
     p->ms = ms;
   else
-    p->ms += pace_weight * (ms - p->ms);
+    p->ms += pace_smoothing * (ms - p->ms);
   p->seen_ms = now_ms;
 }
--- a/tests/test_crashes.c
+++ b/tests/test_crashes.c
@@ -1,63 +1,63 @@
-/* Requests that crash the replicas that run them.  */
+/* Requests that crash the replicas that run them are blocked.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "gate/suspect_list.h"
 #include "gate/proxy.h"
+#include "gate/suspect_list.h"
 #include "support/job_world.h"
 
 enum
 {
-  FP = 77
+  FINGERPRINT = 77
 };
 
 static const int64_t s_ms = 1000;
 static const int64_t ttl_ms = 1800000; /* of a suspicion */
 
-/* A network drops connections now and then, and the same request may be hit
-   by it twice.  Its caller must not be refused for that: only a target that
-   leaves the list, or starts anew, has crashed.  */
+/* The same request may lose its connection several times by network faults and
+   must not be blocked for that: only a target that is removed from the list,
+   or restarts, has crashed.  */
 Test (crashes, lost_connections_do_not_count)
 {
   static struct wy_crash_tracker w;
 
   wy_crash_tracker_init (&w);
-  wy_crash_tracker_run_interrupted (&w, FP, "i-1", 0);
-  wy_crash_tracker_run_interrupted (&w, FP, "i-2", 10);
-  wy_crash_tracker_run_interrupted (&w, FP, "i-3", 20);
-  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 30));
+  wy_crash_tracker_run_interrupted (&w, FINGERPRINT, "i-1", 0);
+  wy_crash_tracker_run_interrupted (&w, FINGERPRINT, "i-2", 10);
+  wy_crash_tracker_run_interrupted (&w, FINGERPRINT, "i-3", 20);
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FINGERPRINT, 30));
   cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-9", 40), 0);
-  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 50));
-  /* Too long after to be the cause.  */
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FINGERPRINT, 50));
+  /* Too late for the lost connections to be the cause.  */
   cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-1", 60 * s_ms), 0);
   cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-2", 60 * s_ms), 0);
-  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 60 * s_ms));
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FINGERPRINT, 60 * s_ms));
 }
 
-/* One request takes down each replica that runs it, and comes again.  After
-   the second crash it is held back; another one that was hit by one of the
-   crashes goes on.  */
-Test (crashes, second_crash_holds_back)
+/* A request crashes each replica that runs it and is sent again.  After the
+   second crash it must be blocked; another request that was running during one
+   of the crashes must not be.  */
+Test (crashes, second_crash_blocks)
 {
   static struct wy_crash_tracker w;
 
   wy_crash_tracker_init (&w);
-  wy_crash_tracker_run_interrupted (&w, FP, "i-1", 0);
-  wy_crash_tracker_run_interrupted (&w, FP + 1, "i-1", 0);
+  wy_crash_tracker_run_interrupted (&w, FINGERPRINT, "i-1", 0);
+  wy_crash_tracker_run_interrupted (&w, FINGERPRINT + 1, "i-1", 0);
   cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-1", 4 * s_ms), 0);
-  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 4 * s_ms));
-  wy_crash_tracker_run_interrupted (&w, FP, "i-2", 5 * s_ms);
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FINGERPRINT, 4 * s_ms));
+  wy_crash_tracker_run_interrupted (&w, FINGERPRINT, "i-2", 5 * s_ms);
   cr_expect_eq (wy_crash_tracker_target_crashed (&w, "i-2", 6 * s_ms), 1);
-  cr_expect (wy_crash_tracker_is_blocked (&w, FP, 7 * s_ms));
-  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP + 1, 7 * s_ms));
-  wy_crash_tracker_clear (&w, FP);
-  cr_expect_not (wy_crash_tracker_is_blocked (&w, FP, 7 * s_ms));
+  cr_expect (wy_crash_tracker_is_blocked (&w, FINGERPRINT, 7 * s_ms));
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FINGERPRINT + 1, 7 * s_ms));
+  wy_crash_tracker_clear (&w, FINGERPRINT);
+  cr_expect_not (wy_crash_tracker_is_blocked (&w, FINGERPRINT, 7 * s_ms));
 }
 
-/* The request is sent to one entry after the other, each of which sees one
-   replica crash.  What they tell each other must add up, and be forgotten in
-   the end though they go on telling each other.  */
-Test (crashes, entries_tell_each_other)
+/* The request is sent to two entries, each of which observes one crash.  The
+   crashes in the lists that they exchange must add up, and must expire
+   although the entries keep exchanging them.  */
+Test (crashes, entries_exchange_suspects)
 {
   static struct wy_crash_tracker a;
   static struct wy_crash_tracker b;
@@ -65,22 +65,22 @@
 
   wy_crash_tracker_init (&a);
   wy_crash_tracker_init (&b);
-  wy_crash_tracker_run_interrupted (&a, FP, "i-1", 0);
+  wy_crash_tracker_run_interrupted (&a, FINGERPRINT, "i-1", 0);
   wy_crash_tracker_target_crashed (&a, "i-1", 1);
-  wy_crash_tracker_run_interrupted (&b, FP, "i-2", 0);
+  wy_crash_tracker_run_interrupted (&b, FINGERPRINT, "i-2", 0);
   wy_crash_tracker_target_crashed (&b, "i-2", 1);
   for (; now_ms < 2 * ttl_ms
          && (now_ms < s_ms || wy_crash_tracker_has_suspects (&a));
        now_ms += s_ms)
     {
-      json_t *from_a = wy_crash_rows_encode (&a, now_ms);
-      json_t *from_b = wy_crash_rows_encode (&b, now_ms);
+      json_t *from_a = wy_suspect_list_encode (&a, now_ms);
+      json_t *from_b = wy_suspect_list_encode (&b, now_ms);
 
-      cr_expect_leq (wy_crash_rows_learn (&a, from_b, now_ms), 1);
-      cr_expect_leq (wy_crash_rows_learn (&b, from_a, now_ms), 1);
-      cr_expect_eq (wy_crash_tracker_is_blocked (&a, FP, now_ms),
+      cr_expect_leq (wy_suspect_list_merge (&a, from_b, now_ms), 1);
+      cr_expect_leq (wy_suspect_list_merge (&b, from_a, now_ms), 1);
+      cr_expect_eq (wy_crash_tracker_is_blocked (&a, FINGERPRINT, now_ms),
                     now_ms <= ttl_ms);
-      cr_expect_eq (wy_crash_tracker_is_blocked (&b, FP, now_ms),
+      cr_expect_eq (wy_crash_tracker_is_blocked (&b, FINGERPRINT, now_ms),
                     now_ms <= ttl_ms);
       json_decref (from_a);
       json_decref (from_b);
@@ -88,8 +88,8 @@
   cr_expect_lt (now_ms, 4000 * s_ms);
 }
 
-/* What another entry tells can't be read.  It must do no harm.  */
-Test (crashes, unreadable_is_nothing)
+/* An invalid list from another entry must be ignored.  */
+Test (crashes, invalid_list_is_ignored)
 {
   static const char *const texts[]
       = { "[]",
@@ -106,10 +106,10 @@
     {
       json_t *j = json_loads (texts[i], 0, NULL);
 
-      cr_expect_eq (wy_crash_rows_learn (&w, j, 0), 0);
+      cr_expect_eq (wy_suspect_list_merge (&w, j, 0), 0);
       json_decref (j);
     }
-  cr_expect_eq (wy_crash_rows_learn (&w, NULL, 0), 0);
+  cr_expect_eq (wy_suspect_list_merge (&w, NULL, 0), 0);
 }
 
 static struct platform_world w;
@@ -124,7 +124,7 @@
 }
 
 static struct platform_answer *
-ask (const char *body)
+send_request (const char *body)
 {
   struct wy_h1_header fields[] = { { "Host", "h" },
                                    { "Attempt-Id", "a-1" },
@@ -136,10 +136,10 @@
   return a;
 }
 
-/* A caller's request has crashed two replicas, and it sends the request
-   again.  It is refused at once as not run, with a time to come back, and no
-   further replica sees it; others' requests are served.  */
-Test (crashes, request_is_refused)
+/* A request has crashed two replicas and is sent again.  It must be rejected
+   at once with 503 and Retry-After, and reach no further replica.  Other
+   requests are served.  */
+Test (crashes, request_is_rejected)
 {
   struct wy_h1_server_options o
       = { .loop = &w.loop,
@@ -156,7 +156,7 @@
   for (int i = 0; i < 3; i++)
     wy_platform_replica_faults (platform_world_add_replica (&w, NULL, 0))->lose
         = 1;
-  a = ask ("bad");
+  a = send_request ("bad");
   cr_expect_eq (a->status, 502);
   platform_answer_free (a);
   for (uint32_t i = 0; i < 3; i++)
@@ -170,7 +170,7 @@
   runs = wy_platform_replica_runs (w.replicas[0])
          + wy_platform_replica_runs (w.replicas[1])
          + wy_platform_replica_runs (w.replicas[2]);
-  a = ask ("bad");
+  a = send_request ("bad");
   cr_expect_eq (a->status, 503);
   cr_expect_not_null (a->retry_after);
   cr_expect_eq (*w.env.count.held_back, 1);
@@ -180,16 +180,16 @@
                 runs);
   platform_answer_free (a);
   platform_world_run_ms (&w, 300);
-  a = ask ("good");
+  a = send_request ("good");
   cr_expect_eq (a->status, 200);
   platform_answer_free (a);
   wy_h1_server_free (server);
   platform_world_free (&w);
 }
 
-/* Another entry saw two replicas crash under an item before it lost the job.
-   The one that takes the job over must not start with a third crash; the
-   item waits, its neighbours run.  */
+/* Another entry observed two crashes under an item before it lost the job. The
+   entry that takes over the job must not cause a third one: the item waits,
+   the other items run.  */
 Test (crashes, item_waits)
 {
   struct wy_crash_tracker *watch = &job_world.env.crashes;
@@ -210,10 +210,10 @@
   job_world_stop ();
 }
 
-/* An item's runs break off one after another before they begin.  The first
-   ones are tried again at once, since connections are lost for many reasons;
-   if it goes on, each try may cost a replica, and they must become rare.  */
-Test (crashes, runs_become_rare)
+/* An item's runs fail repeatedly before the first event.  The first ones are
+   retried at once, since connections are lost for many reasons; if failures
+   continue, each run may crash a replica, so the backoff must grow.  */
+Test (crashes, backoff_grows)
 {
   int64_t at_ms = 0;
   uint32_t runs = 0;
--- a/tests/test_gate.c
+++ b/tests/test_gate.c
@@ -1,4 +1,5 @@
-/* A whole gate: its doors, and what it says when it can't be sure.  */
+/* A complete gate: its listeners, and its responses when its configuration may
+   be out of date.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -38,7 +39,7 @@
 static bool
 is_ready (void *ctx)
 {
-  return gate->env.routing && wy_watch_is_synced (gate->replicas);
+  return gate->env.routing && wy_watch_is_synced (gate->replica_watch);
 }
 
 static void
@@ -91,10 +92,10 @@
 }
 
 static struct platform_answer *
-ask (int door, const char *target)
+send_request (int listener, const char *target)
 {
   struct wy_h1_header fields[] = { { "Host", "h" }, { "Attempt-Id", "a-1" } };
-  uint16_t port = (uint16_t)atoi (strchr (addresses[door], ':') + 1);
+  uint16_t port = (uint16_t)atoi (strchr (addresses[listener], ':') + 1);
   struct platform_answer *a
       = platform_world_call (&w, port, "GET", target, fields, 2, NULL);
 
@@ -105,7 +106,7 @@
 static int
 status_of (const char *target)
 {
-  struct platform_answer *a = ask (CALLERS, target);
+  struct platform_answer *a = send_request (CALLERS, target);
   int status = a->status;
 
   cr_expect_eq (a->retry_after != NULL, status == 503);
@@ -113,10 +114,10 @@
   return status;
 }
 
-/* An entry is paused, or cut off from the store, while a route is added.  Its
-   caller must not hear that there is no such route, after which it would not
-   come again, but that it may come back; what is known is served.  */
-Test (gate, unknown_route_while_cut_off)
+/* A route is added while the entry is paused or can't reach the store.  Its
+   callers must not get 404, after which they would not retry, but 503 with
+   Retry-After.  Known routes are still served.  */
+Test (gate, unknown_route_while_store_unreachable)
 {
   start ();
   cr_expect_eq (status_of ("/p/x"), 200);
@@ -131,8 +132,8 @@
   stop ();
 }
 
-/* What became of requests shows on the metrics page, by route and outcome,
-   and how calls to the store ended.  */
+/* The metrics count requests by route and outcome, and store calls by
+   outcome.  */
 Test (gate, metrics)
 {
   struct platform_answer *a;
@@ -140,7 +141,7 @@
 
   start ();
   cr_expect_eq (status_of ("/p/x"), 200);
-  a = ask (METRICS, "/metrics");
+  a = send_request (METRICS, "/metrics");
   text = a->body->str;
   cr_expect_not_null (strstr (text,
                               "wy_gate_requests_ended_total{route=\"desk\","
@@ -155,7 +156,7 @@
   stop ();
 }
 
-/* An operator asks one entry what it believes and how old that is.  */
+/* The status shows the configuration, entries and replicas, and their age.  */
 Test (gate, status)
 {
   struct platform_answer *a;
@@ -164,7 +165,7 @@
   start ();
   cr_expect_eq (status_of ("/p/x"), 200);
   platform_world_run_ms (&w, 800);
-  a = ask (METRICS, "/v1/status");
+  a = send_request (METRICS, "/v1/status");
   doc = json_loads (a->body->str, 0, NULL);
   cr_assert_not_null (doc, "%s", a->body->str);
   cr_expect_eq (json_integer_value (json_object_get (
--- a/tests/test_gate_decide.c
+++ b/tests/test_gate_decide.c
@@ -1,11 +1,11 @@
-/* Decisions of an entry without any input or output: routes, turns to load
-   weights, events of a stream.  */
+/* Parts of an entry that do no input or output: routing, the choice of
+   replicas that load new weights, parsing of server-sent events.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
 #include "decide/weight_loading.h"
-#include "gate/sse.h"
 #include "gate/routing.h"
+#include "gate/sse.h"
 
 static struct wy_route *
 route (struct wy_routing *r, const char *host, const char *prefix,
@@ -71,10 +71,10 @@
   wy_routing_free (r);
 }
 
-/* Replicas that load a version of one model at a time.  */
+/* Number of replicas that load VERSION of a model; OUT tells which.  */
 static uint32_t
-loaders (uint32_t replicas, uint32_t models, uint32_t model, int64_t version,
-         uint32_t lag, bool *out)
+count_loading (uint32_t replicas, uint32_t models, uint32_t model,
+               int64_t version, uint32_t lag, bool *out)
 {
   uint32_t n = 0;
 
@@ -94,11 +94,11 @@
   return n;
 }
 
-/* A trainer names a version every few seconds.  Whatever the sizes, each
-   model must have a replica that loads each version, and with a lag of one a
-   replica that serves the step while the others load; else a step waits for
-   weights.  */
-Test (load_turn, every_version_has_a_replica)
+/* A trainer publishes a version every few seconds.  For any number of replicas
+   and models, each model must have a replica that loads each version, and with
+   a lag of one also a replica that serves the step meanwhile; otherwise a step
+   waits for weights.  */
+Test (weight_loading, every_version_has_a_replica)
 {
   bool now[64];
   bool next[64];
@@ -107,34 +107,35 @@
     for (uint32_t models = 1; models <= 4; models++)
       for (uint32_t m = 0; m < models; m++)
         {
-          uint32_t a = loaders (replicas, models, m, 6, 1, now);
-          uint32_t b = loaders (replicas, models, m, 7, 1, next);
+          uint32_t a = count_loading (replicas, models, m, 6, 1, now);
+          uint32_t b = count_loading (replicas, models, m, 7, 1, next);
           uint32_t both = 0;
 
           for (uint32_t i = 0; i < replicas; i++)
             both += now[i] && next[i];
           cr_assert_gt (a, 0, "%u replicas, %u models", replicas, models);
           cr_assert_gt (b, 0, "%u replicas, %u models", replicas, models);
-          /* With two or more replicas a model, none loads twice in a row.  */
+          /* With at least two replicas per model, none loads two versions in
+             succession.  */
           if (replicas >= 2 * models)
             cr_assert_eq (both, 0, "%u replicas, %u models", replicas, models);
         }
 }
 
-/* Jobs that want the newest weights need all of the model's replicas.  */
-Test (load_turn, no_lag_loads_every_version)
+/* Jobs that require the newest weights need all of the model's replicas.  */
+Test (weight_loading, no_lag_loads_every_version)
 {
   bool now[12];
   bool next[12];
 
-  cr_expect_eq (loaders (12, 1, 0, 6, 0, now), 12);
-  cr_expect_eq (loaders (12, 1, 0, 7, 0, next), 12);
+  cr_expect_eq (count_loading (12, 1, 0, 6, 0, now), 12);
+  cr_expect_eq (count_loading (12, 1, 0, 7, 0, next), 12);
   cr_expect_arr_eq (now, next, sizeof now);
 }
 
-/* More loads at a time than the store of weights feeds slow each other down:
-   turns are spread over time.  */
-Test (load_turn, few_at_a_time)
+/* Loads that exceed the bandwidth of the weights store slow each other down,
+   so they are spread over time.  */
+Test (weight_loading, few_at_a_time)
 {
   uint32_t at[16] = { 0 };
 
@@ -174,9 +175,9 @@
     s->version = ev->version;
 }
 
-/* Bytes arrive in any pieces; events must come out whole whatever the cuts,
-   and half an event never.  */
-Test (events, whole_whatever_the_cuts)
+/* However the input is split, each complete event must be reported once, and
+   an incomplete one never.  */
+Test (sse, events_are_complete_for_any_split)
 {
   static const char stream[]
       = "id: 1\ndata: a\n\n"
--- a/tests/test_gate_targets.c
+++ b/tests/test_gate_targets.c
@@ -1,4 +1,4 @@
-/* The choice of targets by an entry, without any input or output.  */
+/* The choice of targets by an entry.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -27,8 +27,8 @@
 
 static const struct wy_target_criteria any = { .service = "svc" };
 
-/* A burst of requests arrives at once.  They must spread over the replicas,
-   or the callers behind the busiest one wait while others idle.  */
+/* Requests that arrive in a burst must spread over the replicas; otherwise
+   some wait for the busiest replica while others are idle.  */
 Test (targets, burst_spreads)
 {
   struct wy_targets *t = wy_targets_new (1);
@@ -47,10 +47,10 @@
   return a->sin_port == *(const uint16_t *)ctx;
 }
 
-/* Few requests come, each of which would open a connection to whichever of
-   the equal replicas it falls to.  The one with an open connection gets them,
-   until its load outweighs that.  */
-Test (targets, open_connection_is_used_again)
+/* At a low request rate a replica with an idle connection is preferred to an
+   equal one without, so that no new connection is opened, until its load
+   outweighs that.  */
+Test (targets, idle_connection_is_reused)
 {
   static const uint16_t port = 7;
   struct wy_targets *t = wy_targets_new (1);
@@ -58,7 +58,7 @@
   struct wy_target *b = add (t, "b");
 
   b->info.address.sin_port = port;
-  wy_targets_watch_idle (t, idle_to_b, &port);
+  wy_targets_set_idle_count (t, idle_to_b, &port);
   wy_target_request_started (b);
   cr_expect_eq (wy_targets_pick (t, &any, 0), b);
   wy_target_request_started (b);
@@ -67,10 +67,9 @@
   wy_targets_free (t);
 }
 
-/* One replica has turned four times slower than the others.  It must get
-   little of the work while they have free slots, and be tried again after a
-   while.  */
-Test (targets, slow_one_gets_little)
+/* A replica becomes four times slower than the others.  It must get no work
+   while they have free slots, and be tried again after a while.  */
+Test (targets, slow_target_is_avoided)
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *slow = add (t, "slow");
@@ -86,14 +85,14 @@
   cr_expect_gt (a->in_flight, 0);
   cr_expect_gt (b->in_flight, 0);
   wy_target_request_ended (t, a, WY_TARGET_ANSWERED, 20);
-  /* Proof of its slowness is old by now.  */
+  /* Its pace is out of date by now.  */
   cr_expect_eq (wy_targets_pick (t, &any, 60000), slow);
   wy_targets_free (t);
 }
 
-/* A replica that failed, was slow and was full restarts under its id.  What
-   was observed of the former process must not keep work from the new one, and
-   the former's weights must not count as loaded.  */
+/* A replica that failed, was slow and at capacity restarts under its id.  What
+   was observed of the previous process must not keep work from the new one,
+   and weights loaded by the previous one must not count as loaded.  */
 Test (targets, restart_resets_observations)
 {
   struct wy_targets *t = wy_targets_new (1);
@@ -120,18 +119,19 @@
   cr_expect_eq (g->refusals, 0);
   cr_expect_eq (g->unanswered, 0);
   cr_expect_eq (g->reported_ms, 0);
-  for (int k = 0; k < WY_WORKS; k++)
+  for (int k = 0; k < WY_WORK_KINDS; k++)
     cr_expect_eq (g->pace[k].ms, 0);
-  /* The former process's request still counts until it ends.  */
+  /* The request to the previous process counts until it ends.  */
   cr_expect_eq (g->in_flight, 1);
   wy_target_request_ended (t, g, WY_TARGET_FAILED, 30);
   cr_expect_eq (g->in_flight, 0);
   wy_targets_free (t);
 }
 
-/* A service answers people and scores texts, which takes eight times as long.
-   A replica that has scored lately must not look slow to people, nor one that
-   is slow at it good to the next text.  */
+/* A service handles callers' requests and scores texts, which takes several
+   times as long.  A replica that has scored recently must not count as slow
+   for requests, and one that is slow at scoring must not be chosen for it
+   because it is fast at requests.  */
 Test (targets, kinds_of_work_have_their_own_pace)
 {
   struct wy_targets *t = wy_targets_new (1);
@@ -149,10 +149,10 @@
   wy_targets_free (t);
 }
 
-/* Work that can wait here leaves slots of each replica to people, whose
-   entries do not know which has one; but a replica with a single slot is not
-   closed to it.  */
-Test (targets, slots_left_to_others)
+/* Work that can wait leaves slots of each replica free for callers' requests,
+   since other entries don't know which replica has a free slot.  A replica
+   with as few slots as are to be left free still gets one such request.  */
+Test (targets, reserved_slots)
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *a = add (t, "a");
@@ -179,9 +179,10 @@
   wy_targets_free (t);
 }
 
-/* A replica has crashed: each request sent to it costs the time to connect.
-   It is left alone for a while, then tried with one request, then trusted.  */
-Test (targets, broken_one_is_tried_once)
+/* Each request to a crashed replica costs the time to connect.  The replica is
+   avoided for a while, then gets one request, and further ones only after that
+   has succeeded.  */
+Test (targets, failed_target_is_probed_with_one_request)
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *g = add (t, "a");
@@ -197,9 +198,9 @@
   wy_targets_free (t);
 }
 
-/* A replica that loads weights turns work away for about a second.  A whole
-   job must not knock at it.  */
-Test (targets, one_that_turns_away_is_tried_with_one)
+/* A replica that loads weights rejects work for about a second.  Meanwhile it
+   must get one request at a time, not all items of a job.  */
+Test (targets, rejecting_target_is_probed_with_one_request)
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *g = add (t, "a");
@@ -215,9 +216,9 @@
   wy_targets_free (t);
 }
 
-/* A replica announces that it leaves, or leaves the list without a word.
-   Nothing new goes to it; what runs there keeps its record.  */
-Test (targets, leaving_ones_get_nothing)
+/* A replica that is draining, or is no longer listed, gets no new requests.
+   Its record is kept until its requests have ended.  */
+Test (targets, draining_target_gets_no_requests)
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *g = add (t, "a");
@@ -235,10 +236,10 @@
   wy_targets_free (t);
 }
 
-/* A job allows no weights older than a bound.  Replicas known to be older get
-   none of it; among the others the newest weights win, since only their text
-   serves a later job.  */
-Test (targets, weights_decide)
+/* A job sets a minimum version of the weights.  Replicas with older weights
+   get none of its items; among the others the newest weights are preferred,
+   since only text from these can be reused by a later job.  */
+Test (targets, weights_versions)
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *old = add (t, "old");
@@ -257,7 +258,7 @@
     wy_target_request_started (fresh);
   cr_expect_eq (wy_targets_pick (t, &p, 0), mid);
   cr_expect_eq (old->in_flight, 0);
-  /* Entries lag: an older one does not undo what an answer has told.  */
+  /* A row with an older version doesn't replace one seen in a response.  */
   wy_targets_set (t, &(struct wy_replica){ .id = "mid",
                                            .service = "svc",
                                            .slots = SLOTS,
@@ -267,11 +268,12 @@
   wy_targets_free (t);
 }
 
-/* A step's items come at once, and half of the replicas have the newest
-   weights.  All on those would slow the longest items down, for which the step
-   waits; the others must get a share well before the first are full, but not
-   the first item.  */
-Test (targets, older_weights_take_their_share)
+/* The items of a step are submitted together, and only some of the replicas
+   have the newest weights.  If these got all items, the longest items, for
+   which the step waits, would become slower.  So replicas with older weights
+   must get a share well before the others are at capacity, but not the first
+   item.  */
+Test (targets, older_weights_get_a_share)
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *mid = add (t, "mid");
@@ -291,9 +293,9 @@
   wy_targets_free (t);
 }
 
-/* The load that a replica tells includes other entries' requests; without it
-   two entries would fill the same replica.  */
-Test (targets, told_load_counts)
+/* The load that a replica reports includes other entries' requests; without it
+   two entries would overload the same replica.  */
+Test (targets, reported_load_counts)
 {
   struct wy_targets *t = wy_targets_new (1);
   struct wy_target *a = add (t, "a");
