--- a/tests/test_members_fleet.c
+++ b/tests/test_members_fleet.c
@@ -1,4 +1,4 @@
-/* Membership of a fleet of entries on one store.  */
+/* Membership of many entries on one store.  */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -11,7 +11,8 @@
   ENTRIES_MAX = 128,
   MEASURED_MS = 1500,
   EPOCH_MS = 1000000,
-  /* Keeps heartbeats in time on a busy machine.  */
+  /* Factor by which the entries' clocks are slowed down, so that heartbeats
+     are in time on a busy machine.  */
   SLOWDOWN = 20
 };
 
@@ -29,7 +30,7 @@
 static struct entry entries[ENTRIES_MAX];
 static uint32_t n_entries;
 static uint32_t expected_alive;
-static uint32_t slowdown; /* of the entries' clocks */
+static uint32_t slowdown; /* factor, of the entries' clocks */
 
 static void
 entry_mono (const struct wy_clock *clock, struct timespec *out)
@@ -38,7 +39,7 @@
       = wy_timespec_from_ms (wy_clock_mono_ms (wy_clock_system ()) / slowdown);
 }
 
-/* The time of day follows the store's clock.  */
+/* Wall-clock time: the store's clock plus EPOCH_MS.  */
 static void
 entry_wall (const struct wy_clock *clock, struct timespec *out)
 {
@@ -146,7 +147,7 @@
   return n;
 }
 
-/* The mean number of rows read per poll in a fleet of N entries.  */
+/* The mean number of rows read per poll with N entries.  */
 static double
 rows_per_poll (uint32_t n)
 {
@@ -165,7 +166,7 @@
   return (double)rows / (double)n_polls;
 }
 
-/* Guards against reads per entry that grow with the size of the fleet.  */
+/* Guards against reads per entry that grow with the number of entries.  */
 Test (members_fleet, rows_read_do_not_grow, .timeout = 60)
 {
   double smallest = rows_per_poll (8);
@@ -181,8 +182,8 @@
   return !wy_members_holder_is_gone (entries[0].members, entries[3].holder);
 }
 
-/* Guards against failures and restarts that are seen only by the entries that
-   monitor the one concerned.  */
+/* Guards against failures and restarts that only the monitoring entries
+   observe.  */
 Test (members_fleet, failures_and_restarts_reach_all)
 {
   start_fleet (32, 1);
@@ -211,7 +212,7 @@
   return alive;
 }
 
-/* Guards against a live entry that stays marked as failed.  */
+/* Guards against an entry that is alive but stays marked as failed.  */
 Test (members_fleet, wrongly_marked_entry_recovers)
 {
   char part[WY_MEMBERS_PARTITION_SIZE_BYTES];
@@ -226,7 +227,7 @@
   stop_fleet ();
 }
 
-/* Guards against all entries choosing the same few relays.  */
+/* Guards against all entries relaying through the same few entries.  */
 Test (members_fleet, relays_spread)
 {
   uint32_t uses[ENTRIES_MAX] = { 0 };
@@ -236,7 +237,7 @@
   for (uint32_t i = 0; i < n_entries; i++)
     {
       struct sockaddr_in a[4];
-      size_t n = wy_members_addresses (entries[i].members, a, 4);
+      size_t n = wy_members_peer_addresses (entries[i].members, a, 4);
 
       cr_assert_eq (n, 4);
       for (size_t k = 0; k < n; k++)
--- a/tests/test_members_time.c
+++ b/tests/test_members_time.c
@@ -1,4 +1,4 @@
-/* What entries tell each other of the time, of usage and of load.  */
+/* Time, usage and load as reported between entries.  */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -18,7 +18,7 @@
 static struct wy_members *members;
 
 static void
-tell (int entry, int64_t epoch_ms, int64_t window, double busy)
+report (int entry, int64_t epoch_ms, int64_t window, double busy_slots)
 {
   char node[16];
   char value[256];
@@ -33,7 +33,7 @@
   snprintf (value, sizeof value,
             "{\"holder\":\"%s/1\",\"beat\":1,\"usage_complete\":%lld,"
             "\"busy\":{\"svc/z1\":%.2f}}",
-            node, (long long)window, busy);
+            node, (long long)window, busy_slots);
   wy_members_key (wy_hash64 (node, strlen (node), 0), key);
   wy_platform_store_put (w.store, WY_HEARTBEATS_TABLE, "0", key, value);
 }
@@ -69,13 +69,13 @@
   platform_world_free (&w);
 }
 
-/* The clocks of two entries have stepped.  Guards against windows of usage
-   that shift with them.  */
+/* The clocks of two entries have stepped.  Guards against usage windows that
+   shift with them.  */
 Test (members_time, stepped_clocks)
 {
   start ();
   for (int i = 0; i < ENTRIES; i++)
-    tell (i, EPOCH_MS + (i < 2 ? STEP_MS : i), 7, 0);
+    report (i, EPOCH_MS + (i < 2 ? STEP_MS : i), 7, 0);
   cr_assert (platform_world_until (&w, knows_all, NULL));
   platform_world_run_ms (&w, 300);
   cr_expect_geq (wy_members_epoch_ms (members), EPOCH_MS);
@@ -83,19 +83,21 @@
   stop ();
 }
 
-/* A window is complete when it is for each entry alive that counts.  */
+/* A usage window is complete when it is complete at each entry that is alive
+   and counts usage; busy slots are summed over the entries.  */
 Test (members_time, usage_complete)
 {
   start ();
   wy_members_publish_usage (members, 9);
   cr_expect_eq (wy_members_usage_complete (members), -1);
-  wy_members_follow_load (members, true);
+  wy_members_watch_load (members, true);
   for (int i = 0; i < ENTRIES; i++)
-    tell (i, EPOCH_MS, i == 3 ? 6 : i == 4 ? -1 : 8, 0.5);
+    report (i, EPOCH_MS, i == 3 ? 6 : i == 4 ? -1 : 8, 0.5);
   cr_assert (platform_world_until (&w, knows_all, NULL));
   cr_assert (platform_world_until (&w, knows_load, NULL));
   cr_expect_eq (wy_members_usage_complete (members), 6);
-  cr_expect_float_eq (wy_members_busy (members, "svc", "z1"), 3.5, 0.001);
-  cr_expect_eq (wy_members_busy (members, "svc", "z2"), 0);
+  cr_expect_float_eq (wy_members_busy_slots (members, "svc", "z1"), 3.5,
+                      0.001);
+  cr_expect_eq (wy_members_busy_slots (members, "svc", "z2"), 0);
   stop ();
 }
--- a/tests/test_proxy.c
+++ b/tests/test_proxy.c
@@ -1,4 +1,4 @@
-/* Callers' requests on their way to a replica and back.  */
+/* Forwarding of callers' requests to replicas.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -39,20 +39,20 @@
 }
 
 static struct platform_answer *
-send_request (const char *time_left)
+start_request (const char *time_left_ms)
 {
   struct wy_h1_header fields[] = { { "Host", "h" },
                                    { "Attempt-Id", "a-1" },
-                                   { "Deadline-Milliseconds", time_left } };
+                                   { "Deadline-Milliseconds", time_left_ms } };
 
   return platform_world_call (&w, wy_h1_server_port (server), "POST", "/p/x",
                               fields, 3, "hello");
 }
 
 static struct platform_answer *
-ask (const char *time_left)
+send_request (const char *time_left_ms)
 {
-  struct platform_answer *a = send_request (time_left);
+  struct platform_answer *a = start_request (time_left_ms);
 
   cr_assert (platform_world_until (&w, platform_answer_done, a));
   return a;
@@ -68,8 +68,8 @@
   return n;
 }
 
-/* Each row: what goes wrong at the first replica asked, for a request that may
-   run twice and for one that may not: the answer and how often it ran.  */
+/* Each row: a fault of the first replica, the kind of route, and the expected
+   status and number of runs.  */
 enum fault
 {
   NONE,
@@ -132,9 +132,9 @@
     }
 }
 
-/* A replica fails in one of its ways.  The caller must get the whole answer
-   to its own request, from another replica where the request may run again;
-   one that may not must never run twice.  */
+/* A replica has one of the faults.  The caller must get the complete response
+   to its own request, from another replica if the request may run again.  A
+   non-idempotent request must never run twice.  */
 Test (proxy, replica_faults)
 {
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++)
@@ -145,7 +145,8 @@
       inject (wy_platform_replica_faults (
                   platform_world_add_replica (&w, NULL, 0)),
               rows[i].fault);
-      /* The second has the same fault if it happens to be asked first.  */
+      /* The second replica is in another availability zone, so that the faulty
+         one is chosen first.  */
       a = NULL;
       if (rows[i].fault != NONE)
         {
@@ -157,7 +158,7 @@
                      sizeof far.availability_zone);
           wy_targets_set (w.env.targets, &far);
         }
-      a = ask ("1500");
+      a = send_request ("1500");
       cr_expect_eq (a->status, rows[i].status, "row %zu: %d", i, a->status);
       if (a->status == 200)
         cr_expect_str_eq (a->body->str, "hello", "row %zu", i);
@@ -168,26 +169,26 @@
     }
 }
 
-/* No replica is left.  The caller must hear so at once and when to come back;
-   waiting for its time limit would help nobody.  */
-Test (proxy, no_target_is_told_at_once)
+/* Without a replica the request must be rejected at once with Retry-After, not
+   at its deadline.  */
+Test (proxy, no_target_fails_at_once)
 {
   struct platform_answer *a;
-  int64_t began_ms;
+  int64_t started_ms;
 
   start (WY_ROUTE_IDEMPOTENT, 2);
-  began_ms = wy_clock_mono_ms (wy_clock_system ());
-  a = ask ("10000");
+  started_ms = wy_clock_mono_ms (wy_clock_system ());
+  a = send_request ("10000");
   cr_expect_eq (a->status, 503);
   cr_expect_not_null (a->retry_after);
-  cr_expect_lt (wy_clock_mono_ms (wy_clock_system ()) - began_ms, 5000);
+  cr_expect_lt (wy_clock_mono_ms (wy_clock_system ()) - started_ms, 5000);
   platform_answer_free (a);
   stop ();
 }
 
-/* Both replicas that may be asked say nothing.  At its time limit the caller
-   gets an answer that does not claim that the request has not run.  */
-Test (proxy, silence_ends_at_the_time_limit)
+/* Neither replica responds.  At its deadline the caller must get a response
+   that does not claim that the request has not run.  */
+Test (proxy, unresponsive_replicas_time_out)
 {
   struct platform_answer *a;
 
@@ -196,16 +197,16 @@
     wy_platform_replica_faults (platform_world_add_replica (&w, NULL, 0))
         ->silent
         = true;
-  a = ask ("500");
+  a = send_request ("500");
   cr_expect_eq (a->status, 504);
   cr_expect_null (a->stamp);
   platform_answer_free (a);
   stop ();
 }
 
-/* The first replica has gone silent.  A request that may run twice must be
-   answered by the second long before the time limit.  */
-Test (proxy, silent_replica_is_hedged)
+/* The first replica does not respond.  An idempotent request must get the
+   second replica's response long before the deadline.  */
+Test (proxy, unresponsive_replica_is_hedged)
 {
   struct platform_answer *a;
   struct wy_replica far;
@@ -217,16 +218,17 @@
   far = wy_targets_find (w.env.targets, "i-2")->info;
   g_strlcpy (far.availability_zone, "far", sizeof far.availability_zone);
   wy_targets_set (w.env.targets, &far);
-  a = ask ("1900");
+  a = send_request ("1900");
   cr_expect_eq (a->status, 200);
   cr_expect_eq (*w.env.count.hedges, 1);
   platform_answer_free (a);
   stop ();
 }
 
-/* A replica stays silent.  Each caller that happens on it waits until another
-   is asked; after the first has, the next ones must go elsewhere at once.  */
-Test (proxy, silent_replica_is_left_alone)
+/* A replica does not respond.  After the first request sent to it was hedged,
+   the next ones must go to another replica at once, or each caller would wait
+   for the hedge.  */
+Test (proxy, unresponsive_replica_is_avoided)
 {
   struct platform_answer *a;
   struct wy_replica far;
@@ -238,19 +240,19 @@
   far = wy_targets_find (w.env.targets, "i-2")->info;
   g_strlcpy (far.availability_zone, "far", sizeof far.availability_zone);
   wy_targets_set (w.env.targets, &far);
-  a = ask ("1900");
+  a = send_request ("1900");
   platform_answer_free (a);
   cr_assert_eq (*w.env.count.hedges, 1);
-  a = ask ("1900");
+  a = send_request ("1900");
   cr_expect_eq (a->status, 200);
   cr_expect_eq (*w.env.count.hedges, 1);
   platform_answer_free (a);
   stop ();
 }
 
-/* A stream breaks off in the middle of an event.  The caller must see each
-   event once and whole, from whichever replica, and a proper end.  */
-Test (proxy, stream_goes_on_elsewhere)
+/* A stream is interrupted in the middle of an event.  The caller must get each
+   event complete and once, from any replica, and a regular end.  */
+Test (proxy, interrupted_stream_resumes_on_another_replica)
 {
   struct platform_answer *a;
   GString *want = g_string_new (NULL);
@@ -265,7 +267,7 @@
       f->cuts = 1;
       f->cut_after = 3;
     }
-  a = ask ("1900");
+  a = send_request ("1900");
   for (uint32_t i = 1; i <= 8; i++)
     g_string_append_printf (want, "id: %u\ndata: %s\n\n", i,
                             wy_platform_replica_text (i, text, sizeof text));
@@ -289,7 +291,7 @@
   return wy_platform_replica_running (ctx) > 0;
 }
 
-/* The caller hangs up.  The replica must be told, or it works for nobody.  */
+/* When the caller hangs up, the run on the replica must be cancelled.  */
 Test (proxy, hangup_reaches_the_replica)
 {
   struct platform_answer *a;
@@ -297,7 +299,7 @@
 
   start (WY_ROUTE_STREAM, 2);
   r = platform_world_add_replica (&w, "m", 1000);
-  a = send_request ("1900");
+  a = start_request ("1900");
   cr_assert (platform_world_until (&w, something_runs, r));
   platform_answer_free (a);
   cr_expect (platform_world_until (&w, nothing_runs, r));
