--- a/fuzz/fuzz_settings.c
+++ b/fuzz/fuzz_settings.c
@@ -15,13 +15,13 @@
 };
 
 static const struct wy_setting table[] = {
-  { "name", WY_SETTING_TEXT, offsetof (struct fields, name), NULL, 0, 0, NULL,
-    NULL, "" },
-  { "limit_ms", WY_SETTING_NUMBER, offsetof (struct fields, limit_ms), "1", 1,
+  { "name", WY_SETTING_STRING, offsetof (struct fields, name), NULL, 0, 0,
+    NULL, NULL, "" },
+  { "limit_ms", WY_SETTING_INTEGER, offsetof (struct fields, limit_ms), "1", 1,
     1000, NULL, "ms", "" },
   { "share", WY_SETTING_REAL, offsetof (struct fields, share), "0.5", 0, 1,
     NULL, NULL, "" },
-  { "on", WY_SETTING_SWITCH, offsetof (struct fields, on), "false", 0, 0, NULL,
+  { "on", WY_SETTING_BOOL, offsetof (struct fields, on), "false", 0, 0, NULL,
     NULL, "" },
   { "peers", WY_SETTING_LIST, offsetof (struct fields, peers), NULL, 0, 0,
     NULL, NULL, "" },
--- a/src/agent/control.c
+++ b/src/agent/control.c
@@ -49,7 +49,7 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_answer *a)
+on_answer (void *ctx, const struct wy_http_response *a)
 {
   struct control *c = ctx;
   struct wy_run *r = run_of (c);
--- a/src/agent/drain.c
+++ b/src/agent/drain.c
@@ -66,7 +66,7 @@
 void
 wy_agent_drain_configured (struct wy_agent *a, const struct wy_document *d)
 {
-  a->drain_configured = wy_document_drained (d, a->s->name);
+  a->drain_configured = wy_document_is_drained (d, a->s->name);
   settle (a);
 }
 
--- a/src/agent/orders.c
+++ b/src/agent/orders.c
@@ -68,7 +68,7 @@
 /* What the engine's answer means.  A swap that failed leaves the old version
    in force, which the answer names.  */
 static int32_t
-result_of (struct order *o, const struct wy_http_answer *answer,
+result_of (struct order *o, const struct wy_http_response *answer,
            const json_t *body)
 {
   struct wy_agent *a = o->agent;
@@ -89,7 +89,7 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_answer *http)
+on_answer (void *ctx, const struct wy_http_response *http)
 {
   struct order *o = ctx;
   json_t *body
--- a/src/agent/prefix_cache.c
+++ b/src/agent/prefix_cache.c
@@ -59,7 +59,7 @@
 }
 
 static void
-on_events (void *ctx, const struct wy_http_answer *answer)
+on_events (void *ctx, const struct wy_http_response *answer)
 {
   struct wy_agent *a = ctx;
   json_t *body = answer->err
--- a/src/agent/run.c
+++ b/src/agent/run.c
@@ -140,7 +140,7 @@
 /* The target's answer begins.  */
 void
 wy_agent_run_head (struct wy_run *r, int status,
-                   const struct wy_http_pair *headers, size_t n)
+                   const struct wy_http_header_field *headers, size_t n)
 {
   r->status = status;
   r->heard_ms = wy_agent_now_ms (r->agent);
--- a/src/agent/run.h
+++ b/src/agent/run.h
@@ -12,7 +12,7 @@
 void wy_agent_run_forget (struct wy_run *r);
 void wy_agent_run_told (struct wy_run *r);
 void wy_agent_run_head (struct wy_run *r, int status,
-                        const struct wy_http_pair *headers, size_t n);
+                        const struct wy_http_header_field *headers, size_t n);
 void wy_agent_run_output (struct wy_run *r, const void *p, size_t n);
 void wy_agent_run_grew (struct wy_run *r, size_t before);
 void wy_agent_run_end (struct wy_run *r, enum wy_run_result result,
--- a/src/agent/run_model.c
+++ b/src/agent/run_model.c
@@ -38,7 +38,8 @@
 }
 
 static void
-on_head (void *ctx, int status, const struct wy_http_pair *headers, size_t n)
+on_head (void *ctx, int status, const struct wy_http_header_field *headers,
+         size_t n)
 {
   struct wy_run *r = ctx;
 
@@ -153,7 +154,7 @@
 {
   const struct wy_agent_settings *s = r->agent->s;
   char *text = json_dumps (body, JSON_COMPACT);
-  struct wy_http_pair type = { "content-type", "application/json" };
+  struct wy_http_header_field type = { "content-type", "application/json" };
   struct wy_http_call_options o = { .method = "POST",
                                     .host = s->target_host,
                                     .port = (uint16_t)s->target_port,
--- a/src/agent/run_service.c
+++ b/src/agent/run_service.c
@@ -79,7 +79,8 @@
 }
 
 static void
-on_head (void *ctx, int status, const struct wy_http_pair *headers, size_t n)
+on_head (void *ctx, int status, const struct wy_http_header_field *headers,
+         size_t n)
 {
   wy_agent_run_head (ctx, status, headers, n);
 }
@@ -127,7 +128,7 @@
 wy_agent_service_start (struct wy_run *r)
 {
   const struct wy_agent_settings *s = r->agent->s;
-  struct wy_http_pair pairs[HEADERS_MAX + 1];
+  struct wy_http_header_field pairs[HEADERS_MAX + 1];
   struct wy_http_call_options o = { .method = r->method,
                                     .host = s->target_host,
                                     .port = (uint16_t)s->target_port,
--- a/src/agent/settings.c
+++ b/src/agent/settings.c
@@ -5,8 +5,8 @@
     = { "error", "warn", "info", "debug", NULL };
 static const char *const target_kinds[] = { "model", "service", NULL };
 
-#define TEXT(...) WY_TEXT_ROW (struct wy_agent_settings, __VA_ARGS__)
-#define NUMBER(...) WY_NUMBER_ROW (struct wy_agent_settings, __VA_ARGS__)
+#define TEXT(...) WY_STRING_ROW (struct wy_agent_settings, __VA_ARGS__)
+#define NUMBER(...) WY_INTEGER_ROW (struct wy_agent_settings, __VA_ARGS__)
 
 const struct wy_setting wy_agent_settings_table[] = {
   TEXT (name, NULL, "identifier of the target, as in the instance list"),
@@ -32,7 +32,7 @@
   TEXT (target_name, NULL, "model or service that the target serves"),
   TEXT (target_host, "127.0.0.1", "IP number of the target"),
   NUMBER (target_port, NULL, 1, 65535, NULL, "port of the target"),
-  { "target_checks_fence", WY_SETTING_SWITCH,
+  { "target_checks_fence", WY_SETTING_BOOL,
     offsetof (struct wy_agent_settings, target_checks_fence), "false", 0, 0,
     NULL, NULL, "whether the engine refuses old fencing numbers itself" },
   TEXT (weights_url, "", "host:port of the weight store"),
--- a/src/agent/submit.c
+++ b/src/agent/submit.c
@@ -68,7 +68,7 @@
   if (!c || s->is_model)
     return;
   now = wy_service_home (c, id, issued_ms);
-  before = wy_service_home_before (c, id);
+  before = wy_service_previous_home (c, id);
   ask->home = now && !strcmp (now, a->s->name);
   ask->moved = before && (!now || strcmp (now, before) != 0);
   ask->effective_ms = c->effective_ms;
--- a/src/agent/target.c
+++ b/src/agent/target.c
@@ -100,7 +100,7 @@
 }
 
 static bool
-take_load (struct wy_agent *a, const struct wy_http_answer *answer)
+take_load (struct wy_agent *a, const struct wy_http_response *answer)
 {
   struct wy_target *t = &a->target;
   json_t *body = json_loadb (answer->body, answer->size_bytes, 0, NULL);
@@ -140,7 +140,7 @@
 }
 
 static void
-on_load (void *ctx, const struct wy_http_answer *answer)
+on_load (void *ctx, const struct wy_http_response *answer)
 {
   struct wy_agent *a = ctx;
   bool ok
--- a/src/agent/weight_relay.c
+++ b/src/agent/weight_relay.c
@@ -86,7 +86,7 @@
 }
 
 static void
-keep (struct wy_weights *w, const char *url, const struct wy_http_answer *a)
+keep (struct wy_weights *w, const char *url, const struct wy_http_response *a)
 {
   struct part *p;
   size_t limit = (size_t)w->agent->s->weights_cache_bytes;
@@ -113,7 +113,7 @@
 }
 
 static void
-on_fetched (void *ctx, const struct wy_http_answer *a)
+on_fetched (void *ctx, const struct wy_http_response *a)
 {
   struct fetch *f = ctx;
   struct wy_weights *w = f->weights;
--- a/src/cmd/wyentryd.c
+++ b/src/cmd/wyentryd.c
@@ -50,7 +50,7 @@
 static bool
 config_http (void *ctx, struct wy_http_exchange *ex)
 {
-  return wy_config_http (((struct process *)ctx)->config, ex);
+  return wy_config_handle_request (((struct process *)ctx)->config, ex);
 }
 
 static void
--- a/src/config/apply.c
+++ b/src/config/apply.c
@@ -14,8 +14,8 @@
 #include <glib.h>
 
 #include "base/id.h"
-#include "config/apply_job.h"
-#include "config/roster.h"
+#include "config/apply_request.h"
+#include "config/service_members.h"
 #include "http/json.h"
 
 /* Plan and apply as O says.  */
@@ -197,15 +197,15 @@
   j->digest = g_strdup (digest ? digest : "");
   if (!json_is_object (json) || !json_object_get (json, "document")
       || (is_apply && !digest))
-    wy_config_problem (j, WY_STATUS_BAD, "Bad request",
+    wy_config_problem (j, WY_STATUS_BAD_REQUEST, "Bad request",
                        is_apply
                            ? "The body must be {\"document\", \"digest\"}."
                            : "The body must be {\"document\"}.",
                        0, NULL);
   else if (wy_document_parse (&j->after, json_object_get (json, "document"),
                               errors))
-    wy_config_problem (j, WY_STATUS_INVALID, "Invalid document", errors->str,
-                       0, NULL);
+    wy_config_problem (j, WY_STATUS_UNPROCESSABLE, "Invalid document",
+                       errors->str, 0, NULL);
   else
     {
       wy_http_on_abort (ex, on_abort, j);
@@ -233,12 +233,13 @@
 /* Answer EX when it is GET /v1/config, POST /v1/plan or POST /v1/apply;
    whether it is.  */
 bool
-wy_config_http (struct wy_config_service *s, struct wy_http_exchange *ex)
+wy_config_handle_request (struct wy_config_service *s,
+                          struct wy_http_exchange *ex)
 {
   const char *path = wy_http_path (ex);
   bool post = !strcmp (wy_http_method (ex), "POST");
-  struct wy_http_problem p
-      = { .status = WY_STATUS_METHOD, .title = "Method not allowed" };
+  struct wy_http_problem p = { .status = WY_STATUS_METHOD_NOT_ALLOWED,
+                               .title = "Method not allowed" };
 
   if (!strcmp (path, "/v1/config"))
     {
--- a/src/config/apply.h
+++ b/src/config/apply.h
@@ -33,6 +33,7 @@
 struct wy_config_service *
 wy_config_service_new (const struct wy_config_service_options *o);
 void wy_config_service_free (struct wy_config_service *s);
-bool wy_config_http (struct wy_config_service *s, struct wy_http_exchange *ex);
+bool wy_config_handle_request (struct wy_config_service *s,
+                               struct wy_http_exchange *ex);
 
 #endif
--- a/src/config/apply_job.c
+++ b/src/config/apply_request.c
@@ -1,5 +1,5 @@
 /* One plan or apply under way: its answers.  */
-#include "config/apply_job.h"
+#include "config/apply_request.h"
 
 #include <inttypes.h>
 
@@ -43,7 +43,7 @@
   bool unknown = r->err == WY_STORE_EUNKNOWN;
 
   wy_config_problem (
-      j, WY_STATUS_DOWN,
+      j, WY_STATUS_UNAVAILABLE,
       unknown ? "The change may have been applied"
               : "The store can't be asked",
       unknown ? "Apply the same plan again: when it was applied, the "
--- a/src/config/apply_job.h
+++ b/src/config/apply_request.h
@@ -1,6 +1,6 @@
 /* One plan or apply under way.  Inside the package only.  */
-#ifndef WY_CONFIG_APPLY_JOB_H
-#define WY_CONFIG_APPLY_JOB_H
+#ifndef WY_CONFIG_APPLY_REQUEST_H
+#define WY_CONFIG_APPLY_REQUEST_H
 
 #include "base/id.h"
 #include "config/apply.h"
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -71,7 +71,7 @@
                                                  const char *name);
 const struct wy_trainer_config *
 wy_yard_config_trainer (const struct wy_yard_config *y, const char *name);
-bool wy_document_drained (const struct wy_document *d, const char *target);
+bool wy_document_is_drained (const struct wy_document *d, const char *target);
 void wy_document_digest (const struct wy_document *d, int64_t base_revision,
                          char out[WY_CONFIG_DIGEST_SIZE_BYTES]);
 void wy_document_diff (const struct wy_document *before,
--- a/src/config/document_json.c
+++ b/src/config/document_json.c
@@ -176,7 +176,7 @@
 
 /* Whether operators have drained TARGET.  */
 bool
-wy_document_drained (const struct wy_document *d, const char *target)
+wy_document_is_drained (const struct wy_document *d, const char *target)
 {
   for (guint i = 0; i < d->drained->len; i++)
     if (!strcmp (d->drained->pdata[i], target))
--- a/src/config/home.c
+++ b/src/config/home.c
@@ -46,7 +46,7 @@
 
 /* The home that ID had before the last change of members, or NULL.  */
 const char *
-wy_service_home_before (const struct wy_service_config *s, const char *id)
+wy_service_previous_home (const struct wy_service_config *s, const char *id)
 {
   return pick (s->previous, id);
 }
--- a/src/config/home.h
+++ b/src/config/home.h
@@ -8,7 +8,7 @@
 
 const char *wy_service_home (const struct wy_service_config *s, const char *id,
                              int64_t issued_ms);
-const char *wy_service_home_before (const struct wy_service_config *s,
-                                    const char *id);
+const char *wy_service_previous_home (const struct wy_service_config *s,
+                                      const char *id);
 
 #endif
--- a/src/config/program.c
+++ b/src/config/program.c
@@ -33,7 +33,7 @@
                             "allowed\n",
                             path);
   else
-    sample = wy_template_sample (path, text, p->table, p->n, errors);
+    sample = wy_template_fill_samples (path, text, p->table, p->n, errors);
   if (sample)
     err = wy_settings_parse (path, sample, strlen (sample), p->table, p->n,
                              p->settings, errors);
--- a/src/config/roster.c
+++ b/src/config/service_members.c
@@ -5,7 +5,7 @@
    the same key to the new one: the request would run twice.  So a change
    counts only for keys issued after a time by which nobody trusts the old
    list any longer; keys issued before stay with the previous members.  */
-#include "config/roster.h"
+#include "config/service_members.h"
 
 #include <string.h>
 
--- a/src/config/roster.h
+++ b/src/config/service_members.h
@@ -1,6 +1,6 @@
 /* Changes of the members of services.  Inside the package only.  */
-#ifndef WY_CONFIG_ROSTER_H
-#define WY_CONFIG_ROSTER_H
+#ifndef WY_CONFIG_SERVICE_MEMBERS_H
+#define WY_CONFIG_SERVICE_MEMBERS_H
 
 #include "config/apply.h"
 
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -41,15 +41,15 @@
 
   switch (s->kind)
     {
-    case WY_SETTING_TEXT:
+    case WY_SETTING_STRING:
       return g_strdup ("a text is allowed");
-    case WY_SETTING_NUMBER:
+    case WY_SETTING_INTEGER:
       return g_strdup_printf ("a whole number from %.0f to %.0f is allowed",
                               s->min, s->max);
     case WY_SETTING_REAL:
       return g_strdup_printf ("a number from %g to %g is allowed", s->min,
                               s->max);
-    case WY_SETTING_SWITCH:
+    case WY_SETTING_BOOL:
       return g_strdup ("true or false is allowed");
     case WY_SETTING_CHOICE:
       list = g_strjoinv (", ", (char **)s->choices);
@@ -119,15 +119,15 @@
 {
   switch (s->kind)
     {
-    case WY_SETTING_TEXT:
+    case WY_SETTING_STRING:
       g_free (*(char **)field);
       *(char **)field = g_strdup (v);
       return true;
-    case WY_SETTING_NUMBER:
+    case WY_SETTING_INTEGER:
       return parse_number (s, v, field);
     case WY_SETTING_REAL:
       return parse_real (s, v, field);
-    case WY_SETTING_SWITCH:
+    case WY_SETTING_BOOL:
       return parse_switch (v, field);
     case WY_SETTING_CHOICE:
       return parse_choice (s, v, field);
@@ -183,8 +183,8 @@
 
       if (s->kind == WY_SETTING_LIST)
         *(GPtrArray **)field = g_ptr_array_new_with_free_func (g_free);
-      else if (s->fallback)
-        parse_scalar (s, s->fallback, field);
+      else if (s->default_value)
+        parse_scalar (s, s->default_value, field);
     }
 }
 
@@ -223,7 +223,7 @@
        p < root->data.mapping.pairs.top; p++)
     load_pair (l, p, given);
   for (size_t i = 0; i < l->n; i++)
-    if (!given[i] && !l->table[i].fallback
+    if (!given[i] && !l->table[i].default_value
         && l->table[i].kind != WY_SETTING_LIST)
       complain (l, root->start_mark.line + 1, l->table[i].key, "missing",
                 "the key must be given");
@@ -308,7 +308,7 @@
     {
       void *field = (char *)out + table[i].offset;
 
-      if (table[i].kind == WY_SETTING_TEXT)
+      if (table[i].kind == WY_SETTING_STRING)
         g_clear_pointer ((char **)field, g_free);
       else if (table[i].kind == WY_SETTING_LIST && *(GPtrArray **)field)
         g_ptr_array_free (*(GPtrArray **)field, TRUE);
@@ -326,7 +326,7 @@
 
       g_string_append_printf (out, "| `%s` | %s | %s | %s | %s |\n", s->key,
                               s->unit ? s->unit : "",
-                              s->fallback                  ? s->fallback
+                              s->default_value             ? s->default_value
                               : s->kind == WY_SETTING_LIST ? "empty"
                                                            : "must be given",
                               allowed, s->help);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -19,21 +19,21 @@
 
 enum wy_setting_kind
 {
-  WY_SETTING_TEXT,   /* char * */
-  WY_SETTING_NUMBER, /* int64_t */
-  WY_SETTING_REAL,   /* double */
-  WY_SETTING_SWITCH, /* bool */
-  WY_SETTING_CHOICE, /* int64_t, index into choices */
-  WY_SETTING_LIST    /* GPtrArray * of char * */
+  WY_SETTING_STRING,  /* char * */
+  WY_SETTING_INTEGER, /* int64_t */
+  WY_SETTING_REAL,    /* double */
+  WY_SETTING_BOOL,    /* bool */
+  WY_SETTING_CHOICE,  /* int64_t, index into choices */
+  WY_SETTING_LIST     /* GPtrArray * of char * */
 };
 
 struct wy_setting
 {
   const char *key;
   enum wy_setting_kind kind;
-  size_t offset;        /* of the field in the settings struct */
-  const char *fallback; /* NULL: the key must be given */
-  double min;           /* for numbers, both inclusive */
+  size_t offset;             /* of the field in the settings struct */
+  const char *default_value; /* NULL: the key must be given */
+  double min;                /* for numbers, both inclusive */
   double max;
   const char *const *choices; /* ends with NULL */
   const char *unit;
@@ -41,15 +41,15 @@
 };
 
 /* Rows of a table for the field NAME of TYPE, whose key is its name.  */
-#define WY_TEXT_ROW(type, name, fallback, help)                               \
+#define WY_STRING_ROW(type, name, fallback, help)                             \
   {                                                                           \
-#name, WY_SETTING_TEXT, offsetof(type, name), fallback, 0, 0, NULL, NULL, \
-        help                                                                  \
+#name, WY_SETTING_STRING, offsetof(type, name), fallback, 0, 0, NULL,     \
+        NULL, help                                                            \
   }
-#define WY_NUMBER_ROW(type, name, fallback, min, max, unit, help)             \
+#define WY_INTEGER_ROW(type, name, fallback, min, max, unit, help)            \
   {                                                                           \
-#name, WY_SETTING_NUMBER, offsetof(type, name), fallback, min, max, NULL, \
-        unit, help                                                            \
+#name, WY_SETTING_INTEGER, offsetof(type, name), fallback, min, max,      \
+        NULL, unit, help                                                      \
   }
 
 int wy_settings_parse (const char *path, const char *text, size_t size_bytes,
--- a/src/config/template.c
+++ b/src/config/template.c
@@ -40,17 +40,17 @@
     }
   switch (s->kind)
     {
-    case WY_SETTING_TEXT:
+    case WY_SETTING_STRING:
     case WY_SETTING_LIST:
       g_string_append (out, text_sample);
       break;
-    case WY_SETTING_NUMBER:
+    case WY_SETTING_INTEGER:
       g_string_append_printf (out, "%.0f", s->min);
       break;
     case WY_SETTING_REAL:
       g_string_append_printf (out, "%g", s->min);
       break;
-    case WY_SETTING_SWITCH:
+    case WY_SETTING_BOOL:
       g_string_append (out, "true");
       break;
     case WY_SETTING_CHOICE:
@@ -101,8 +101,9 @@
 /* TEXT, the template at PATH, with a sample in each place, line for line; the
    caller frees it.  NULL: a place is wrong, and ERRORS says which.  */
 char *
-wy_template_sample (const char *path, const char *text,
-                    const struct wy_setting *table, size_t n, GString *errors)
+wy_template_fill_samples (const char *path, const char *text,
+                          const struct wy_setting *table, size_t n,
+                          GString *errors)
 {
   GString *out = g_string_new (NULL);
   size_t number = 1;
--- a/src/config/template.h
+++ b/src/config/template.h
@@ -5,8 +5,8 @@
 
 #include "config/settings.h"
 
-char *wy_template_sample (const char *path, const char *text,
-                          const struct wy_setting *table, size_t n,
-                          GString *errors);
+char *wy_template_fill_samples (const char *path, const char *text,
+                                const struct wy_setting *table, size_t n,
+                                GString *errors);
 
 #endif
--- a/src/ctl/call.c
+++ b/src/ctl/call.c
@@ -15,7 +15,7 @@
 };
 
 static void
-on_done (void *ctx, const struct wy_http_answer *a)
+on_done (void *ctx, const struct wy_http_response *a)
 {
   struct pending *p = ctx;
 
@@ -34,8 +34,9 @@
 {
   char **at = g_strsplit (entry, ":", 2);
   char *bearer = g_strdup_printf ("Bearer %s", ctl->token ? ctl->token : "");
-  struct wy_http_pair headers[] = { { "authorization", bearer },
-                                    { "content-type", "application/json" } };
+  struct wy_http_header_field headers[]
+      = { { "authorization", bearer },
+          { "content-type", "application/json" } };
   struct wy_http_call_options o
       = { .method = method,
           .host = at[0],
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -37,9 +37,9 @@
 static const struct wy_setting table[] = {
   { "entries", WY_SETTING_LIST, offsetof (struct wy_ctl, entries), NULL, 0, 0,
     NULL, "host:port", "Entries to ask, in this order." },
-  { "token", WY_SETTING_TEXT, offsetof (struct wy_ctl, token), "", 0, 0, NULL,
-    NULL, "Operator's token." },
-  { "timeout_ms", WY_SETTING_NUMBER, offsetof (struct wy_ctl, timeout_ms),
+  { "token", WY_SETTING_STRING, offsetof (struct wy_ctl, token), "", 0, 0,
+    NULL, NULL, "Operator's token." },
+  { "timeout_ms", WY_SETTING_INTEGER, offsetof (struct wy_ctl, timeout_ms),
     "5000", 10, 600000, NULL, "ms", "Limit of one call." },
 };
 
--- a/src/entry/callers.c
+++ b/src/entry/callers.c
@@ -245,7 +245,7 @@
   if (wy_http_stream_pending_bytes (ex) > UNREAD_MAX_BYTES)
     {
       /* The event would wait behind what is not read either.  */
-      wy_http_drop (ex);
+      wy_http_close_connection (ex);
       return;
     }
   text = wy_problem_text (&p);
@@ -253,7 +253,7 @@
   g_string_append (event, text);
   g_string_append (event, "\n\n");
   wy_http_stream_write (ex, event->str, event->len);
-  wy_http_stream_break (ex);
+  wy_http_stream_abort (ex);
   g_string_free (event, TRUE);
   free (text);
 }
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -133,7 +133,7 @@
 {
   e->stopped = true;
   wy_acks_flush (e, NULL);
-  e->cut = wy_http_server_active (e->http);
+  e->cut = wy_http_server_active_requests (e->http);
   uv_timer_stop (&e->sweep);
   wy_members_stop (e);
   e->on_stopped (e->stopped_ctx, e->cut);
@@ -143,7 +143,7 @@
 is_done (const struct wy_entry *e)
 {
   return e->open.length == 0 && e->starts.length == 0
-         && wy_http_server_active (e->http) == 0
+         && wy_http_server_active_requests (e->http) == 0
          && !(e->hooks.is_busy && e->hooks.is_busy (e->hooks.ctx));
 }
 
--- a/src/entry/home.c
+++ b/src/entry/home.c
@@ -40,7 +40,7 @@
 {
   const struct wy_service_config *c = service_of (e, service);
 
-  return c ? wy_service_home_before (c, id) : NULL;
+  return c ? wy_service_previous_home (c, id) : NULL;
 }
 
 static bool
--- a/src/entry/instance_list.c
+++ b/src/entry/instance_list.c
@@ -175,7 +175,7 @@
 }
 
 static void
-on_list (void *ctx, const struct wy_http_answer *a)
+on_list (void *ctx, const struct wy_http_response *a)
 {
   struct wy_entry *e = ctx;
   bool same = !a->err && a->status == STATUS_NOT_MODIFIED;
@@ -209,7 +209,7 @@
 on_timer (uv_timer_t *t)
 {
   struct wy_entry *e = t->data;
-  const struct wy_http_pair known = { "if-none-match", e->list_etag };
+  const struct wy_http_header_field known = { "if-none-match", e->list_etag };
   struct wy_http_call_options o
       = { .method = "GET",
           .host = e->list_host,
--- a/src/entry/settings.c
+++ b/src/entry/settings.c
@@ -6,8 +6,8 @@
 static const char *const log_levels[]
     = { "error", "warn", "info", "debug", NULL };
 
-#define TEXT(...) WY_TEXT_ROW (struct wy_entry_settings, __VA_ARGS__)
-#define NUMBER(...) WY_NUMBER_ROW (struct wy_entry_settings, __VA_ARGS__)
+#define TEXT(...) WY_STRING_ROW (struct wy_entry_settings, __VA_ARGS__)
+#define NUMBER(...) WY_INTEGER_ROW (struct wy_entry_settings, __VA_ARGS__)
 
 const struct wy_setting wy_entry_settings_table[] = {
   TEXT (name, NULL, "name of this process"),
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -33,7 +33,7 @@
   GString *answer;
   int status;
   char *etag;
-  void (*on_done) (void *ctx, const struct wy_http_answer *a);
+  void (*on_done) (void *ctx, const struct wy_http_response *a);
   void *done_ctx;
 };
 
@@ -125,7 +125,7 @@
     }
   if (errstr)
     {
-      finish (call, is_whole (call, errstr) ? 0 : WY_HTTP_EBROKEN);
+      finish (call, is_whole (call, errstr) ? 0 : WY_HTTP_EINCOMPLETE);
       return -1;
     }
   return 0;
@@ -135,7 +135,8 @@
 give_head (struct wy_http_call *call, int status, h2o_header_t *headers,
            size_t n)
 {
-  struct wy_http_pair *pairs = g_new (struct wy_http_pair, n + 1);
+  struct wy_http_header_field *pairs
+      = g_new (struct wy_http_header_field, n + 1);
 
   for (size_t i = 0; i < n; i++)
     {
@@ -162,7 +163,7 @@
 
   if (errstr && errstr != h2o_http1client_error_is_eos)
     {
-      finish (call, WY_HTTP_EBROKEN);
+      finish (call, WY_HTTP_EINCOMPLETE);
       return NULL;
     }
   for (size_t i = 0; i < num_headers; i++)
@@ -266,7 +267,7 @@
 }
 
 static void
-fetch_head (void *ctx, int status, const struct wy_http_pair *headers,
+fetch_head (void *ctx, int status, const struct wy_http_header_field *headers,
             size_t n)
 {
   struct wy_http_call *call = ctx;
@@ -287,8 +288,8 @@
 fetch_end (void *ctx, int err)
 {
   struct wy_http_call *call = ctx;
-  struct wy_http_answer a = { err, call->status, call->answer->str,
-                              call->answer->len, call->etag };
+  struct wy_http_response a = { err, call->status, call->answer->str,
+                                call->answer->len, call->etag };
 
   call->on_done (call->done_ctx, &a);
 }
@@ -297,7 +298,7 @@
    unless the call is cancelled; the callbacks in O are not used.  */
 struct wy_http_call *
 wy_http_fetch (struct wy_http_client *c, const struct wy_http_call_options *o,
-               void (*on_done) (void *ctx, const struct wy_http_answer *a),
+               void (*on_done) (void *ctx, const struct wy_http_response *a),
                void *ctx)
 {
   struct wy_http_call_options whole = *o;
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -10,7 +10,7 @@
 struct wy_http_client;
 struct wy_http_call;
 
-struct wy_http_pair
+struct wy_http_header_field
 {
   const char *name;
   const char *value;
@@ -22,7 +22,7 @@
   const char *host; /* IP number */
   uint16_t port;
   const char *path; /* with the query */
-  const struct wy_http_pair *headers;
+  const struct wy_http_header_field *headers;
   size_t n_headers;
   const void *body;
   size_t body_size_bytes;
@@ -31,15 +31,15 @@
      call is cancelled.  on_sending comes when the connection is up, right
      before the request goes out: until then the target has seen nothing.  */
   void (*on_sending) (void *ctx);
-  void (*on_head) (void *ctx, int status, const struct wy_http_pair *headers,
-                   size_t n);
+  void (*on_head) (void *ctx, int status,
+                   const struct wy_http_header_field *headers, size_t n);
   void (*on_data) (void *ctx, const char *p, size_t n);
   void (*on_end) (void *ctx, int err);
   void *ctx;
 };
 
 /* One answer taken whole.  */
-struct wy_http_answer
+struct wy_http_response
 {
   int err;
   int status;
@@ -56,7 +56,7 @@
 void wy_http_call_cancel (struct wy_http_call *call);
 struct wy_http_call *
 wy_http_fetch (struct wy_http_client *c, const struct wy_http_call_options *o,
-               void (*on_done) (void *ctx, const struct wy_http_answer *a),
+               void (*on_done) (void *ctx, const struct wy_http_response *a),
                void *ctx);
 
 #endif
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -250,7 +250,7 @@
 /* End a streamed response so that the caller sees it was cut off.  EX must
    not be used after.  */
 void
-wy_http_stream_break (struct wy_http_exchange *ex)
+wy_http_stream_abort (struct wy_http_exchange *ex)
 {
   ex->broken = true;
   ex->ended = true;
@@ -260,7 +260,7 @@
 /* Close the connection of EX without an answer: its caller can't tell what
    became of the request.  EX must not be used after.  */
 void
-wy_http_drop (struct wy_http_exchange *ex)
+wy_http_close_connection (struct wy_http_exchange *ex)
 {
   h2o_socket_t *sock = ex->req->conn->callbacks->get_socket (ex->req->conn);
 
@@ -268,7 +268,7 @@
   if (sock)
     shutdown (h2o_socket_get_fd (sock), SHUT_RDWR);
   if (ex->started)
-    wy_http_stream_break (ex);
+    wy_http_stream_abort (ex);
   else
     wy_http_respond (ex, 503, NULL, "", 0);
 }
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -10,7 +10,7 @@
 
 #include "http/error.h"
 #include "http/exchange.h"
-#include "http/peer.h"
+#include "http/tcp_info.h"
 
 enum
 {
@@ -76,7 +76,7 @@
 mark_quiet (struct connection *c)
 {
   c->quiet_since_ms = uv_now (c->tcp.loop);
-  c->quiet_bytes = wy_peer_received_bytes (c->fd);
+  c->quiet_bytes = wy_tcp_received_bytes (c->fd);
 }
 
 /* Count EX as open; called when it is made.  */
@@ -127,11 +127,11 @@
 
       l = l->next;
       if (!ex->on_abort || ex->ended
-          || !wy_peer_closed (wy_http_exchange_fd (ex)))
+          || !wy_tcp_peer_closed (wy_http_exchange_fd (ex)))
         continue;
       wy_http_exchange_abort (ex);
       if (ex->started)
-        wy_http_stream_break (ex);
+        wy_http_stream_abort (ex);
       else
         wy_http_respond (ex, 503, "text/plain", "", 0);
       l = s->active.head;
@@ -170,7 +170,7 @@
 
       if (!c->timed_out && c->exchanges == 0
           && now_ms - c->quiet_since_ms >= s->request_timeout_ms
-          && wy_peer_received_bytes (c->fd) > c->quiet_bytes)
+          && wy_tcp_received_bytes (c->fd) > c->quiet_bytes)
         time_out (c);
     }
 }
@@ -298,7 +298,7 @@
 
 /* Requests that h2o has not finished sending the response of.  */
 uint32_t
-wy_http_server_active (const struct wy_http_server *s)
+wy_http_server_active_requests (const struct wy_http_server *s)
 {
   return s->active.length;
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -26,7 +26,7 @@
 int wy_http_server_new (struct wy_http_server **out,
                         const struct wy_http_server_options *o);
 uint16_t wy_http_server_port (const struct wy_http_server *s);
-uint32_t wy_http_server_active (const struct wy_http_server *s);
+uint32_t wy_http_server_active_requests (const struct wy_http_server *s);
 uint32_t wy_http_server_connections (const struct wy_http_server *s);
 void wy_http_server_stop_accepting (struct wy_http_server *s);
 void wy_http_server_free (struct wy_http_server *s);
@@ -53,7 +53,7 @@
                            size_t n);
 size_t wy_http_stream_pending_bytes (const struct wy_http_exchange *ex);
 void wy_http_stream_end (struct wy_http_exchange *ex);
-void wy_http_stream_break (struct wy_http_exchange *ex);
-void wy_http_drop (struct wy_http_exchange *ex);
+void wy_http_stream_abort (struct wy_http_exchange *ex);
+void wy_http_close_connection (struct wy_http_exchange *ex);
 
 #endif
--- a/src/http/peer.c
+++ b/src/http/tcp_info.c
@@ -1,6 +1,6 @@
 /* What the kernel knows of the other end of a connection.  Apart, because
    the kernel's own header and the one of the C library clash.  */
-#include "http/peer.h"
+#include "http/tcp_info.h"
 
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -22,7 +22,7 @@
 
 /* Tell whether the other end of FD has closed its side.  */
 bool
-wy_peer_closed (int fd)
+wy_tcp_peer_closed (int fd)
 {
   struct tcp_info info = { 0 };
 
@@ -31,7 +31,7 @@
 
 /* Bytes that have come in on FD since it was opened.  */
 uint64_t
-wy_peer_received_bytes (int fd)
+wy_tcp_received_bytes (int fd)
 {
   struct tcp_info info = { 0 };
 
--- /dev/null
+++ b/src/http/tcp_info.h
@@ -0,0 +1,11 @@
+/* What the kernel knows of the other end of a connection.  */
+#ifndef WY_HTTP_TCP_INFO_H
+#define WY_HTTP_TCP_INFO_H
+
+#include <stdbool.h>
+#include <stdint.h>
+
+bool wy_tcp_peer_closed (int fd);
+uint64_t wy_tcp_received_bytes (int fd);
+
+#endif
--- a/src/standin/call.c
+++ b/src/standin/call.c
@@ -95,7 +95,7 @@
   f = wy_standin_fault_on (s, WY_FAULT_DOWN);
   if (f && f->text && !strcmp (f->text, "refuse"))
     {
-      wy_http_drop (ex);
+      wy_http_close_connection (ex);
       return;
     }
   if (f)
@@ -175,7 +175,7 @@
   if (!c->gone && c->silent)
     return;
   if (!c->gone && lose && wy_rng_unit (&s->rng) < lose->value)
-    wy_http_drop (c->ex);
+    wy_http_close_connection (c->ex);
   else if (!c->gone)
     {
       wy_http_on_abort (c->ex, NULL, NULL);
--- a/src/standin/callers.c
+++ b/src/standin/callers.c
@@ -82,7 +82,8 @@
 }
 
 static void
-on_head (void *ctx, int status, const struct wy_http_pair *headers, size_t n)
+on_head (void *ctx, int status, const struct wy_http_header_field *headers,
+         size_t n)
 {
   struct wy_errand *e = ctx;
 
@@ -138,9 +139,10 @@
   json_t *body = e->asking ? NULL : body_of (e);
   char *text = body ? json_dumps (body, JSON_COMPACT) : g_strdup ("");
   char *path = path_of (e);
-  struct wy_http_pair headers[] = { { "content-type", "application/json" },
-                                    { "idempotency-key", e->key },
-                                    { "waxwing-idempotent", "no" } };
+  struct wy_http_header_field headers[]
+      = { { "content-type", "application/json" },
+          { "idempotency-key", e->key },
+          { "waxwing-idempotent", "no" } };
   struct wy_http_call_options o
       = { .method = e->asking ? "GET" : "POST",
           .path = path,
--- a/src/standin/engine_order.c
+++ b/src/standin/engine_order.c
@@ -53,7 +53,7 @@
 }
 
 static void
-on_fetched (void *ctx, const struct wy_http_answer *a)
+on_fetched (void *ctx, const struct wy_http_response *a)
 {
   struct wy_engine *e = ctx;
   struct wy_engine_stage *g = &e->stage;
--- a/src/standin/frame.c
+++ b/src/standin/frame.c
@@ -20,22 +20,22 @@
 };
 
 static const struct wy_setting common_table[] = {
-  { "name", WY_SETTING_TEXT, offsetof (struct wy_standin_settings, name), NULL,
-    0, 0, NULL, NULL, "name of the process in timeline and logs" },
-  { "host", WY_SETTING_TEXT, offsetof (struct wy_standin_settings, host),
+  { "name", WY_SETTING_STRING, offsetof (struct wy_standin_settings, name),
+    NULL, 0, 0, NULL, NULL, "name of the process in timeline and logs" },
+  { "host", WY_SETTING_STRING, offsetof (struct wy_standin_settings, host),
     "127.0.0.1", 0, 0, NULL, NULL, "IP number to listen on" },
-  { "port", WY_SETTING_NUMBER, offsetof (struct wy_standin_settings, port),
+  { "port", WY_SETTING_INTEGER, offsetof (struct wy_standin_settings, port),
     "0", 0, PORT_MAX, NULL, NULL, "port to listen on; 0: any free one" },
-  { "ports_file", WY_SETTING_TEXT,
+  { "ports_file", WY_SETTING_STRING,
     offsetof (struct wy_standin_settings, ports_file), "", 0, 0, NULL, NULL,
     "file that the port is written to, as \"http PORT\"" },
-  { "timeline", WY_SETTING_TEXT,
+  { "timeline", WY_SETTING_STRING,
     offsetof (struct wy_standin_settings, timeline), "", 0, 0, NULL, NULL,
     "file that events are appended to" },
-  { "availability_zone", WY_SETTING_TEXT,
+  { "availability_zone", WY_SETTING_STRING,
     offsetof (struct wy_standin_settings, availability_zone), "", 0, 0, NULL,
     NULL, "availability zone of the process" },
-  { "seed", WY_SETTING_NUMBER, offsetof (struct wy_standin_settings, seed),
+  { "seed", WY_SETTING_INTEGER, offsetof (struct wy_standin_settings, seed),
     "1", 0, 1e15, NULL, NULL, "seed of all that is drawn at random" },
 };
 
--- a/src/standin/list.c
+++ b/src/standin/list.c
@@ -8,7 +8,7 @@
 };
 
 static const struct wy_setting table[] = {
-  { "lag_ms", WY_SETTING_NUMBER, offsetof (struct settings, lag_ms), "500", 0,
+  { "lag_ms", WY_SETTING_INTEGER, offsetof (struct settings, lag_ms), "500", 0,
     600000, NULL, "ms", "age of the list that is answered" },
 };
 
--- a/src/standin/platform.c
+++ b/src/standin/platform.c
@@ -24,18 +24,18 @@
 static const struct wy_setting table[] = {
   { "gates", WY_SETTING_LIST, offsetof (struct settings, gates), NULL, 0, 0,
     NULL, "host:port", "callers' addresses of the entries" },
-  { "seconds", WY_SETTING_NUMBER, offsetof (struct settings, seconds), "15", 1,
-    3600, NULL, "s", "how long callers and trainer go on" },
-  { "chance_s", WY_SETTING_NUMBER, offsetof (struct settings, chance_s), "0",
+  { "seconds", WY_SETTING_INTEGER, offsetof (struct settings, seconds), "15",
+    1, 3600, NULL, "s", "how long callers and trainer go on" },
+  { "chance_s", WY_SETTING_INTEGER, offsetof (struct settings, chance_s), "0",
     0, 86400, NULL, "s",
     "how long faults come by chance, from the seed; 0: a fixed course" },
-  { "step_limit_s", WY_SETTING_NUMBER,
+  { "step_limit_s", WY_SETTING_INTEGER,
     offsetof (struct settings, step_limit_s), "12", 1, 3600, NULL, "s",
     "a step without all its results by then is lost" },
   { "addresses", WY_SETTING_LIST, offsetof (struct settings, addresses), NULL,
     0, 0, NULL, "host:port",
     "where engines, then desks, are listed; empty: where they listen" },
-  { "report", WY_SETTING_TEXT, offsetof (struct settings, report), "", 0, 0,
+  { "report", WY_SETTING_STRING, offsetof (struct settings, report), "", 0, 0,
     NULL, NULL, "file of the report; written at the end" },
 };
 
--- a/src/standin/proxy.c
+++ b/src/standin/proxy.c
@@ -45,8 +45,8 @@
 static const struct wy_setting table[] = {
   { "links", WY_SETTING_LIST, offsetof (struct settings, links), NULL, 0, 0,
     NULL, "port=host:port", "where it listens, and where that leads" },
-  { "seconds", WY_SETTING_NUMBER, offsetof (struct settings, seconds), "10", 0,
-    86400, NULL, "s", "how long faults go on; then it passes all on" },
+  { "seconds", WY_SETTING_INTEGER, offsetof (struct settings, seconds), "10",
+    0, 86400, NULL, "s", "how long faults go on; then it passes all on" },
 };
 
 struct link
--- a/src/standin/scoring.c
+++ b/src/standin/scoring.c
@@ -20,7 +20,7 @@
 static const struct wy_setting table[] = {
   { "fail_share", WY_SETTING_REAL, offsetof (struct settings, fail_share), "0",
     0, 1, NULL, NULL, "share of calls that fail with 500" },
-  { "service_time_ms", WY_SETTING_NUMBER,
+  { "service_time_ms", WY_SETTING_INTEGER,
     offsetof (struct settings, service_time_ms), "5", 0, 60000, NULL, "ms",
     "time that a score takes" },
 };
--- a/src/standin/service.c
+++ b/src/standin/service.c
@@ -10,7 +10,7 @@
 };
 
 static const struct wy_setting table[] = {
-  { "service_time_ms", WY_SETTING_NUMBER,
+  { "service_time_ms", WY_SETTING_INTEGER,
     offsetof (struct settings, service_time_ms), "5", 0, 60000, NULL, "ms",
     "time that a filing takes" },
 };
--- a/src/standin/table.c
+++ b/src/standin/table.c
@@ -12,10 +12,10 @@
 };
 
 static const struct wy_setting table[] = {
-  { "writes_per_s", WY_SETTING_NUMBER,
+  { "writes_per_s", WY_SETTING_INTEGER,
     offsetof (struct settings, writes_per_s), "600", 0, 1e9, NULL, "1/s",
     "limit of transactions and objects written; 0: none" },
-  { "reads_per_s", WY_SETTING_NUMBER, offsetof (struct settings, reads_per_s),
+  { "reads_per_s", WY_SETTING_INTEGER, offsetof (struct settings, reads_per_s),
     "2000", 0, 1e9, NULL, "1/s", "limit of reads; 0: none" },
 };
 
--- a/src/standin/trainer.c
+++ b/src/standin/trainer.c
@@ -116,7 +116,7 @@
 }
 
 static void
-take_batch (struct trainer *t, const struct wy_http_answer *a)
+take_batch (struct trainer *t, const struct wy_http_response *a)
 {
   json_decref (t->batch);
   t->batch = json_loadb (a->body, a->size_bytes, 0, NULL);
@@ -128,7 +128,7 @@
 }
 
 static void
-on_polled (struct trainer *t, const struct wy_http_answer *a)
+on_polled (struct trainer *t, const struct wy_http_response *a)
 {
   if (a->status == 200)
     take_batch (t, a);
@@ -147,7 +147,7 @@
 
 /* The call of the current action has succeeded; go on with the next.  */
 static void
-advance (struct trainer *t, const struct wy_http_answer *a)
+advance (struct trainer *t, const struct wy_http_response *a)
 {
   switch (t->action)
     {
@@ -185,7 +185,7 @@
 
 /* Whether the answer settles the call, well or not.  */
 static bool
-settled (const struct trainer *t, const struct wy_http_answer *a)
+settled (const struct trainer *t, const struct wy_http_response *a)
 {
   if (a->err)
     return false;
@@ -196,7 +196,7 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_answer *a)
+on_answer (void *ctx, const struct wy_http_response *a)
 {
   struct trainer *t = ctx;
 
@@ -246,8 +246,9 @@
 {
   char *text = body ? json_dumps (body, JSON_COMPACT) : g_strdup ("");
   char *bearer = g_strdup_printf ("Bearer %s", t->o->token);
-  struct wy_http_pair headers[] = { { "authorization", bearer },
-                                    { "content-type", "application/json" } };
+  struct wy_http_header_field headers[]
+      = { { "authorization", bearer },
+          { "content-type", "application/json" } };
   struct wy_http_call_options o = { .method = method,
                                     .path = path,
                                     .headers = headers,
--- a/src/standin/weights.c
+++ b/src/standin/weights.c
@@ -17,7 +17,7 @@
 };
 
 static const struct wy_setting table[] = {
-  { "rate_bytes_per_s", WY_SETTING_NUMBER,
+  { "rate_bytes_per_s", WY_SETTING_INTEGER,
     offsetof (struct settings, rate_bytes_per_s), "0", 0, 1e12, NULL,
     "bytes/s", "limit of what is read; 0: none" },
 };
--- a/src/store/call.c
+++ b/src/store/call.c
@@ -259,7 +259,8 @@
 }
 
 static void
-on_head (void *ctx, int status, const struct wy_http_pair *headers, size_t n)
+on_head (void *ctx, int status, const struct wy_http_header_field *headers,
+         size_t n)
 {
   struct wy_store_call *c = ctx;
 
@@ -283,7 +284,8 @@
   struct wy_store *s = c->store;
   bool object = c->kind == WY_STORE_CALL_PUT || c->kind == WY_STORE_CALL_GET;
   const struct wy_store_address *a = object ? &s->objects : &s->table;
-  const struct wy_http_pair type = { "content-type", "application/json" };
+  const struct wy_http_header_field type
+      = { "content-type", "application/json" };
   struct wy_http_call_options o = { .method = "POST",
                                     .host = a->host,
                                     .port = a->port,
--- a/src/yard/batch_delivery.c
+++ b/src/yard/batch_delivery.c
@@ -67,7 +67,8 @@
   c->batch = json_loadb (r->data, r->size_bytes, 0, NULL);
   if (!json_is_array (json_object_get (c->batch, "samples")))
     {
-      wy_trainer_problem (c, WY_STATUS_DOWN, "The batch can't be read", NULL);
+      wy_trainer_problem (c, WY_STATUS_UNAVAILABLE, "The batch can't be read",
+                          NULL);
       return;
     }
   if (c->row.state == WY_STEP_HANDED)
@@ -144,12 +145,13 @@
   if (r->err)
     wy_trainer_store_problem (c, r);
   else if (wy_trainer_take_rows (c, r))
-    wy_trainer_problem (c, WY_STATUS_DOWN, "The step can't be read", NULL);
+    wy_trainer_problem (c, WY_STATUS_UNAVAILABLE, "The step can't be read",
+                        NULL);
   else if (!c->has_row && c->step <= c->floor)
     wy_trainer_problem (c, WY_STATUS_GONE, "Step is over",
                         "The step has been acknowledged.");
   else if (!c->has_row)
-    wy_trainer_problem (c, WY_STATUS_UNKNOWN, "No such step", NULL);
+    wy_trainer_problem (c, WY_STATUS_NOT_FOUND, "No such step", NULL);
   else
     give_batch (c);
 }
@@ -206,11 +208,12 @@
   if (r->err)
     wy_trainer_store_problem (c, r);
   else if (wy_trainer_take_rows (c, r))
-    wy_trainer_problem (c, WY_STATUS_DOWN, "The step can't be read", NULL);
+    wy_trainer_problem (c, WY_STATUS_UNAVAILABLE, "The step can't be read",
+                        NULL);
   else if (is_over (c))
     acknowledged (c);
   else if (!c->has_row)
-    wy_trainer_problem (c, WY_STATUS_UNKNOWN, "No such step", NULL);
+    wy_trainer_problem (c, WY_STATUS_NOT_FOUND, "No such step", NULL);
   else if (c->row.state != WY_STEP_HANDED)
     wy_trainer_problem (c, WY_STATUS_CONFLICT, "Nothing to acknowledge",
                         "The batch has not been handed out.");
--- a/src/yard/routes.c
+++ b/src/yard/routes.c
@@ -89,7 +89,7 @@
     c->body = json_loadb (body, n, JSON_REJECT_DUPLICATES, NULL);
   if (r->has_body && !json_is_object (c->body))
     {
-      wy_trainer_problem (c, WY_STATUS_BAD, "Bad request",
+      wy_trainer_problem (c, WY_STATUS_BAD_REQUEST, "Bad request",
                           "The body must be a JSON object.");
       return;
     }
@@ -110,13 +110,14 @@
       r = &step_routes[i];
   if (!r || strcmp (parts[PART_KIND], "trainers") != 0
       || strcmp (parts[PART_STEPS], "steps") != 0)
-    refuse (ex, WY_STATUS_UNKNOWN, "No such resource", NULL);
+    refuse (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
   else if (strcmp (wy_http_method (ex), r->method) != 0)
-    refuse (ex, WY_STATUS_METHOD, "Method not allowed", NULL);
+    refuse (ex, WY_STATUS_METHOD_NOT_ALLOWED, "Method not allowed", NULL);
   else if (step < 0)
-    refuse (ex, WY_STATUS_BAD, "Bad step", "Steps are numbered from 1.");
+    refuse (ex, WY_STATUS_BAD_REQUEST, "Bad step",
+            "Steps are numbered from 1.");
   else if (!wy_yard_serves (y, parts[PART_YARD], parts[PART_TRAINER], &bound))
-    refuse (ex, WY_STATUS_UNKNOWN, "No such yard or trainer", NULL);
+    refuse (ex, WY_STATUS_NOT_FOUND, "No such yard or trainer", NULL);
   else
     {
       c = call_new (y, ex, parts);
@@ -135,11 +136,11 @@
   uint32_t bound;
 
   if (strcmp (parts[PART_KIND], weights_route.verb) != 0)
-    refuse (ex, WY_STATUS_UNKNOWN, "No such resource", NULL);
+    refuse (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
   else if (strcmp (wy_http_method (ex), weights_route.method) != 0)
-    refuse (ex, WY_STATUS_METHOD, "Method not allowed", NULL);
+    refuse (ex, WY_STATUS_METHOD_NOT_ALLOWED, "Method not allowed", NULL);
   else if (!wy_yard_serves (y, parts[PART_YARD], NULL, &bound))
-    refuse (ex, WY_STATUS_UNKNOWN, "No such yard", NULL);
+    refuse (ex, WY_STATUS_NOT_FOUND, "No such yard", NULL);
   else
     run (call_new (y, ex, parts), &weights_route);
 }
@@ -160,7 +161,7 @@
   else if (n == PARTS_WEIGHTS)
     route_weights (y, ex, parts);
   else
-    refuse (ex, WY_STATUS_UNKNOWN, "No such resource", NULL);
+    refuse (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
   g_strfreev (parts);
   return true;
 }
--- a/src/yard/scorer.c
+++ b/src/yard/scorer.c
@@ -108,7 +108,7 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_answer *a)
+on_answer (void *ctx, const struct wy_http_response *a)
 {
   struct wy_score_job *j = ctx;
   struct wy_scorer *s = j->scorer;
@@ -146,7 +146,8 @@
 call_service (struct wy_score_job *j)
 {
   struct wy_scorer *s = j->scorer;
-  const struct wy_http_pair type = { "content-type", "application/json" };
+  const struct wy_http_header_field type
+      = { "content-type", "application/json" };
   const struct wy_http_call_options o = { .method = "POST",
                                           .host = s->host,
                                           .port = s->port,
--- a/src/yard/submit.c
+++ b/src/yard/submit.c
@@ -197,7 +197,8 @@
 
   if (wrong)
     {
-      wy_trainer_problem (c, WY_STATUS_INVALID, "Invalid submission", wrong);
+      wy_trainer_problem (c, WY_STATUS_UNPROCESSABLE, "Invalid submission",
+                          wrong);
       return;
     }
   c->row.digest = digest_of (c->body);
@@ -286,7 +287,7 @@
   c->version = json_integer_value (version);
   if (!json_is_integer (version) || c->version < 1)
     {
-      wy_trainer_problem (c, WY_STATUS_INVALID, "Invalid version",
+      wy_trainer_problem (c, WY_STATUS_UNPROCESSABLE, "Invalid version",
                           "version: must be a whole number above 0");
       return;
     }
--- a/src/yard/trainer_api.c
+++ b/src/yard/trainer_api.c
@@ -56,7 +56,7 @@
 wy_trainer_store_problem (struct wy_trainer_call *c,
                           const struct wy_store_result *r)
 {
-  struct wy_http_problem p = { .status = WY_STATUS_DOWN,
+  struct wy_http_problem p = { .status = WY_STATUS_UNAVAILABLE,
                                .title = "The store can't be asked",
                                .detail = wy_store_strerror (r->err),
                                .retry_after_ms = r->retry_after_ms };
--- a/tests/support/agent_target.c
+++ b/tests/support/agent_target.c
@@ -82,7 +82,7 @@
   const char *path = wy_http_path (ex);
 
   if (!strcmp (path, "/control/load") && w->target_away)
-    wy_http_drop (ex);
+    wy_http_close_connection (ex);
   else if (!strcmp (path, "/control/load"))
     wy_http_respond_json (
         ex, 200,
--- a/tests/support/entry_world.c
+++ b/tests/support/entry_world.c
@@ -270,7 +270,8 @@
 }
 
 static void
-on_head (void *ctx, int status, const struct wy_http_pair *headers, size_t n)
+on_head (void *ctx, int status, const struct wy_http_header_field *headers,
+         size_t n)
 {
   struct caller *c = ctx;
 
@@ -303,8 +304,8 @@
 /* Send a request to the entry of W.  */
 void
 call_start (struct caller *c, struct world *w, const char *method,
-            const char *path, const struct wy_http_pair *headers, size_t n,
-            const char *body)
+            const char *path, const struct wy_http_header_field *headers,
+            size_t n, const char *body)
 {
   struct wy_http_call_options o = { .method = method,
                                     .host = "127.0.0.1",
--- a/tests/support/entry_world.h
+++ b/tests/support/entry_world.h
@@ -55,7 +55,7 @@
 uint64_t world_events (struct world *w, const char *event);
 
 void call_start (struct caller *c, struct world *w, const char *method,
-                 const char *path, const struct wy_http_pair *headers,
+                 const char *path, const struct wy_http_header_field *headers,
                  size_t n, const char *body);
 bool call_done (void *caller);
 void call_wait (struct caller *c);
--- a/tests/support/fake_table.c
+++ b/tests/support/fake_table.c
@@ -139,7 +139,7 @@
 break_answer (struct wy_http_exchange *ex)
 {
   wy_http_stream_begin (ex, 200, "application/json");
-  wy_http_stream_break (ex);
+  wy_http_stream_abort (ex);
 }
 
 static json_t *
--- a/tests/support/proc.c
+++ b/tests/support/proc.c
@@ -193,7 +193,7 @@
 };
 
 static void
-on_fetched (void *ctx, const struct wy_http_answer *a)
+on_fetched (void *ctx, const struct wy_http_response *a)
 {
   struct fetched *f = ctx;
 
@@ -227,7 +227,7 @@
    error of the call.  The caller frees the text.  */
 char *
 wy_fetch_text (uint16_t port, const char *method, const char *path,
-               const char *body, const struct wy_http_pair *headers,
+               const char *body, const struct wy_http_header_field *headers,
                int *status)
 {
   struct fetched f = { 0 };
@@ -268,7 +268,7 @@
 /* Like wy_fetch_text; the answer as JSON, or NULL when it is none.  */
 json_t *
 wy_fetch_json (uint16_t port, const char *method, const char *path,
-               const char *json, const struct wy_http_pair *headers,
+               const char *json, const struct wy_http_header_field *headers,
                int *status)
 {
   char *text = wy_fetch_text (port, method, path, json, headers, status);
--- a/tests/support/proc.h
+++ b/tests/support/proc.h
@@ -25,10 +25,11 @@
 json_t *wy_proc_events (const struct wy_proc *p, const char *event);
 
 char *wy_fetch_text (uint16_t port, const char *method, const char *path,
-                     const char *body, const struct wy_http_pair *headers,
-                     int *status);
+                     const char *body,
+                     const struct wy_http_header_field *headers, int *status);
 json_t *wy_fetch_json (uint16_t port, const char *method, const char *path,
-                       const char *json, const struct wy_http_pair *headers,
+                       const char *json,
+                       const struct wy_http_header_field *headers,
                        int *status);
 char *wy_fetch_bytes (uint16_t port, const char *path, size_t *n, int *status);
 void wy_sleep_ms (uint32_t ms);
--- a/tests/support/proc_yard.c
+++ b/tests/support/proc_yard.c
@@ -139,7 +139,7 @@
 static bool
 all_up (const struct proc_yard *y, uint32_t i)
 {
-  static const struct wy_http_pair operator[] = {
+  static const struct wy_http_header_field operator[] = {
     { "authorization", "Bearer op" }, { NULL, NULL }
   };
   int status;
@@ -295,7 +295,7 @@
 /* POST BODY to PATH of ENTRY.  */
 char *
 proc_yard_call (const struct proc_yard *y, uint32_t entry, const char *path,
-                const char *body, const struct wy_http_pair *headers,
+                const char *body, const struct wy_http_header_field *headers,
                 int *status)
 {
   return wy_fetch_text (y->entry[entry], "POST", path, body, headers, status);
--- a/tests/support/proc_yard.h
+++ b/tests/support/proc_yard.h
@@ -49,7 +49,7 @@
 void proc_yard_end (struct proc_yard *y);
 char *proc_yard_call (const struct proc_yard *y, uint32_t entry,
                       const char *path, const char *body,
-                      const struct wy_http_pair *headers, int *status);
+                      const struct wy_http_header_field *headers, int *status);
 size_t proc_yard_count (const struct proc_yard *y, int program,
                         const char *event);
 
--- a/tests/support/yard_world.c
+++ b/tests/support/yard_world.c
@@ -110,7 +110,7 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_answer *a)
+on_answer (void *ctx, const struct wy_http_response *a)
 {
   struct yard_world *w = ctx;
 
--- a/tests/test_agent_engine.c
+++ b/tests/test_agent_engine.c
@@ -178,7 +178,7 @@
 };
 
 static void
-on_page (void *ctx, const struct wy_http_answer *a)
+on_page (void *ctx, const struct wy_http_response *a)
 {
   struct page *p = ctx;
 
--- a/tests/test_agent_model.c
+++ b/tests/test_agent_model.c
@@ -156,7 +156,7 @@
   agent_world_until (&w, some_body);
   w.incarnation = "engine-b";
   w.version = 3;
-  wy_http_stream_break (w.calls[0].ex);
+  wy_http_stream_abort (w.calls[0].ex);
   agent_world_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_CRASHED);
   cr_assert_eq (w.entry[0].end.ran, WY_RAN_UNKNOWN);
--- a/tests/test_agent_orders.c
+++ b/tests/test_agent_orders.c
@@ -292,7 +292,7 @@
 };
 
 static void
-on_read (void *ctx, const struct wy_http_answer *a)
+on_read (void *ctx, const struct wy_http_response *a)
 {
   struct reading *r = ctx;
 
--- a/tests/test_agent_service.c
+++ b/tests/test_agent_service.c
@@ -124,7 +124,7 @@
   s = agent_world_submit_service (&w, "portal:k1", true);
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
-  wy_http_drop (w.calls[0].ex);
+  wy_http_close_connection (w.calls[0].ex);
   agent_world_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_CRASHED);
   cr_assert_eq (w.entry[0].end.ran, WY_RAN_UNKNOWN);
--- a/tests/test_at_most_once.c
+++ b/tests/test_at_most_once.c
@@ -284,7 +284,7 @@
     return a;
   c = &s->revisions[p->revision].service;
   home = wy_service_home (c, k->id, a.issued_ms ? a.issued_ms : a.now_ms);
-  before = wy_service_home_before (c, k->id);
+  before = wy_service_previous_home (c, k->id);
   a.home = home && !strcmp (home, names[m->agent]);
   a.moved = home && before && strcmp (home, before) != 0;
   a.effective_ms = c->effective_ms;
--- a/tests/test_config_apply.c
+++ b/tests/test_config_apply.c
@@ -33,7 +33,7 @@
 static void
 on_request (struct wy_http_exchange *ex, void *ctx)
 {
-  if (!wy_config_http (((struct entry *)ctx)->service, ex))
+  if (!wy_config_handle_request (((struct entry *)ctx)->service, ex))
     wy_http_respond (ex, 404, "text/plain", "", 0);
 }
 
@@ -115,7 +115,7 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_answer *a)
+on_answer (void *ctx, const struct wy_http_response *a)
 {
   struct world *w = ctx;
 
@@ -231,8 +231,8 @@
   cr_assert_eq (apply (&w, 0, DRAIN), 200);
   cr_assert_eq (revision (&w), 1);
   cr_assert (run_until (&w.loop, both_at_1, &w));
-  cr_assert (wy_document_drained (wy_config_feed_document (w.entry[1].feed),
-                                  "engine-7"));
+  cr_assert (wy_document_is_drained (wy_config_feed_document (w.entry[1].feed),
+                                     "engine-7"));
   cr_assert_eq (call (&w, 1, "/v1/config", NULL), 200);
   cr_assert_eq (revision (&w), 1);
   g_free (plan (&w, 1, EMPTY));
--- a/tests/test_contract_engine.c
+++ b/tests/test_contract_engine.c
@@ -279,7 +279,7 @@
   g_free (wy_fetch_text (port, "POST", "/v1/completions",
                          "{\"request_id\":\"p\",\"prompt\":\"poison\"}", NULL,
                          &status));
-  cr_expect_eq (status, WY_HTTP_EBROKEN);
+  cr_expect_eq (status, WY_HTTP_EINCOMPLETE);
   events = g_thread_join (t);
   expect_finish (events, "");
   cr_expect_eq (wy_proc_wait (&engine), 86);
--- a/tests/test_contract_list.c
+++ b/tests/test_contract_list.c
@@ -82,8 +82,8 @@
     int status;
   } cases[] = {
     { "{\"fault\":\"down\"}", 503 },
-    { "{\"fault\":\"down\",\"value\":\"refuse\"}", WY_HTTP_EBROKEN },
-    { "{\"fault\":\"lose_answer\",\"value\":1}", WY_HTTP_EBROKEN },
+    { "{\"fault\":\"down\",\"value\":\"refuse\"}", WY_HTTP_EINCOMPLETE },
+    { "{\"fault\":\"lose_answer\",\"value\":1}", WY_HTTP_EINCOMPLETE },
   };
   uint16_t port = start ("name: list-1\nlag_ms: 0");
   int status;
--- a/tests/test_contract_service.c
+++ b/tests/test_contract_service.c
@@ -53,7 +53,7 @@
 
 Test (contract_service, echo_passes_all_through)
 {
-  static const struct wy_http_pair headers[]
+  static const struct wy_http_header_field headers[]
       = { { "x-office", "delta" }, { NULL, NULL } };
   int status;
   json_t *j
@@ -91,8 +91,8 @@
 {
   static const struct fault_case cases[] = {
     { "{\"fault\":\"down\"}", 503, 0 },
-    { "{\"fault\":\"down\",\"value\":\"refuse\"}", WY_HTTP_EBROKEN, 0 },
-    { "{\"fault\":\"lose_answer\",\"value\":1}", WY_HTTP_EBROKEN, 1 },
+    { "{\"fault\":\"down\",\"value\":\"refuse\"}", WY_HTTP_EINCOMPLETE, 0 },
+    { "{\"fault\":\"lose_answer\",\"value\":1}", WY_HTTP_EINCOMPLETE, 1 },
     { "{\"fault\":\"slow\",\"value\":30}", 200, 1 },
   };
 
@@ -122,7 +122,7 @@
   g_free (wy_fetch_text (port, "POST", "/fault",
                          "{\"fault\":\"crash_on\",\"value\":\"poison\"}", NULL,
                          &status));
-  cr_expect_eq (file ("k-poison"), WY_HTTP_EBROKEN);
+  cr_expect_eq (file ("k-poison"), WY_HTTP_EINCOMPLETE);
   events = wy_proc_events (&service, "service.executed");
   cr_expect_eq (json_array_size (events), 1U);
   json_decref (events);
--- a/tests/test_contract_table.c
+++ b/tests/test_contract_table.c
@@ -104,8 +104,8 @@
 {
   static const struct fault_case cases[] = {
     { "{\"fault\":\"down\"}", 503, 0 },
-    { "{\"fault\":\"down\",\"value\":\"refuse\"}", WY_HTTP_EBROKEN, 0 },
-    { "{\"fault\":\"lose_answer\",\"value\":1}", WY_HTTP_EBROKEN, 1 },
+    { "{\"fault\":\"down\",\"value\":\"refuse\"}", WY_HTTP_EINCOMPLETE, 0 },
+    { "{\"fault\":\"lose_answer\",\"value\":1}", WY_HTTP_EINCOMPLETE, 1 },
     { "{\"fault\":\"rate\",\"value\":0.001}", 429, 0 },
     { "{\"fault\":\"slow\",\"value\":50}", 200, 1 },
     { "{\"fault\":\"none\"}", 200, 1 },
--- a/tests/test_contract_weights.c
+++ b/tests/test_contract_weights.c
@@ -95,8 +95,8 @@
     int status;
   } cases[] = {
     { "{\"fault\":\"down\"}", 503 },
-    { "{\"fault\":\"down\",\"value\":\"refuse\"}", WY_HTTP_EBROKEN },
-    { "{\"fault\":\"lose_answer\",\"value\":1}", WY_HTTP_EBROKEN },
+    { "{\"fault\":\"down\",\"value\":\"refuse\"}", WY_HTTP_EINCOMPLETE },
+    { "{\"fault\":\"lose_answer\",\"value\":1}", WY_HTTP_EINCOMPLETE },
     { "{\"fault\":\"none\"}", 200 },
   };
 
--- a/tests/test_entry_at_most_once.c
+++ b/tests/test_entry_at_most_once.c
@@ -4,11 +4,11 @@
 
 #include "support/entry_world.h"
 
-static const struct wy_http_pair filing[]
+static const struct wy_http_header_field filing[]
     = { { "waxwing-idempotent", "no" },
         { "idempotency-key", "f-17" },
         { "waxwing-issued-at", "1700000000000" } };
-static const struct wy_http_pair keyless[]
+static const struct wy_http_header_field keyless[]
     = { { "waxwing-idempotent", "no" } };
 
 static void
--- a/tests/test_entry_issue_times.c
+++ b/tests/test_entry_issue_times.c
@@ -12,7 +12,7 @@
   SETTLE_MS = 1500
 };
 
-static const struct wy_http_pair headers[]
+static const struct wy_http_header_field headers[]
     = { { "waxwing-idempotent", "no" },
         { "idempotency-key", "filing-17" },
         { NULL, NULL } };
--- a/tests/test_entry_processes.c
+++ b/tests/test_entry_processes.c
@@ -91,10 +91,11 @@
 {
   struct proc_yard y;
   char issued[24];
-  const struct wy_http_pair headers[] = { { "waxwing-idempotent", "no" },
-                                          { "idempotency-key", "f-1" },
-                                          { "waxwing-issued-at", issued },
-                                          { NULL, NULL } };
+  const struct wy_http_header_field headers[]
+      = { { "waxwing-idempotent", "no" },
+          { "idempotency-key", "f-1" },
+          { "waxwing-issued-at", issued },
+          { NULL, NULL } };
   size_t executions = 0;
   int status;
   char *text;
--- a/tests/test_entry_targets.c
+++ b/tests/test_entry_targets.c
@@ -6,9 +6,9 @@
 
 #define WHOLE "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":2}"
 
-static const struct wy_http_pair operator[] = { { "authorization",
-                                                  "Bearer op" } };
-static const struct wy_http_pair trainer[]
+static const struct wy_http_header_field operator[] = { { "authorization",
+                                                          "Bearer op" } };
+static const struct wy_http_header_field trainer[]
     = { { "authorization", "Bearer tr" } };
 
 static void
@@ -417,7 +417,7 @@
 {
   const char *method;
   const char *path;
-  const struct wy_http_pair *header;
+  const struct wy_http_header_field *header;
   int status;
 };
 
@@ -465,12 +465,12 @@
    others notice nothing.  */
 Test (entry_targets, too_many_headers)
 {
-  struct wy_http_pair headers[20];
+  struct wy_http_header_field headers[20];
   struct world w;
   struct caller c;
 
   for (size_t i = 0; i < G_N_ELEMENTS (headers); i++)
-    headers[i] = (struct wy_http_pair){ "x-filler", "1" };
+    headers[i] = (struct wy_http_header_field){ "x-filler", "1" };
   world_start_with (&w, 1, false, "header_limit: 10\n");
   call_start (&c, &w, "POST", "/v1/completions", headers,
               G_N_ELEMENTS (headers), WHOLE);
--- a/tests/test_examples.c
+++ b/tests/test_examples.c
@@ -92,7 +92,7 @@
                   const struct wy_setting *table, size_t n, void *out,
                   GString *errors)
 {
-  char *sample = wy_template_sample (path, text, table, n, errors);
+  char *sample = wy_template_fill_samples (path, text, table, n, errors);
   bool good = sample
               && !wy_settings_parse (path, sample, strlen (sample), table, n,
                                      out, errors);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -55,7 +55,7 @@
     {
       wy_http_stream_begin (ex, 200, "text/plain");
       wy_http_stream_write (ex, "par", 3);
-      wy_http_stream_break (ex);
+      wy_http_stream_abort (ex);
       return;
     }
   wy_http_add_header (ex, "x-query", wy_http_query (ex));
@@ -63,7 +63,7 @@
 }
 
 static void
-on_done (void *ctx, const struct wy_http_answer *a)
+on_done (void *ctx, const struct wy_http_response *a)
 {
   struct world *w = ctx;
 
@@ -136,7 +136,7 @@
   world_init (&w);
   fetch (&w, "/cut", "", 0);
   uv_run (&w.loop, UV_RUN_DEFAULT);
-  cr_assert_eq (w.err, WY_HTTP_EBROKEN);
+  cr_assert_eq (w.err, WY_HTTP_EINCOMPLETE);
 }
 
 /* Nothing listens at the address.  The client learns that nothing was sent,
--- a/tests/test_http_cut.c
+++ b/tests/test_http_truncated.c
@@ -66,13 +66,13 @@
     { CHUNKED, "3\r\nabc\r\n0\r\n\r\n", 200, 3 },
     { CHUNKED "3\r\nabc\r\n0\r\n\r\n", "", 200, 3 },
     { CHUNKED "3\r\nabc\r\n", "0\r\n\r\n", 200, 3 },
-    { CHUNKED "3\r\nabc\r\n", "", WY_HTTP_EBROKEN, 3 },
-    { CHUNKED "3\r\nabc\r\n", "3\r\nde", WY_HTTP_EBROKEN, 5 },
-    { CHUNKED, "", WY_HTTP_EBROKEN, 0 },
+    { CHUNKED "3\r\nabc\r\n", "", WY_HTTP_EINCOMPLETE, 3 },
+    { CHUNKED "3\r\nabc\r\n", "3\r\nde", WY_HTTP_EINCOMPLETE, 5 },
+    { CHUNKED, "", WY_HTTP_EINCOMPLETE, 0 },
     { "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nabc", "de", 200, 5 },
-    { "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nabc", "", WY_HTTP_EBROKEN,
-      3 },
-    { "HTTP/1.1 200 OK\r\ncont", "", WY_HTTP_EBROKEN, 0 },
+    { "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nabc", "",
+      WY_HTTP_EINCOMPLETE, 3 },
+    { "HTTP/1.1 200 OK\r\ncont", "", WY_HTTP_EINCOMPLETE, 0 },
   };
 
   for (size_t i = 0; i < sizeof answers / sizeof *answers; i++)
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -17,13 +17,13 @@
 
 static const char *const modes[] = { "idle", "staleness", NULL };
 static const struct wy_setting table[] = {
-  { "name", WY_SETTING_TEXT, offsetof (struct sample, name), NULL, 0, 0, NULL,
-    NULL, "" },
-  { "limit_ms", WY_SETTING_NUMBER, offsetof (struct sample, limit_ms), "100",
+  { "name", WY_SETTING_STRING, offsetof (struct sample, name), NULL, 0, 0,
+    NULL, NULL, "" },
+  { "limit_ms", WY_SETTING_INTEGER, offsetof (struct sample, limit_ms), "100",
     1, 1000, NULL, "ms", "" },
   { "share", WY_SETTING_REAL, offsetof (struct sample, share), "0.5", 0, 1,
     NULL, NULL, "" },
-  { "on", WY_SETTING_SWITCH, offsetof (struct sample, on), "false", 0, 0, NULL,
+  { "on", WY_SETTING_BOOL, offsetof (struct sample, on), "false", 0, 0, NULL,
     NULL, "" },
   { "mode", WY_SETTING_CHOICE, offsetof (struct sample, mode), "idle", 0, 0,
     modes, NULL, "" },
