--- a/src/check/flows.c
+++ b/src/check/accounts.c
@@ -3,8 +3,8 @@
    given was made by a run.  */
 #include <string.h>
 
-#include "check/lives.h"
-#include "check/report.h"
+#include "check/incarnations.h"
+#include "check/invariants.h"
 
 static const char received_name[] = "request.received";
 
--- a/src/check/check.c
+++ b/src/check/check.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#include "check/report.h"
+#include "check/invariants.h"
 
 const struct wy_invariant wy_invariants[] = {
   { "attribution",
--- a/src/check/lives.c
+++ b/src/check/incarnations.c
@@ -3,7 +3,7 @@
    What a killed process was about to note is missing from its timeline, so a
    promise that is judged by the absence of an event holds only for those that
    said they stopped.  */
-#include "check/lives.h"
+#include "check/incarnations.h"
 
 #include <string.h>
 
--- a/src/check/lives.h
+++ b/src/check/incarnations.h
@@ -1,6 +1,6 @@
 /* Incarnations of processes in a timeline.  */
-#ifndef WY_CHECK_LIVES_H
-#define WY_CHECK_LIVES_H
+#ifndef WY_CHECK_INCARNATIONS_H
+#define WY_CHECK_INCARNATIONS_H
 
 #include <stdbool.h>
 
--- a/src/check/report.h
+++ b/src/check/invariants.h
@@ -1,6 +1,6 @@
 /* What the invariants share: reporting and walking the events.  */
-#ifndef WY_CHECK_REPORT_H
-#define WY_CHECK_REPORT_H
+#ifndef WY_CHECK_INVARIANTS_H
+#define WY_CHECK_INVARIANTS_H
 
 #include <stdbool.h>
 
--- a/src/check/states.c
+++ b/src/check/order.c
@@ -3,8 +3,8 @@
    what holds was taken.  */
 #include <string.h>
 
-#include "check/lives.h"
-#include "check/report.h"
+#include "check/incarnations.h"
+#include "check/invariants.h"
 
 static void
 verify_starts (struct wy_check *c)
--- a/src/check/processes.c
+++ b/src/check/processes.c
@@ -1,8 +1,8 @@
 /* Invariants on processes: leaving, graceful stop, configuration, fencing.  */
 #include <string.h>
 
-#include "check/lives.h"
-#include "check/report.h"
+#include "check/incarnations.h"
+#include "check/invariants.h"
 
 enum
 {
--- a/src/check/requests.c
+++ b/src/check/requests.c
@@ -1,7 +1,7 @@
 /* Invariants on requests: whole answers, true refusals, at most once.  */
 #include <string.h>
 
-#include "check/report.h"
+#include "check/invariants.h"
 
 static bool
 is_interactive_answer (const struct wy_event *e)
--- a/src/check/jobs.c
+++ b/src/check/results.c
@@ -3,7 +3,7 @@
    was read can be read to the end.  */
 #include <string.h>
 
-#include "check/report.h"
+#include "check/invariants.h"
 
 static char *
 place_key (const struct wy_event *e)
--- a/src/check/samples.c
+++ b/src/check/samples.c
@@ -1,7 +1,7 @@
 /* Invariants on samples: attribution, staleness, delivery.  */
 #include <string.h>
 
-#include "check/report.h"
+#include "check/invariants.h"
 
 /* Segments must cover the tokens from 0 on without a gap.  */
 static bool
--- a/src/check/scores.c
+++ b/src/check/scores.c
@@ -3,7 +3,7 @@
    what is given up was failed by the service as often as was agreed.  */
 #include <string.h>
 
-#include "check/report.h"
+#include "check/invariants.h"
 
 enum
 {
--- a/src/check/steps.c
+++ b/src/check/steps.c
@@ -2,8 +2,8 @@
    out, trained on, acknowledged; published before they are loaded.  */
 #include <string.h>
 
-#include "check/lives.h"
-#include "check/report.h"
+#include "check/incarnations.h"
+#include "check/invariants.h"
 
 /* A stage of a step and the one that must have come before it.  */
 struct stage
