--- a/src/config/apply.c
+++ b/src/config/apply.c
@@ -1,11 +1,11 @@
-/* Plan and apply of configuration documents.
+/* Planning and applying of configuration documents.
 
-   A plan names the revision that it was made on, by its digest.  Applying
-   reads the current revision, checks that the digest still belongs to it, and
-   writes the next one on the condition that nobody else has.  Of two
-   operators at the same moment one is told what the other changed.  An
-   operator whose answer was lost applies the same plan again and is told the
-   revision it has become.  */
+   The digest of a plan covers the document and the revision the plan is based
+   on.  Apply reads the current revision, compares the digest, and writes the
+   next revision on the condition that no other has been written meanwhile.
+   Of two operators who apply at the same time, one gets 409 and what the other
+   changed.  An operator who lost the response applies the same plan again and
+   gets the revision it was stored as.  */
 #include "config/apply.h"
 
 #include <inttypes.h>
@@ -18,7 +18,7 @@
 #include "config/service_members.h"
 #include "http/json.h"
 
-/* Plan and apply as O says.  */
+/* Create a service that plans and applies documents with the options O.  */
 struct wy_config_service *
 wy_config_service_new (const struct wy_config_service_options *o)
 {
@@ -28,7 +28,7 @@
   return s;
 }
 
-/* Free S; no request may be under way.  */
+/* Free S; no request may be in progress.  */
 void
 wy_config_service_free (struct wy_config_service *s)
 {
@@ -38,74 +38,77 @@
 static void
 on_applied (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_config_job *j = ctx;
-  const struct wy_config_service_options *o = &j->service->o;
-  int64_t revision = j->base + 1;
+  struct wy_config_request *req = ctx;
+  const struct wy_config_service_options *o = &req->service->o;
+  int64_t revision = req->base + 1;
 
   if (r->err == WY_STORE_ECONFLICT)
     {
-      wy_config_conflict (j, wy_store_find_row (r, WY_CONFIG_CURRENT));
+      wy_config_respond_conflict (
+          req, wy_store_find_row (r, WY_CONFIG_CURRENT_KEY));
       return;
     }
   if (r->err)
     {
-      wy_config_store_problem (j, r);
+      wy_config_respond_store_error (req, r);
       return;
     }
   wy_trace_event (o->trace, "config.accepted", "{s:I, s:s}", "revision",
-                  (json_int_t)revision, "digest", j->digest);
+                  (json_int_t)revision, "digest", req->digest);
   if (o->feed)
     wy_config_feed_offer (o->feed, revision, wy_clock_wall_ms (o->clock),
-                          j->text, strlen (j->text));
-  if (j->ex)
+                          req->text, strlen (req->text));
+  if (req->ex)
     wy_http_respond_json (
-        j->ex, WY_STATUS_OK,
+        req->ex, WY_STATUS_OK,
         json_pack ("{s:I}", "revision", (json_int_t)revision));
-  wy_config_job_free (j);
+  wy_config_request_free (req);
 }
 
-/* Write the next revision.  Its own row is written once and is there for
-   settling a lost answer also when another revision has followed.  */
+/* Write the next revision, to the row of the current one and to a row of its
+   own.  The latter is never overwritten: by it the store client finds out
+   whether a call whose response was lost took effect, even after further
+   revisions.  */
 static void
-write_revision (struct wy_config_job *j)
+write_revision (struct wy_config_request *req)
 {
-  json_t *document = wy_document_json (j->after);
-  json_t *value
-      = json_pack ("{s:I, s:s, s:s, s:O}", "revision", (json_int_t)j->base + 1,
-                   "digest", j->digest, "op", j->op, "document", document);
+  json_t *document = wy_document_json (req->after);
+  json_t *value = json_pack ("{s:I, s:s, s:s, s:O}", "revision",
+                             (json_int_t)req->base + 1, "digest", req->digest,
+                             "op", req->op, "document", document);
   struct wy_store_condition conditions[]
-      = { { WY_CONFIG_CURRENT, j->base_rev }, { j->rev_key, 0 } };
+      = { { WY_CONFIG_CURRENT_KEY, req->base_rev }, { req->rev_key, 0 } };
   struct wy_store_write writes[]
-      = { { WY_CONFIG_CURRENT, value }, { j->rev_key, value } };
+      = { { WY_CONFIG_CURRENT_KEY, value }, { req->rev_key, value } };
   struct wy_store_txn txn = { .cause = "apply",
-                              .op = j->op,
+                              .op = req->op,
                               .conditions = conditions,
                               .n_conditions = G_N_ELEMENTS (conditions),
                               .writes = writes,
                               .n_writes = G_N_ELEMENTS (writes) };
 
-  j->text = json_dumps (document, JSON_COMPACT | JSON_SORT_KEYS);
-  wy_store_txn (j->service->o.store, &txn, on_applied, j);
+  req->text = json_dumps (document, JSON_COMPACT | JSON_SORT_KEYS);
+  wy_store_txn (req->service->o.store, &txn, on_applied, req);
   json_decref (value);
   json_decref (document);
 }
 
 static void
-answer_plan (struct wy_config_job *j, const char *digest)
+respond_plan (struct wy_config_request *req, const char *digest)
 {
-  json_t *body = wy_config_diff (j->before, j->after);
+  json_t *body = wy_config_diff (req->before, req->after);
 
   json_object_set_new (body, "digest", json_string (digest));
-  json_object_set_new (body, "base", json_integer (j->base));
-  if (j->ex)
-    wy_http_respond_json (j->ex, WY_STATUS_OK, body);
+  json_object_set_new (body, "base", json_integer (req->base));
+  if (req->ex)
+    wy_http_respond_json (req->ex, WY_STATUS_OK, body);
   else
     json_decref (body);
-  wy_config_job_free (j);
+  wy_config_request_free (req);
 }
 
 static void
-apply (struct wy_config_job *j, const struct wy_store_row *row)
+apply (struct wy_config_request *req, const struct wy_store_row *row)
 {
   char digest[WY_CONFIG_DIGEST_SIZE_BYTES];
   const char *applied
@@ -113,31 +116,33 @@
             : NULL;
   GString *why;
 
-  if (applied && !strcmp (applied, j->digest))
+  if (applied && !strcmp (applied, req->digest))
     {
-      if (j->ex)
+      if (req->ex)
         wy_http_respond_json (
-            j->ex, WY_STATUS_OK,
-            json_pack ("{s:I}", "revision", (json_int_t)j->base));
-      wy_config_job_free (j);
+            req->ex, WY_STATUS_OK,
+            json_pack ("{s:I}", "revision", (json_int_t)req->base));
+      wy_config_request_free (req);
       return;
     }
-  wy_document_digest (j->after, j->base, digest);
-  if (strcmp (digest, j->digest) != 0)
+  wy_document_digest (req->after, req->base, digest);
+  if (strcmp (digest, req->digest) != 0)
     {
-      wy_config_explain (j);
+      wy_config_respond_stale_plan (req);
       return;
     }
   why = g_string_new (NULL);
-  if (wy_roster_settle (&j->service->o, j->before, j->after, why))
-    wy_config_problem (j, WY_STATUS_CONFLICT, "An earlier change is under way",
-                       why->str, j->service->o.roster_trust_ms, NULL);
+  if (wy_service_members_schedule (&req->service->o, req->before, req->after,
+                                   why))
+    wy_config_respond_problem (
+        req, WY_STATUS_CONFLICT, "An earlier change has not taken effect yet",
+        why->str, req->service->o.roster_trust_ms, NULL);
   else
     {
-      g_snprintf (j->rev_key, sizeof j->rev_key, "config/rev/%" PRId64,
-                  j->base + 1);
-      wy_id_new (j->service->o.clock, j->op);
-      write_revision (j);
+      g_snprintf (req->rev_key, sizeof req->rev_key, "config/rev/%" PRId64,
+                  req->base + 1);
+      wy_id_new (req->service->o.clock, req->op);
+      write_revision (req);
     }
   g_string_free (why, TRUE);
 }
@@ -145,44 +150,46 @@
 static void
 on_current (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_config_job *j = ctx;
-  const struct wy_store_row *row = wy_store_find_row (r, WY_CONFIG_CURRENT);
+  struct wy_config_request *req = ctx;
+  const struct wy_store_row *row
+      = wy_store_find_row (r, WY_CONFIG_CURRENT_KEY);
   char digest[WY_CONFIG_DIGEST_SIZE_BYTES];
 
   if (r->err)
     {
-      wy_config_store_problem (j, r);
+      wy_config_respond_store_error (req, r);
       return;
     }
-  if (wy_config_row_document (row, &j->before, &j->base))
+  if (wy_config_parse_row (row, &req->before, &req->base))
     {
-      wy_config_problem (j, WY_STATUS_CONFLICT,
-                         "The current configuration is invalid", NULL, 0,
-                         NULL);
+      wy_config_respond_problem (req, WY_STATUS_CONFLICT,
+                                 "The stored configuration is invalid", NULL,
+                                 0, NULL);
       return;
     }
-  j->base_rev = row ? row->rev : 0;
-  if (j->apply)
+  req->base_rev = row ? row->rev : 0;
+  if (req->is_apply)
     {
-      apply (j, row);
+      apply (req, row);
       return;
     }
-  wy_document_digest (j->after, j->base, digest);
-  answer_plan (j, digest);
+  wy_document_digest (req->after, req->base, digest);
+  respond_plan (req, digest);
 }
 
 static void
 on_abort (struct wy_http_exchange *ex, void *ctx)
 {
-  ((struct wy_config_job *)ctx)->ex = NULL;
+  ((struct wy_config_request *)ctx)->ex = NULL;
 }
 
 static void
-begin (struct wy_config_service *s, struct wy_http_exchange *ex, bool is_apply)
+start_request (struct wy_config_service *s, struct wy_http_exchange *ex,
+               bool is_apply)
 {
-  static const char *const keys[] = { WY_CONFIG_CURRENT };
+  static const char *const keys[] = { WY_CONFIG_CURRENT_KEY };
   struct wy_store_read read = { .cause = "plan", .keys = keys, .n_keys = 1 };
-  struct wy_config_job *j = g_malloc0 (sizeof *j);
+  struct wy_config_request *req = g_malloc0 (sizeof *req);
   GString *errors = g_string_new (NULL);
   size_t n;
   const char *body = wy_http_body (ex, &n);
@@ -190,33 +197,33 @@
   const char *digest = json_string_value (json_object_get (json, "digest"));
   const json_t *base = json_object_get (json, "base");
 
-  j->service = s;
-  j->ex = ex;
-  j->apply = is_apply;
-  j->planned_on = json_is_integer (base) ? json_integer_value (base) : -1;
-  j->digest = g_strdup (digest ? digest : "");
+  req->service = s;
+  req->ex = ex;
+  req->is_apply = is_apply;
+  req->plan_base = json_is_integer (base) ? json_integer_value (base) : -1;
+  req->digest = g_strdup (digest ? digest : "");
   if (!json_is_object (json) || !json_object_get (json, "document")
       || (is_apply && !digest))
-    wy_config_problem (j, WY_STATUS_BAD_REQUEST, "Bad request",
-                       is_apply
-                           ? "The body must be {\"document\", \"digest\"}."
-                           : "The body must be {\"document\"}.",
-                       0, NULL);
-  else if (wy_document_parse (&j->after, json_object_get (json, "document"),
+    wy_config_respond_problem (
+        req, WY_STATUS_BAD_REQUEST, "Bad request",
+        is_apply ? "The body must be {\"document\", \"digest\"}."
+                 : "The body must be {\"document\"}.",
+        0, NULL);
+  else if (wy_document_parse (&req->after, json_object_get (json, "document"),
                               errors))
-    wy_config_problem (j, WY_STATUS_UNPROCESSABLE, "Invalid document",
-                       errors->str, 0, NULL);
+    wy_config_respond_problem (req, WY_STATUS_UNPROCESSABLE,
+                               "Invalid document", errors->str, 0, NULL);
   else
     {
-      wy_http_on_abort (ex, on_abort, j);
-      wy_store_read (s->o.store, &read, on_current, j);
+      wy_http_on_abort (ex, on_abort, req);
+      wy_store_read (s->o.store, &read, on_current, req);
     }
   g_string_free (errors, TRUE);
   json_decref (json);
 }
 
 static void
-give_current (struct wy_config_service *s, struct wy_http_exchange *ex)
+respond_current (struct wy_config_service *s, struct wy_http_exchange *ex)
 {
   const struct wy_config_feed *f = s->o.feed;
   const char *text = wy_config_feed_text (f);
@@ -230,8 +237,8 @@
                                    "document", document));
 }
 
-/* Answer EX when it is GET /v1/config, POST /v1/plan or POST /v1/apply;
-   whether it is.  */
+/* Handle EX if it is for /v1/config (GET), /v1/plan or /v1/apply (POST).
+   Returns whether it was.  */
 bool
 wy_config_handle_request (struct wy_config_service *s,
                           struct wy_http_exchange *ex)
@@ -244,7 +251,7 @@
   if (!strcmp (path, "/v1/config"))
     {
       if (!strcmp (wy_http_method (ex), "GET"))
-        give_current (s, ex);
+        respond_current (s, ex);
       else
         wy_http_respond_problem (ex, &p);
       return true;
@@ -252,7 +259,7 @@
   if (strcmp (path, "/v1/plan") != 0 && strcmp (path, "/v1/apply") != 0)
     return false;
   if (post)
-    begin (s, ex, !strcmp (path, "/v1/apply"));
+    start_request (s, ex, !strcmp (path, "/v1/apply"));
   else
     wy_http_respond_problem (ex, &p);
   return true;
--- a/src/config/apply.h
+++ b/src/config/apply.h
@@ -1,4 +1,4 @@
-/* Plan and apply of configuration documents, over HTTP.  */
+/* Planning and applying of configuration documents over HTTP.  */
 #ifndef WY_CONFIG_APPLY_H
 #define WY_CONFIG_APPLY_H
 
@@ -18,13 +18,13 @@
   const struct wy_clock *clock;
   struct wy_trace *trace;
   struct wy_store *store;
-  struct wy_config_feed *feed; /* told at once of what was applied */
-  /* How long an entry or agent may go on trusting the list of members that
-     it knows.  A change of members counts only after this.  */
+  struct wy_config_feed *feed; /* gets each applied document at once */
+  /* How long an entry or agent may use its list of members without having it
+     confirmed.  A change of members takes effect after this time.  */
   uint32_t roster_trust_ms;
-  /* Whether every member of the service, old and new, has said that it holds
-     no trust in the old list, so that the change may count at once.  NULL:
-     never.  */
+  /* Whether all members of the service, old and new, have acknowledged that
+     they no longer use the old list, so that the change can take effect at
+     once.  NULL: never.  */
   bool (*acknowledged) (void *ctx, const struct wy_service_config *before,
                         const struct wy_service_config *after);
   void *ctx;
--- a/src/config/apply_request.c
+++ b/src/config/apply_request.c
@@ -1,4 +1,4 @@
-/* One plan or apply under way: its answers.  */
+/* Responses to plan and apply requests.  */
 #include "config/apply_request.h"
 
 #include <inttypes.h>
@@ -7,53 +7,53 @@
 
 #include "http/json.h"
 
-/* Free J.  */
+/* Free REQ.  */
 void
-wy_config_job_free (struct wy_config_job *j)
+wy_config_request_free (struct wy_config_request *req)
 {
-  wy_document_free (j->after);
-  wy_document_free (j->before);
-  g_free (j->digest);
-  g_free (j->text);
-  g_free (j);
+  wy_document_free (req->after);
+  wy_document_free (req->before);
+  g_free (req->digest);
+  g_free (req->text);
+  g_free (req);
 }
 
-/* Answer with a problem and free J; MEMBERS is taken.  */
+/* Respond with a problem and free REQ.  Takes the reference to MEMBERS.  */
 void
-wy_config_problem (struct wy_config_job *j, int status, const char *title,
-                   const char *detail, uint32_t retry_after_ms,
-                   json_t *members)
+wy_config_respond_problem (struct wy_config_request *req, int status,
+                           const char *title, const char *detail,
+                           uint32_t retry_after_ms, json_t *members)
 {
   struct wy_http_problem p
       = { status, title, detail, retry_after_ms, members };
 
-  if (j->ex)
-    wy_http_respond_problem (j->ex, &p);
+  if (req->ex)
+    wy_http_respond_problem (req->ex, &p);
   else
     json_decref (members);
-  wy_config_job_free (j);
+  wy_config_request_free (req);
 }
 
-/* Answer that the store could not be asked, or that the outcome is not known,
-   and free J.  */
+/* Respond that the store is unavailable, or that the outcome of the write is
+   unknown, and free REQ.  */
 void
-wy_config_store_problem (struct wy_config_job *j,
-                         const struct wy_store_result *r)
+wy_config_respond_store_error (struct wy_config_request *req,
+                               const struct wy_store_result *r)
 {
   bool unknown = r->err == WY_STORE_EUNKNOWN;
 
-  wy_config_problem (
-      j, WY_STATUS_UNAVAILABLE,
+  wy_config_respond_problem (
+      req, WY_STATUS_UNAVAILABLE,
       unknown ? "The change may have been applied"
-              : "The store can't be asked",
-      unknown ? "Apply the same plan again: when it was applied, the "
-                "answer is its revision."
+              : "The store is unavailable",
+      unknown ? "Apply the same plan again: if it was applied, the "
+                "response is its revision."
               : wy_store_strerror (r->err),
       r->retry_after_ms, NULL);
 }
 
 static json_t *
-lines (GPtrArray *texts)
+string_list (GPtrArray *texts)
 {
   json_t *list = json_array ();
 
@@ -63,7 +63,8 @@
   return list;
 }
 
-/* The changes from A to B and their effects, as the operator reads them.  */
+/* The changes from A to B and their effects, as lists of lines for the
+   operator.  */
 json_t *
 wy_config_diff (const struct wy_document *a, const struct wy_document *b)
 {
@@ -71,14 +72,15 @@
   GPtrArray *effects = g_ptr_array_new_with_free_func (g_free);
 
   wy_document_diff (a, b, changes, effects);
-  return json_pack ("{s:o, s:o}", "changes", lines (changes), "effects",
-                    lines (effects));
+  return json_pack ("{s:o, s:o}", "changes", string_list (changes), "effects",
+                    string_list (effects));
 }
 
-/* The document in a config row; an empty one when there is none.  */
+/* Parse the document of the config row ROW; without a row, an empty document
+   of revision 0.  Returns 0 or an error of wy_document_parse.  */
 int
-wy_config_row_document (const struct wy_store_row *row,
-                        struct wy_document **out, int64_t *revision)
+wy_config_parse_row (const struct wy_store_row *row, struct wy_document **out,
+                     int64_t *revision)
 {
   json_t *none = json_object ();
   int err;
@@ -92,65 +94,71 @@
   return err;
 }
 
-/* Tell the operator what came first: what ROW changed against the base.  */
+/* Respond that another change was applied first, with its changes: ROW, the
+   current one, against the base of the plan.  Frees REQ.  */
 void
-wy_config_conflict (struct wy_config_job *j, const struct wy_store_row *row)
+wy_config_respond_conflict (struct wy_config_request *req,
+                            const struct wy_store_row *row)
 {
-  struct wy_document *winner = NULL;
+  struct wy_document *current = NULL;
   int64_t revision;
   json_t *members;
 
-  if (!row || wy_config_row_document (row, &winner, &revision))
+  if (!row || wy_config_parse_row (row, &current, &revision))
     {
-      wy_config_problem (j, WY_STATUS_CONFLICT, "Another change came first",
-                         NULL, 0, NULL);
+      wy_config_respond_problem (req, WY_STATUS_CONFLICT,
+                                 "Another change was applied first", NULL, 0,
+                                 NULL);
       return;
     }
-  members = wy_config_diff (j->before, winner);
+  members = wy_config_diff (req->before, current);
   json_object_set_new (members, "revision", json_integer (revision));
-  wy_document_free (winner);
-  wy_config_problem (j, WY_STATUS_CONFLICT, "Another change came first",
-                     "Make a new plan on the current revision.", 0, members);
+  wy_document_free (current);
+  wy_config_respond_problem (
+      req, WY_STATUS_CONFLICT, "Another change was applied first",
+      "Make a new plan on the current revision.", 0, members);
 }
 
 static void
-on_earlier (void *ctx, const struct wy_store_result *r)
+on_earlier_revision (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_config_job *j = ctx;
+  struct wy_config_request *req = ctx;
   struct wy_document *earlier = NULL;
   int64_t revision;
   json_t *members = NULL;
 
   if (r->err)
     {
-      wy_config_store_problem (j, r);
+      wy_config_respond_store_error (req, r);
       return;
     }
-  if (!wy_config_row_document (wy_store_find_row (r, j->rev_key), &earlier,
-                               &revision))
-    members = wy_config_diff (earlier, j->before);
+  if (!wy_config_parse_row (wy_store_find_row (r, req->rev_key), &earlier,
+                            &revision))
+    members = wy_config_diff (earlier, req->before);
   else
     members = json_object ();
-  json_object_set_new (members, "revision", json_integer (j->base));
+  json_object_set_new (members, "revision", json_integer (req->base));
   wy_document_free (earlier);
-  wy_config_problem (j, WY_STATUS_CONFLICT, "The plan is not of this revision",
-                     "Another change came first, or the document is not the "
-                     "planned one; make a new plan.",
-                     0, members);
+  wy_config_respond_problem (
+      req, WY_STATUS_CONFLICT, "The plan does not match the current revision",
+      "Another change was applied first, or the document is "
+      "not the planned one; make a new plan.",
+      0, members);
 }
 
-/* The digest does not fit the current revision: tell the operator what has
-   changed since the revision of the plan, or by the last change when the
-   operator does not name it.  */
+/* Respond that the digest does not match the current revision, with what has
+   changed since the revision the plan is based on, or with the last change if
+   the request does not name that revision.  Frees REQ.  */
 void
-wy_config_explain (struct wy_config_job *j)
+wy_config_respond_stale_plan (struct wy_config_request *req)
 {
-  int64_t since = j->planned_on >= 0 && j->planned_on < j->base ? j->planned_on
-                                                                : j->base - 1;
-  const char *keys[] = { j->rev_key };
+  int64_t since = req->plan_base >= 0 && req->plan_base < req->base
+                      ? req->plan_base
+                      : req->base - 1;
+  const char *keys[] = { req->rev_key };
   const struct wy_store_read read
       = { .cause = "plan", .keys = keys, .n_keys = 1 };
 
-  g_snprintf (j->rev_key, sizeof j->rev_key, "config/rev/%" PRId64, since);
-  wy_store_read (j->service->o.store, &read, on_earlier, j);
+  g_snprintf (req->rev_key, sizeof req->rev_key, "config/rev/%" PRId64, since);
+  wy_store_read (req->service->o.store, &read, on_earlier_revision, req);
 }
--- a/src/config/diff.c
+++ b/src/config/diff.c
@@ -1,5 +1,5 @@
-/* What a new configuration document changes, and what comes of it, in lines
-   that an operator reads before confirming.  */
+/* Changes between two configuration documents and their effects, as lines that
+   an operator reads before applying.  */
 #include <string.h>
 
 #include "config/document.h"
@@ -18,7 +18,7 @@
 }
 
 static bool
-has (const GPtrArray *names, const char *name)
+contains (const GPtrArray *names, const char *name)
 {
   for (guint i = 0; i < names->len; i++)
     if (!strcmp (names->pdata[i], name))
@@ -42,7 +42,8 @@
       if (wy_document_model (b, m->name))
         continue;
       add (changes, "- model %s", m->name);
-      add (effects, "requests for model %s are refused, not run", m->name);
+      add (effects, "requests for model %s are rejected without being run",
+           m->name);
     }
 }
 
@@ -54,17 +55,17 @@
   guint n = changes->len;
 
   for (guint i = 0; i < b->members->len; i++)
-    if (!has (a->members, b->members->pdata[i]))
+    if (!contains (a->members, b->members->pdata[i]))
       add (changes, "+ service %s member %s", b->name,
            (char *)b->members->pdata[i]);
   for (guint i = 0; i < a->members->len; i++)
-    if (!has (b->members, a->members->pdata[i]))
+    if (!contains (b->members, a->members->pdata[i]))
       add (changes, "- service %s member %s", b->name,
            (char *)a->members->pdata[i]);
   if (changes->len > n)
     add (effects,
-         "non-idempotent requests of service %s go by the old members until "
-         "all processes know the new ones",
+         "non-idempotent requests for service %s use the old members until "
+         "all processes have the new ones",
          b->name);
 }
 
@@ -88,7 +89,8 @@
       if (wy_document_service (b, s->name))
         continue;
       add (changes, "- service %s", s->name);
-      add (effects, "requests for service %s are refused, not run", s->name);
+      add (effects, "requests for service %s are rejected without being run",
+           s->name);
     }
 }
 
@@ -119,8 +121,8 @@
         continue;
       add (changes, "- yard %s trainer %s", b->name, t->name);
       add (effects,
-           "running samples of trainer %s are given up; its fixed batches "
-           "can no longer be read",
+           "running samples of trainer %s are cancelled; its committed "
+           "batches can no longer be read",
            t->name);
     }
 }
@@ -134,7 +136,7 @@
   if (strcmp (a->model, b->model) != 0)
     {
       add (changes, "~ yard %s model %s -> %s", b->name, a->model, b->model);
-      add (effects, "unfinished steps of yard %s are sampled anew", b->name);
+      add (effects, "unfinished steps of yard %s are sampled again", b->name);
     }
   if (a->weighs != b->weighs)
     add (changes, "~ yard %s weighs %s -> %s", b->name, weighs[a->weighs],
@@ -173,31 +175,31 @@
       if (wy_document_yard (b, y->name))
         continue;
       add (changes, "- yard %s", y->name);
-      add (effects, "all samples of yard %s are given up", y->name);
+      add (effects, "all samples of yard %s are cancelled", y->name);
     }
 }
 
 static void
-diff_marks (const GPtrArray *a, const GPtrArray *b, const char *what,
+diff_names (const GPtrArray *a, const GPtrArray *b, const char *what,
             const char *set, const char *unset, GPtrArray *changes,
             GPtrArray *effects)
 {
   for (guint i = 0; i < b->len; i++)
-    if (!has (a, b->pdata[i]))
+    if (!contains (a, b->pdata[i]))
       {
         add (changes, "+ %s %s", what, (char *)b->pdata[i]);
         add (effects, set, (char *)b->pdata[i]);
       }
   for (guint i = 0; i < a->len; i++)
-    if (!has (b, a->pdata[i]))
+    if (!contains (b, a->pdata[i]))
       {
         add (changes, "- %s %s", what, (char *)a->pdata[i]);
         add (effects, unset, (char *)a->pdata[i]);
       }
 }
 
-/* Append to CHANGES what is different in AFTER, a line each, and to EFFECTS
-   what that leads to.  The texts are owned by the arrays' users.  */
+/* Append the differences of AFTER from BEFORE to CHANGES, one line each, and
+   their effects to EFFECTS.  The caller owns the strings.  */
 void
 wy_document_diff (const struct wy_document *before,
                   const struct wy_document *after, GPtrArray *changes,
@@ -206,10 +208,10 @@
   diff_models (before, after, changes, effects);
   diff_services (before, after, changes, effects);
   diff_yards (before, after, changes, effects);
-  diff_marks (before->drained, after->drained, "drained",
-              "target %s takes no new work and finishes what it runs",
-              "target %s takes work again", changes, effects);
-  diff_marks (before->unblocked, after->unblocked, "unblocked",
+  diff_names (before->drained, after->drained, "drained",
+              "target %s accepts no new work and completes what it runs",
+              "target %s accepts work again", changes, effects);
+  diff_names (before->unblocked, after->unblocked, "unblocked",
               "requests with fingerprint %s may run again",
               "fingerprint %s is blocked again when it crashes targets",
               changes, effects);
--- a/src/config/document.c
+++ b/src/config/document.c
@@ -1,5 +1,6 @@
-/* Parsing of the configuration document.  Everything that is wrong is named
-   with its place, so that an operator mends it in one go.  */
+/* Parser of the configuration document.  It reports all errors and where they
+   are, not only the first, so that an operator can correct them in one
+   edit.  */
 #include "config/document.h"
 
 #include <math.h>
@@ -9,8 +10,7 @@
 enum
 {
   NAME_MAX_BYTES = 64,
-  /* More versions than this between a sample and its trainer is surely a
-     mistake.  */
+  /* In weight versions; a larger bound is taken for a mistake.  */
   STALENESS_BOUND_MAX = 1000
 };
 
@@ -20,11 +20,11 @@
   bool failed;
 };
 
-static void fail (struct parser *p, const char *fmt, ...)
+static void add_error (struct parser *p, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 
 static void
-fail (struct parser *p, const char *fmt, ...)
+add_error (struct parser *p, const char *fmt, ...)
 {
   va_list ap;
 
@@ -40,7 +40,7 @@
 
 /* Names become parts of row keys and paths.  */
 static bool
-good_name (const char *s)
+is_valid_name (const char *s)
 {
   if (!s || !*s || strlen (s) > NAME_MAX_BYTES)
     return false;
@@ -51,37 +51,39 @@
 }
 
 static char *
-take_name (struct parser *p, const json_t *x, const char *where)
+parse_name (struct parser *p, const json_t *x, const char *where)
 {
   const char *s = json_string_value (x);
 
-  if (!good_name (s))
+  if (!is_valid_name (s))
     {
-      fail (p, "%s: must be a name of letters, digits, '.', '_', '-'", where);
+      add_error (p, "%s: must be a name of letters, digits, '.', '_', '-'",
+                 where);
       s = "";
     }
   return g_strdup (s);
 }
 
 static gint
-compare_text (gconstpointer a, gconstpointer b)
+compare_strings (gconstpointer a, gconstpointer b)
 {
   return strcmp (*(char *const *)a, *(char *const *)b);
 }
 
 static GPtrArray *
-take_names (struct parser *p, const json_t *list, const char *where)
+parse_names (struct parser *p, const json_t *list, const char *where)
 {
   GPtrArray *out = g_ptr_array_new_with_free_func (g_free);
 
   if (list && !json_is_array (list))
-    fail (p, "%s: must be a list", where);
+    add_error (p, "%s: must be a list", where);
   for (size_t i = 0; i < json_array_size (list); i++)
-    g_ptr_array_add (out, take_name (p, json_array_get (list, i), where));
-  g_ptr_array_sort (out, compare_text);
+    g_ptr_array_add (out, parse_name (p, json_array_get (list, i), where));
+  g_ptr_array_sort (out, compare_strings);
   for (guint i = 1; i < out->len; i++)
     if (!strcmp (out->pdata[i - 1], out->pdata[i]))
-      fail (p, "%s: \"%s\" stands twice", where, (char *)out->pdata[i]);
+      add_error (p, "%s: \"%s\" is listed twice", where,
+                 (char *)out->pdata[i]);
   return out;
 }
 
@@ -94,61 +96,61 @@
 
   if (!json_is_object (x))
     {
-      fail (p, "%s: must be an object", where);
+      add_error (p, "%s: must be an object", where);
       return;
     }
   json_object_foreach ((json_t *)x, key, value)
   {
     if (!g_strv_contains (known, key))
-      fail (p, "%s: unknown key \"%s\"", where, key);
+      add_error (p, "%s: unknown key \"%s\"", where, key);
   }
 }
 
 static struct wy_model_config *
-take_model (struct parser *p, const json_t *x)
+parse_model (struct parser *p, const json_t *x)
 {
   static const char *const known[] = { "name", NULL };
   struct wy_model_config *m = g_new0 (struct wy_model_config, 1);
 
   check_keys (p, x, "models", known);
-  m->name = take_name (p, json_object_get (x, "name"), "models: name");
+  m->name = parse_name (p, json_object_get (x, "name"), "models: name");
   return m;
 }
 
 static struct wy_service_config *
-take_service (struct parser *p, const json_t *x)
+parse_service (struct parser *p, const json_t *x)
 {
   static const char *const known[]
       = { "name", "members", "previous", "effective_ms", NULL };
   struct wy_service_config *s = g_new0 (struct wy_service_config, 1);
 
   check_keys (p, x, "services", known);
-  s->name = take_name (p, json_object_get (x, "name"), "services: name");
+  s->name = parse_name (p, json_object_get (x, "name"), "services: name");
   s->members
-      = take_names (p, json_object_get (x, "members"), "services: members");
+      = parse_names (p, json_object_get (x, "members"), "services: members");
   s->previous
-      = take_names (p, json_object_get (x, "previous"), "services: previous");
+      = parse_names (p, json_object_get (x, "previous"), "services: previous");
   s->effective_ms = json_integer_value (json_object_get (x, "effective_ms"));
   return s;
 }
 
 static struct wy_trainer_config *
-take_trainer (struct parser *p, const json_t *x)
+parse_trainer (struct parser *p, const json_t *x)
 {
   static const char *const known[] = { "name", "worth", NULL };
   struct wy_trainer_config *t = g_new0 (struct wy_trainer_config, 1);
   const json_t *worth = json_object_get (x, "worth");
 
   check_keys (p, x, "trainers", known);
-  t->name = take_name (p, json_object_get (x, "name"), "trainers: name");
+  t->name = parse_name (p, json_object_get (x, "name"), "trainers: name");
   t->worth = worth ? json_number_value (worth) : 1;
   if (!(t->worth > 0) || !isfinite (t->worth))
-    fail (p, "trainers: worth: must be a number above 0");
+    add_error (p, "trainers: worth: must be a number above 0");
   return t;
 }
 
 static void
-take_weighs (struct parser *p, const json_t *x, struct wy_yard_config *y)
+parse_weighs (struct parser *p, const json_t *x, struct wy_yard_config *y)
 {
   const char *s = json_string_value (json_object_get (x, "weighs"));
 
@@ -157,28 +159,30 @@
   else if (!strcmp (s, "idle"))
     y->weighs = WY_WEIGHS_IDLE;
   else
-    fail (p, "yards: weighs: must be \"staleness\" or \"idle\"");
+    add_error (p, "yards: weighs: must be \"staleness\" or \"idle\"");
 }
 
 static void
-take_bound (struct parser *p, const json_t *x, struct wy_yard_config *y)
+parse_staleness_bound (struct parser *p, const json_t *x,
+                       struct wy_yard_config *y)
 {
   const json_t *bound = json_object_get (x, "staleness_bound");
   json_int_t n = json_integer_value (bound);
 
   if (!json_is_integer (bound) || n < 0 || n > STALENESS_BOUND_MAX)
     {
-      fail (p,
-            "yards: staleness_bound: must be a whole number of versions, "
-            "0 to %d",
-            STALENESS_BOUND_MAX);
+      add_error (
+          p,
+          "yards: staleness_bound: must be an integer number of versions, "
+          "0 to %d",
+          STALENESS_BOUND_MAX);
       return;
     }
   y->staleness_bound = (uint32_t)n;
 }
 
 static struct wy_yard_config *
-take_yard (struct parser *p, const json_t *x)
+parse_yard (struct parser *p, const json_t *x)
 {
   static const char *const known[]
       = { "name",    "model",    "weighs", "staleness_bound",
@@ -188,17 +192,17 @@
   const char *scoring = json_string_value (json_object_get (x, "scoring"));
 
   check_keys (p, x, "yards", known);
-  y->name = take_name (p, json_object_get (x, "name"), "yards: name");
-  y->model = take_name (p, json_object_get (x, "model"), "yards: model");
-  take_weighs (p, x, y);
-  take_bound (p, x, y);
+  y->name = parse_name (p, json_object_get (x, "name"), "yards: name");
+  y->model = parse_name (p, json_object_get (x, "model"), "yards: model");
+  parse_weighs (p, x, y);
+  parse_staleness_bound (p, x, y);
   y->scoring = g_strdup (scoring ? scoring : "");
   if (scoring && !strchr (scoring, ':'))
-    fail (p, "yards: scoring: must be \"host:port\"");
+    add_error (p, "yards: scoring: must be \"host:port\"");
   y->trainers = g_ptr_array_new ();
   for (size_t i = 0; i < json_array_size (trainers); i++)
     g_ptr_array_add (y->trainers,
-                     take_trainer (p, json_array_get (trainers, i)));
+                     parse_trainer (p, json_array_get (trainers, i)));
   return y;
 }
 
@@ -210,15 +214,16 @@
       const struct wy_yard_config *y = d->yards->pdata[i];
 
       if (!wy_document_model (d, y->model))
-        fail (p, "yards: %s: there is no model \"%s\"", y->name, y->model);
+        add_error (p, "yards: %s: no model \"%s\" in the document", y->name,
+                   y->model);
       if (wy_document_yard (d, y->name) != y)
-        fail (p, "yards: \"%s\" stands twice", y->name);
+        add_error (p, "yards: \"%s\" is listed twice", y->name);
       for (guint k = 0; k < y->trainers->len; k++)
         {
           const struct wy_trainer_config *t = y->trainers->pdata[k];
           if (wy_yard_config_trainer (y, t->name) != t)
-            fail (p, "yards: %s: trainer \"%s\" stands twice", y->name,
-                  t->name);
+            add_error (p, "yards: %s: trainer \"%s\" is listed twice", y->name,
+                       t->name);
         }
     }
 }
@@ -230,29 +235,29 @@
     {
       const struct wy_service_config *s = d->services->pdata[i];
       if (wy_document_service (d, s->name) != s)
-        fail (p, "services: \"%s\" stands twice", s->name);
+        add_error (p, "services: \"%s\" is listed twice", s->name);
     }
   for (guint i = 0; i < d->models->len; i++)
     {
       const struct wy_model_config *m = d->models->pdata[i];
       if (wy_document_model (d, m->name) != m)
-        fail (p, "models: \"%s\" stands twice", m->name);
+        add_error (p, "models: \"%s\" is listed twice", m->name);
     }
   check_yards (p, d);
 }
 
 static const json_t *
-take_list (struct parser *p, const json_t *json, const char *key)
+get_list (struct parser *p, const json_t *json, const char *key)
 {
   const json_t *list = json_object_get (json, key);
 
   if (list && !json_is_array (list))
-    fail (p, "%s: must be a list", key);
+    add_error (p, "%s: must be a list", key);
   return list;
 }
 
-/* Parse JSON into OUT.  Returns 0, or WY_CONFIG_EVALUE with all that is wrong
-   appended to ERRORS, which may be NULL.  */
+/* Parse JSON into OUT, which the caller frees.  Returns 0, or
+   WY_CONFIG_EVALUE with all errors appended to ERRORS, which may be NULL.  */
 int
 wy_document_parse (struct wy_document **out, const json_t *json,
                    GString *errors)
@@ -267,18 +272,19 @@
   d->models = g_ptr_array_new ();
   d->services = g_ptr_array_new ();
   d->yards = g_ptr_array_new ();
-  list = take_list (&p, json, "models");
+  list = get_list (&p, json, "models");
   for (size_t i = 0; i < json_array_size (list); i++)
-    g_ptr_array_add (d->models, take_model (&p, json_array_get (list, i)));
-  list = take_list (&p, json, "services");
+    g_ptr_array_add (d->models, parse_model (&p, json_array_get (list, i)));
+  list = get_list (&p, json, "services");
   for (size_t i = 0; i < json_array_size (list); i++)
-    g_ptr_array_add (d->services, take_service (&p, json_array_get (list, i)));
-  list = take_list (&p, json, "yards");
+    g_ptr_array_add (d->services,
+                     parse_service (&p, json_array_get (list, i)));
+  list = get_list (&p, json, "yards");
   for (size_t i = 0; i < json_array_size (list); i++)
-    g_ptr_array_add (d->yards, take_yard (&p, json_array_get (list, i)));
-  d->drained = take_names (&p, json_object_get (json, "drained"), "drained");
+    g_ptr_array_add (d->yards, parse_yard (&p, json_array_get (list, i)));
+  d->drained = parse_names (&p, json_object_get (json, "drained"), "drained");
   d->unblocked
-      = take_names (&p, json_object_get (json, "unblocked"), "unblocked");
+      = parse_names (&p, json_object_get (json, "unblocked"), "unblocked");
   check_names (&p, d);
   if (!p.failed)
     {
@@ -289,8 +295,8 @@
   return WY_CONFIG_EVALUE;
 }
 
-/* Like wy_document_parse, from SIZE_BYTES of TEXT; WY_CONFIG_ESYNTAX when it
-   is not JSON.  */
+/* Like wy_document_parse, from the SIZE_BYTES of TEXT; also returns
+   WY_CONFIG_ESYNTAX, if TEXT is not JSON.  */
 int
 wy_document_parse_text (struct wy_document **out, const char *text,
                         size_t size_bytes, GString *errors)
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -1,4 +1,4 @@
-/* The configuration document: what the service serves.  */
+/* The configuration document: models, services and yards that are served.  */
 #ifndef WY_CONFIG_DOCUMENT_H
 #define WY_CONFIG_DOCUMENT_H
 
@@ -13,6 +13,8 @@
 
 #define WY_CONFIG_DIGEST_SIZE_BYTES 65 /* SHA-256 in hex and a NUL */
 
+/* What a yard minimises: the staleness of samples or the idle time of
+   engines.  */
 enum wy_yard_weighs
 {
   WY_WEIGHS_STALENESS,
@@ -27,15 +29,17 @@
 struct wy_service_config
 {
   char *name;
-  GPtrArray *members;   /* char *, sorted */
-  GPtrArray *previous;  /* char *, sorted */
-  int64_t effective_ms; /* keys issued before belong to previous */
+  GPtrArray *members;  /* char *, sorted */
+  GPtrArray *previous; /* char *, sorted */
+  /* Wall-clock time from which on members are used; a request issued earlier
+     belongs to previous.  */
+  int64_t effective_ms;
 };
 
 struct wy_trainer_config
 {
   char *name;
-  double worth;
+  double worth; /* factor on the worth of the trainer's steps */
 };
 
 struct wy_yard_config
--- a/src/config/document_json.c
+++ b/src/config/document_json.c
@@ -1,4 +1,4 @@
-/* The configuration document: memory, look-up, canonical JSON and digest.  */
+/* The configuration document: freeing, lookup, canonical JSON and digest.  */
 #include "config/document.h"
 
 #include <inttypes.h>
@@ -44,7 +44,7 @@
   g_ptr_array_free (yards, TRUE);
 }
 
-/* Free D; NULL is fine.  */
+/* Free D, which may be NULL.  */
 void
 wy_document_free (struct wy_document *d)
 {
@@ -92,7 +92,7 @@
                     "scoring", y->scoring, "trainers", trainers);
 }
 
-/* D in its canonical form, with all lists and defaults.  */
+/* The canonical JSON of D: every key is present, defaults filled in.  */
 json_t *
 wy_document_json (const struct wy_document *d)
 {
@@ -184,9 +184,9 @@
   return false;
 }
 
-/* Digest of the intent D made on BASE_REVISION, which an operator confirms.
-   The times of roster changes are left out: they are set when the plan is
-   applied.  */
+/* SHA-256 of D and BASE_REVISION in hex, by which an operator confirms a plan.
+   It leaves out previous and effective_ms of the services, which are set only
+   when the plan is applied.  */
 void
 wy_document_digest (const struct wy_document *d, int64_t base_revision,
                     char out[WY_CONFIG_DIGEST_SIZE_BYTES])
--- a/src/config/feed.c
+++ b/src/config/feed.c
@@ -1,9 +1,9 @@
-/* The configuration in force at this process.
+/* The configuration in force in this process.
 
-   Entries read one row of the table at an interval; agents are told by the
-   entries' heartbeats, so that thousands of processes don't poll the table.
-   A revision is never left for a lower one, wherever it comes from: a peer
-   that slept, or a read that was answered late, can't bring an old document
+   Entries poll one row of the store; agents get the configuration with the
+   entries' heartbeats, so that thousands of processes don't poll the store.
+   The revision never decreases, whatever its source: neither a peer that was
+   suspended nor a delayed response of the store can bring an old document
    back.  */
 #include "config/feed.h"
 
@@ -15,9 +15,10 @@
 #include "base/rng.h"
 #include "trace/log.h"
 
-/* In force everywhere within seconds: one read a second and entry, with up to
-   a quarter more, so that entries started together spread out.  */
-#define INTERVAL_MS 1000
+/* With one read a second by each entry a change is in force everywhere within
+   seconds.  Up to a quarter of the interval is added as random jitter, so that
+   the reads of entries started together spread out.  */
+#define POLL_INTERVAL_MS 1000
 #define JITTER_DIVISOR 4
 
 struct wy_config_feed
@@ -29,7 +30,7 @@
   char *text;
   int64_t revision;
   int64_t confirmed_ms;
-  int64_t asked_ms; /* wall time at which the read under way was sent */
+  int64_t read_sent_ms; /* wall-clock time of the pending read */
   bool reading;
   bool closing;
   bool timer_closed;
@@ -46,8 +47,8 @@
 }
 
 static void
-take (struct wy_config_feed *f, struct wy_document *d, int64_t revision,
-      const char *text, size_t size_bytes)
+put_in_force (struct wy_config_feed *f, struct wy_document *d,
+              int64_t revision, const char *text, size_t size_bytes)
 {
   struct wy_document *old = f->document;
 
@@ -69,10 +70,12 @@
     f->confirmed_ms = confirmed_ms;
 }
 
-/* Take REVISION with the document TEXT of SIZE_BYTES, which the store last
-   confirmed at the wall time CONFIRMED_MS, when it is newer than what is in
-   force.  TEXT may be NULL when the peer only names its revision.  Returns 0,
-   WY_CONFIG_ECONFLICT when ours is newer, or WY_CONFIG_EVALUE.  */
+/* Put REVISION into force if it is newer than the one in force.  TEXT is its
+   document as JSON of SIZE_BYTES; it may be NULL if the peer reported only its
+   revision.  CONFIRMED_MS is the wall-clock time at which the store last
+   confirmed the revision.  Returns 0, WY_CONFIG_ECONFLICT if the revision in
+   force is newer, WY_CONFIG_EVALUE if a newer one has no TEXT or an invalid
+   document, or WY_CONFIG_ESYNTAX if TEXT is not JSON.  */
 int
 wy_config_feed_offer (struct wy_config_feed *f, int64_t revision,
                       int64_t confirmed_ms, const char *text,
@@ -96,14 +99,14 @@
       g_string_free (errors, TRUE);
       if (err)
         return err;
-      take (f, d, revision, text, size_bytes);
+      put_in_force (f, d, revision, text, size_bytes);
     }
   confirm (f, confirmed_ms);
   return 0;
 }
 
 static void
-take_row (struct wy_config_feed *f, const struct wy_store_row *row)
+handle_row (struct wy_config_feed *f, const struct wy_store_row *row)
 {
   int64_t revision
       = row ? json_integer_value (json_object_get (row->value, "revision"))
@@ -116,7 +119,7 @@
   if (revision < f->revision)
     wy_log (WY_LOG_ERROR, "config_went_back", "store=%lld in_force=%lld",
             (long long)revision, (long long)f->revision);
-  wy_config_feed_offer (f, revision, f->asked_ms, text,
+  wy_config_feed_offer (f, revision, f->read_sent_ms, text,
                         text ? strlen (text) : 0);
   free (text);
 }
@@ -128,7 +131,7 @@
 }
 
 static void
-plan (struct wy_config_feed *f)
+schedule_read (struct wy_config_feed *f)
 {
   uint32_t wait_ms
       = f->o.store ? wy_store_poll_interval_ms (f->o.store, f->o.interval_ms)
@@ -151,11 +154,11 @@
       return;
     }
   if (!r->err)
-    take_row (f, wy_store_find_row (r, "config/current"));
-  plan (f);
+    handle_row (f, wy_store_find_row (r, "config/current"));
+  schedule_read (f);
 }
 
-/* Read the store now, without waiting for the interval.  */
+/* Read the store now instead of at the next interval.  */
 void
 wy_config_feed_poll (struct wy_config_feed *f)
 {
@@ -165,11 +168,11 @@
   if (f->reading || f->closing || !f->o.store)
     return;
   f->reading = true;
-  f->asked_ms = wy_clock_wall_ms (f->o.clock);
+  f->read_sent_ms = wy_clock_wall_ms (f->o.clock);
   wy_store_read (f->o.store, &r, on_read, f);
 }
 
-/* Begin to learn the configuration as O says.  */
+/* Create a feed with the options O and start the first read.  */
 struct wy_config_feed *
 wy_config_feed_new (const struct wy_config_feed_options *o)
 {
@@ -177,7 +180,7 @@
 
   f->o = *o;
   if (!f->o.interval_ms)
-    f->o.interval_ms = INTERVAL_MS;
+    f->o.interval_ms = POLL_INTERVAL_MS;
   wy_rng_seed (&f->rng, o->seed);
   uv_timer_init (o->loop, &f->timer);
   f->timer.data = f;
@@ -194,7 +197,7 @@
   destroy (f);
 }
 
-/* Free F, before the store is freed.  */
+/* Free F, which may be NULL; call it before the store is freed.  */
 void
 wy_config_feed_free (struct wy_config_feed *f)
 {
@@ -204,29 +207,29 @@
   uv_close ((uv_handle_t *)&f->timer, on_timer_closed);
 }
 
-/* The document in force, NULL when none is known.  */
+/* The document in force; NULL if none is known.  */
 const struct wy_document *
 wy_config_feed_document (const struct wy_config_feed *f)
 {
   return f->document;
 }
 
-/* Its revision, 0 when none is known.  */
+/* The revision in force; 0 if none is known.  */
 int64_t
 wy_config_feed_revision (const struct wy_config_feed *f)
 {
   return f->revision;
 }
 
-/* Wall time at which the store last confirmed that revision, 0 when it never
-   did.  */
+/* Wall-clock time at which the store last confirmed the revision in force; 0
+   if it never did.  */
 int64_t
 wy_config_feed_confirmed_ms (const struct wy_config_feed *f)
 {
   return f->confirmed_ms;
 }
 
-/* The document in force as JSON, to pass on to peers; NULL when none is
+/* The document in force as JSON, for forwarding to peers; NULL if none is
    known.  */
 const char *
 wy_config_feed_text (const struct wy_config_feed *f)
--- a/src/config/feed.h
+++ b/src/config/feed.h
@@ -1,5 +1,5 @@
-/* The configuration in force at this process: learnt from the store or from
-   a peer, never going back.  */
+/* The configuration in force in this process, from the store or from a peer;
+   its revision never decreases.  */
 #ifndef WY_CONFIG_FEED_H
 #define WY_CONFIG_FEED_H
 
@@ -20,10 +20,11 @@
   uv_loop_t *loop;
   const struct wy_clock *clock;
   struct wy_trace *trace;
-  struct wy_store *store; /* NULL: only from peers */
+  struct wy_store *store; /* NULL: documents come only from peers */
   uint64_t seed;
-  uint32_t interval_ms; /* 0: default */
-  /* A newer document came into force.  It stays valid until the next.  */
+  uint32_t interval_ms; /* between reads of the store; 0: default */
+  /* A newer document D is in force.  D is valid until the next call
+     returns.  */
   void (*on_change) (void *ctx, const struct wy_document *d, int64_t revision);
   void *ctx;
 };
--- a/src/config/home.c
+++ b/src/config/home.c
@@ -1,10 +1,10 @@
-/* Homes: the one target that may run a non-idempotent request.
+/* The home of a non-idempotent request: the one target that may run it.
 
-   Such a request may reach this system twice, through two entries whose
-   instance lists differ.  Were each entry free to choose, two targets would
-   run it and neither would know.  The home is therefore computed from the
-   request's identifier and the members that the configuration names.  Entries
-   choose by this function and agents check by it, so both hash alike.  */
+   A request may arrive twice, through two entries with different instance
+   lists.  If each entry chose freely, two targets could run it, neither
+   knowing of the other.  The home is therefore computed by rendezvous hashing
+   from the request id and the members named in the configuration.  Entries
+   route by this function and agents check by it, so both compute the same.  */
 #include "config/home.h"
 
 #include <string.h>
@@ -14,13 +14,13 @@
 
 enum
 {
-  /* Members looked at; a service with more uses the first in order of name,
-     the same at every process.  */
+  /* Of a service with more members only the first by name are used, the same
+     ones in every process.  */
   MEMBERS_MAX = 1024
 };
 
 static const char *
-pick (const GPtrArray *members, const char *id)
+pick_home (const GPtrArray *members, const char *id)
 {
   uint64_t ids[MEMBERS_MAX];
   uint32_t n = 0;
@@ -32,21 +32,22 @@
   return i < 0 ? NULL : members->pdata[i];
 }
 
-/* The home of request ID of S that was issued at ISSUED_MS of wall time, or
-   NULL when S names no members.  A change of members counts for requests
-   issued after it only, so that a request sent again keeps its home.  */
+/* The home of request ID to service S, issued at the wall-clock time
+   ISSUED_MS; NULL if S has no members.  A change of members applies only to
+   requests issued after it took effect, so that a retried request keeps its
+   home.  */
 const char *
 wy_service_home (const struct wy_service_config *s, const char *id,
                  int64_t issued_ms)
 {
   if (issued_ms < s->effective_ms && s->previous->len > 0)
-    return pick (s->previous, id);
-  return pick (s->members, id);
+    return pick_home (s->previous, id);
+  return pick_home (s->members, id);
 }
 
-/* The home that ID had before the last change of members, or NULL.  */
+/* The home of request ID before the last change of members of S, or NULL.  */
 const char *
 wy_service_previous_home (const struct wy_service_config *s, const char *id)
 {
-  return pick (s->previous, id);
+  return pick_home (s->previous, id);
 }
--- a/src/config/program.c
+++ b/src/config/program.c
@@ -8,7 +8,7 @@
 #include "config/template.h"
 
 static int
-check (const struct wy_program *p, const char *path)
+load_settings (const struct wy_program *p, const char *path)
 {
   GString *errors = g_string_new (NULL);
   int err = wy_settings_load (path, p->table, p->n, p->settings, errors);
@@ -18,7 +18,8 @@
   return err;
 }
 
-/* Check the template at PATH as if each place held a value that is allowed. */
+/* Check the settings template at PATH with an allowed value in each
+   placeholder.  */
 static int
 check_template (const struct wy_program *p, const char *path)
 {
@@ -29,7 +30,7 @@
 
   if (!g_file_get_contents (path, &text, NULL, NULL))
     g_string_append_printf (errors,
-                            "%s:0: ?: can't be read, a file is "
+                            "%s:0: ?: cannot be read, a file is "
                             "allowed\n",
                             path);
   else
@@ -54,15 +55,15 @@
   g_string_free (out, TRUE);
 }
 
-/* Read the command line and load the settings.  Returns -1 when the program
-   is to run on, or the exit code to end with.  */
+/* Parse the command line and load the settings.  Returns -1 if the program is
+   to continue, else the exit code to end with.  */
 int
 wy_program_start (struct wy_program *p, int argc, char **argv)
 {
   gboolean version = FALSE;
   gboolean check_only = FALSE;
   gboolean describe_only = FALSE;
-  static char *path; /* stays, for reloads */
+  static char *path; /* outlives the call, for reloads */
   static char *template;
   GOptionEntry entries[]
       = { { "config", 'c', 0, G_OPTION_ARG_FILENAME, &path,
@@ -102,10 +103,10 @@
     rc = check_template (p, template) ? WY_EXIT_USAGE : WY_EXIT_OK;
   else if (argc > 1 || !path)
     {
-      fprintf (stderr, "%s: --config FILE is needed; see --help\n", p->name);
+      fprintf (stderr, "%s: --config FILE is required; see --help\n", p->name);
       rc = WY_EXIT_USAGE;
     }
-  else if (check (p, path))
+  else if (load_settings (p, path))
     rc = WY_EXIT_USAGE;
   else if (check_only)
     rc = WY_EXIT_OK;
--- a/src/config/program.h
+++ b/src/config/program.h
@@ -1,4 +1,4 @@
-/* What every program shares: command line, settings, exit codes.  */
+/* Command line, settings and exit codes common to all daemons.  */
 #ifndef WY_CONFIG_PROGRAM_H
 #define WY_CONFIG_PROGRAM_H
 
@@ -20,7 +20,7 @@
   const struct wy_setting *table;
   size_t n;
   void *settings;   /* zeroed */
-  const char *path; /* of the settings file, once started */
+  const char *path; /* settings file; set by wy_program_start */
 };
 
 int wy_program_start (struct wy_program *p, int argc, char **argv);
--- a/src/config/service_members.c
+++ b/src/config/service_members.c
@@ -1,16 +1,17 @@
 /* Changes of the members of services.
 
-   Members are homes of non-idempotent requests.  An entry that has not yet
-   learnt of a change sends a key to its old home, while one that has sends
-   the same key to the new one: the request would run twice.  So a change
-   counts only for keys issued after a time by which nobody trusts the old
-   list any longer; keys issued before stay with the previous members.  */
+   Members are the homes of non-idempotent requests.  An entry that has not yet
+   received a change sends a request to its old home, while one that has sends
+   the same request to the new one, and it would run twice.  A change therefore
+   applies only to requests issued after a time by which no process uses the
+   old list any more; requests issued earlier stay with the previous
+   members.  */
 #include "config/service_members.h"
 
 #include <string.h>
 
 static bool
-same (const GPtrArray *a, const GPtrArray *b)
+same_names (const GPtrArray *a, const GPtrArray *b)
 {
   if (a->len != b->len)
     return false;
@@ -29,23 +30,24 @@
 }
 
 static int
-settle_one (const struct wy_config_service_options *o,
-            const struct wy_service_config *old, struct wy_service_config *s,
-            int64_t now_ms, GString *why)
+schedule_change (const struct wy_config_service_options *o,
+                 const struct wy_service_config *old,
+                 struct wy_service_config *s, int64_t now_ms, GString *why)
 {
-  if (same (old->members, s->members))
+  if (same_names (old->members, s->members))
     {
       copy_names (s->previous, old->previous);
       s->effective_ms = old->effective_ms;
       return 0;
     }
-  /* Only one earlier list is kept, so a second change must wait until the
-     first counts everywhere.  */
+  /* Only one previous list is stored, so a further change must wait until the
+     pending one is in effect everywhere.  */
   if (now_ms < old->effective_ms)
     {
       g_string_append_printf (why,
-                              "the members of service %s are changing; a "
-                              "further change can be made in %lld ms",
+                              "a change of the members of service %s takes "
+                              "effect in %lld ms; no other is possible "
+                              "before",
                               s->name,
                               (long long)(old->effective_ms - now_ms));
       return WY_CONFIG_ECONFLICT;
@@ -57,9 +59,10 @@
   return 0;
 }
 
-/* A service that was taken out and put in again with other members would have
-   no previous ones, and count at once.  So it is taken out only after all its
-   members have been, and that counts everywhere.  */
+/* Check that services removed from the document have no members.  A service
+   that is removed and added again with other members would have no previous
+   ones, and the new ones would be used at once.  So it can be removed only
+   after its members have been and that change is in effect.  */
 static int
 check_removed (const struct wy_document *before,
                const struct wy_document *after, int64_t now_ms, GString *why)
@@ -72,21 +75,21 @@
           || (s->members->len == 0 && now_ms >= s->effective_ms))
         continue;
       g_string_append_printf (why,
-                              "service %s still has members; take them out "
-                              "first and wait until that counts",
+                              "service %s still has members; remove them "
+                              "first and wait until that is in effect",
                               s->name);
       return WY_CONFIG_ECONFLICT;
     }
   return 0;
 }
 
-/* Set the previous members and the times of all services of AFTER, which is
-   to follow BEFORE.  Returns 0, or WY_CONFIG_ECONFLICT with the reason in
-   WHY.  */
+/* Set previous and effective_ms of all services of AFTER, the document that
+   replaces BEFORE.  Returns 0, or WY_CONFIG_ECONFLICT with the reason appended
+   to WHY.  */
 int
-wy_roster_settle (const struct wy_config_service_options *o,
-                  const struct wy_document *before, struct wy_document *after,
-                  GString *why)
+wy_service_members_schedule (const struct wy_config_service_options *o,
+                             const struct wy_document *before,
+                             struct wy_document *after, GString *why)
 {
   int64_t now_ms = wy_clock_wall_ms (o->clock);
 
@@ -101,7 +104,7 @@
       int err = 0;
 
       if (old)
-        err = settle_one (o, old, s, now_ms, why);
+        err = schedule_change (o, old, s, now_ms, why);
       else
         {
           g_ptr_array_set_size (s->previous, 0);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -1,9 +1,9 @@
-/* Settings loader on libyaml.
+/* Loader of settings files, on libyaml.
 
-   libcyaml checks against a schema too, but reports a wrong value as a
-   backtrace of nested entries; operators are promised one line that names
-   the file, the line and what is allowed, so the table here is checked
-   against the nodes of libyaml, which carry their line.  */
+   libcyaml validates against a schema too, but reports an invalid value as a
+   backtrace of nested entries.  Operators get one line that names the file,
+   the line and what is allowed, so the nodes of libyaml, which have a line
+   number, are checked here against the table.  */
 #include "config/settings.h"
 
 #include <errno.h>
@@ -13,7 +13,7 @@
 
 #include <yaml.h>
 
-struct load
+struct loader
 {
   const char *path;
   yaml_document_t doc;
@@ -25,8 +25,8 @@
 };
 
 static void
-complain (struct load *l, size_t line, const char *key, const char *what,
-          const char *allowed)
+add_error (struct loader *l, size_t line, const char *key, const char *what,
+           const char *allowed)
 {
   l->failed = true;
   g_string_append_printf (l->errors, "%s:%zu: %s: %s, %s\n", l->path, line,
@@ -34,7 +34,7 @@
 }
 
 static char *
-allowed_text (const struct wy_setting *s)
+describe_allowed (const struct wy_setting *s)
 {
   char *list;
   char *text;
@@ -63,7 +63,7 @@
 }
 
 static bool
-parse_number (const struct wy_setting *s, const char *v, void *field)
+parse_integer (const struct wy_setting *s, const char *v, void *field)
 {
   char *end;
   long long n;
@@ -91,7 +91,7 @@
 }
 
 static bool
-parse_switch (const char *v, void *field)
+parse_bool (const char *v, void *field)
 {
   bool on = !strcmp (v, "true");
 
@@ -113,7 +113,8 @@
   return false;
 }
 
-/* Store the scalar V into the field of S.  */
+/* Parse the scalar V of setting S into FIELD.  Returns false if V is not
+   allowed.  */
 static bool
 parse_scalar (const struct wy_setting *s, const char *v, void *field)
 {
@@ -124,11 +125,11 @@
       *(char **)field = g_strdup (v);
       return true;
     case WY_SETTING_INTEGER:
-      return parse_number (s, v, field);
+      return parse_integer (s, v, field);
     case WY_SETTING_REAL:
       return parse_real (s, v, field);
     case WY_SETTING_BOOL:
-      return parse_switch (v, field);
+      return parse_bool (v, field);
     case WY_SETTING_CHOICE:
       return parse_choice (s, v, field);
     case WY_SETTING_LIST:
@@ -138,7 +139,7 @@
 }
 
 static bool
-parse_list (struct load *l, const yaml_node_t *node, void *field)
+parse_list (struct loader *l, const yaml_node_t *node, void *field)
 {
   GPtrArray *list = *(GPtrArray **)field;
 
@@ -155,7 +156,7 @@
 }
 
 static void
-load_value (struct load *l, const struct wy_setting *s,
+load_value (struct loader *l, const struct wy_setting *s,
             const yaml_node_t *node)
 {
   void *field = (char *)l->out + s->offset;
@@ -168,13 +169,13 @@
     ok = parse_list (l, node, field);
   if (ok)
     return;
-  allowed = allowed_text (s);
-  complain (l, node->start_mark.line + 1, s->key, "wrong value", allowed);
+  allowed = describe_allowed (s);
+  add_error (l, node->start_mark.line + 1, s->key, "invalid value", allowed);
   g_free (allowed);
 }
 
 static void
-set_fallbacks (struct load *l)
+set_defaults (struct loader *l)
 {
   for (size_t i = 0; i < l->n; i++)
     {
@@ -189,7 +190,7 @@
 }
 
 static void
-load_pair (struct load *l, const yaml_node_pair_t *pair, bool *given)
+load_pair (struct loader *l, const yaml_node_pair_t *pair, bool *given)
 {
   yaml_node_t *key = yaml_document_get_node (&l->doc, pair->key);
   yaml_node_t *value = yaml_document_get_node (&l->doc, pair->value);
@@ -198,7 +199,7 @@
 
   if (key->type != YAML_SCALAR_NODE)
     {
-      complain (l, line, "?", "not a key", "a text is allowed");
+      add_error (l, line, "?", "not a key", "a text is allowed");
       return;
     }
   name = (char *)key->data.scalar.value;
@@ -206,16 +207,16 @@
     if (!strcmp (l->table[i].key, name))
       {
         if (given[i])
-          complain (l, line, name, "given twice", "one value is allowed");
+          add_error (l, line, name, "given twice", "one value is allowed");
         given[i] = true;
         load_value (l, &l->table[i], value);
         return;
       }
-  complain (l, line, name, "unknown key", "see docs/CONFIG.md for the keys");
+  add_error (l, line, name, "unknown key", "see docs/CONFIG.md for the keys");
 }
 
 static void
-load_mapping (struct load *l, const yaml_node_t *root)
+load_mapping (struct loader *l, const yaml_node_t *root)
 {
   bool *given = g_new0 (bool, l->n);
 
@@ -225,13 +226,13 @@
   for (size_t i = 0; i < l->n; i++)
     if (!given[i] && !l->table[i].default_value
         && l->table[i].kind != WY_SETTING_LIST)
-      complain (l, root->start_mark.line + 1, l->table[i].key, "missing",
-                "the key must be given");
+      add_error (l, root->start_mark.line + 1, l->table[i].key, "missing",
+                 "the key must be given");
   g_free (given);
 }
 
 static int
-load_document (struct load *l, const char *text, size_t size_bytes)
+load_document (struct loader *l, const char *text, size_t size_bytes)
 {
   yaml_parser_t parser;
   yaml_node_t *root;
@@ -254,7 +255,7 @@
     load_mapping (l, root);
   else
     {
-      complain (l, 1, "?", "not a mapping", "key: value lines are allowed");
+      add_error (l, 1, "?", "not a mapping", "key: value lines are allowed");
       err = WY_CONFIG_ESYNTAX;
     }
   yaml_document_delete (&l->doc);
@@ -262,23 +263,25 @@
   return err ? err : l->failed ? WY_CONFIG_EVALUE : 0;
 }
 
-/* Load TEXT into the struct OUT, which must be zeroed, by the N rows of TABLE.
-   Every fault found is appended to ERRORS as a line "PATH:LINE: key: what is
-   wrong, what is allowed".  Returns 0, WY_CONFIG_ESYNTAX or
-   WY_CONFIG_EVALUE.  */
+/* Load the SIZE_BYTES of YAML at TEXT into the struct OUT, which must be
+   zeroed, as described by the N rows of TABLE.  Each error is appended to
+   ERRORS as a line "PATH:LINE: key: error, what is allowed".  Returns 0,
+   WY_CONFIG_ESYNTAX or WY_CONFIG_EVALUE; OUT needs wy_settings_free in any
+   case.  */
 int
 wy_settings_parse (const char *path, const char *text, size_t size_bytes,
                    const struct wy_setting *table, size_t n, void *out,
                    GString *errors)
 {
-  struct load l
+  struct loader l
       = { .path = path, .table = table, .n = n, .out = out, .errors = errors };
 
-  set_fallbacks (&l);
+  set_defaults (&l);
   return load_document (&l, text, size_bytes);
 }
 
-/* Like wy_settings_parse, from the file PATH; also WY_CONFIG_EOPEN.  */
+/* Like wy_settings_parse, from the file PATH; also returns
+   WY_CONFIG_EOPEN.  */
 int
 wy_settings_load (const char *path, const struct wy_setting *table, size_t n,
                   void *out, GString *errors)
@@ -300,7 +303,7 @@
   return err;
 }
 
-/* Free the texts and lists that wy_settings_load stored in OUT.  */
+/* Free the strings and lists that wy_settings_load stored in OUT.  */
 void
 wy_settings_free (const struct wy_setting *table, size_t n, void *out)
 {
@@ -315,14 +318,14 @@
     }
 }
 
-/* Append to OUT one row of a Markdown table per setting.  */
+/* Append a row of a Markdown table per setting to OUT.  */
 void
 wy_settings_describe (const struct wy_setting *table, size_t n, GString *out)
 {
   for (size_t i = 0; i < n; i++)
     {
       const struct wy_setting *s = &table[i];
-      char *allowed = allowed_text (s);
+      char *allowed = describe_allowed (s);
 
       g_string_append_printf (out, "| `%s` | %s | %s | %s | %s |\n", s->key,
                               s->unit ? s->unit : "",
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,4 @@
-/* Settings of a process: a YAML mapping checked against a table.  */
+/* Settings of a process: a YAML mapping, validated against a table.  */
 #ifndef WY_CONFIG_SETTINGS_H
 #define WY_CONFIG_SETTINGS_H
 
@@ -40,15 +40,15 @@
   const char *help;
 };
 
-/* Rows of a table for the field NAME of TYPE, whose key is its name.  */
-#define WY_STRING_ROW(type, name, fallback, help)                             \
+/* Table rows for the field NAME of TYPE; the key is the name of the field.  */
+#define WY_STRING_ROW(type, name, default_value, help)                        \
   {                                                                           \
-#name, WY_SETTING_STRING, offsetof(type, name), fallback, 0, 0, NULL,     \
-        NULL, help                                                            \
+#name, WY_SETTING_STRING, offsetof(type, name), default_value, 0, 0,      \
+        NULL, NULL, help                                                      \
   }
-#define WY_INTEGER_ROW(type, name, fallback, min, max, unit, help)            \
+#define WY_INTEGER_ROW(type, name, default_value, min, max, unit, help)       \
   {                                                                           \
-#name, WY_SETTING_INTEGER, offsetof(type, name), fallback, min, max,      \
+#name, WY_SETTING_INTEGER, offsetof(type, name), default_value, min, max, \
         NULL, unit, help                                                      \
   }
 
--- a/src/config/template.c
+++ b/src/config/template.c
@@ -1,20 +1,21 @@
-/* Checks a template of settings before anything is deployed from it.
+/* Validation of settings templates before they are deployed.
 
-   Places are written {{name}}; {{#name}} and {{/name}} enclose what is
-   repeated, {{,}} what stands between.  Whoever deploys knows the values, so
-   the check puts a sample that the setting allows into each place: what is
-   left to be found are unknown and missing keys, values written out, and
-   places that do not close.  */
+   A template has placeholders {{name}}; {{#name}} and {{/name}} enclose a
+   repeated part, and {{,}} stands for the separator of repetitions.  The
+   values are known only at deployment, so each placeholder is filled with a
+   sample value that its setting allows.  Loading the result then finds
+   unknown and missing keys and invalid literal values; unterminated
+   placeholders are found here.  */
 #include "config/template.h"
 
 #include <string.h>
 
-static const char text_sample[] = "127.0.0.1:1";
+static const char sample_string[] = "127.0.0.1:1";
 
-/* The setting that LINE sets; a line that is there only where a value is
-   begins with the place that says so.  */
+/* The setting whose key LINE begins with, or NULL.  An optional line has a
+   {{#name}} before the key.  */
 static const struct wy_setting *
-setting_of (const char *line, const struct wy_setting *table, size_t n)
+find_setting (const char *line, const struct wy_setting *table, size_t n)
 {
   const char *close
       = g_str_has_prefix (line, "{{#") ? strstr (line, "}}") : NULL;
@@ -35,14 +36,14 @@
 {
   if (!s)
     {
-      g_string_append (out, text_sample);
+      g_string_append (out, sample_string);
       return;
     }
   switch (s->kind)
     {
     case WY_SETTING_STRING:
     case WY_SETTING_LIST:
-      g_string_append (out, text_sample);
+      g_string_append (out, sample_string);
       break;
     case WY_SETTING_INTEGER:
       g_string_append_printf (out, "%.0f", s->min);
@@ -59,9 +60,11 @@
     }
 }
 
-/* What stands for the place NAME of N bytes.  */
+/* Append the value for the placeholder NAME of N bytes; section marks and
+   separators have none.  */
 static void
-fill (GString *out, const char *name, size_t n, const struct wy_setting *s)
+fill_placeholder (GString *out, const char *name, size_t n,
+                  const struct wy_setting *s)
 {
   bool mark = n && (*name == '#' || *name == '/' || *name == ',');
 
@@ -69,8 +72,10 @@
     append_sample (out, s);
 }
 
-/* Append LINE of N bytes with its places filled.  False: one does not close,
-   or is empty.  */
+/* Append LINE of N bytes with its placeholders filled.  Adds to DEPTH for each
+   section that begins and subtracts for each that ends.  Returns false if a
+   placeholder is unterminated or empty, or a section ends that is not
+   open.  */
 static bool
 fill_line (GString *out, const char *line, size_t n,
            const struct wy_setting *s, int *depth)
@@ -91,35 +96,37 @@
       *depth += open[2] == '#' ? 1 : open[2] == '/' ? -1 : 0;
       if (*depth < 0)
         return false;
-      fill (out, open + 2, (size_t)(close - open) - 2, s);
+      fill_placeholder (out, open + 2, (size_t)(close - open) - 2, s);
       line = close + 2;
     }
   g_string_append_len (out, line, end - line);
   return true;
 }
 
-/* TEXT, the template at PATH, with a sample in each place, line for line; the
-   caller frees it.  NULL: a place is wrong, and ERRORS says which.  */
+/* TEXT, the template at PATH, with sample values in its placeholders; line
+   numbers stay the same.  The caller frees the result.  Returns NULL if a
+   placeholder or section is malformed, with the error appended to ERRORS.  */
 char *
 wy_template_fill_samples (const char *path, const char *text,
                           const struct wy_setting *table, size_t n,
                           GString *errors)
 {
   GString *out = g_string_new (NULL);
-  size_t number = 1;
+  size_t line_number = 1;
   bool ok = true;
 
-  for (const char *line = text; *line; number++)
+  for (const char *line = text; *line; line_number++)
     {
       size_t size = strcspn (line, "\n");
-      const struct wy_setting *s = setting_of (line, table, n);
+      const struct wy_setting *s = find_setting (line, table, n);
       int depth = 0;
 
       if (!fill_line (out, line, size, s, &depth) || depth != 0)
         {
           g_string_append_printf (
-              errors, "%s:%zu: %s: place not closed, {{name}} is allowed\n",
-              path, number, s ? s->key : "?");
+              errors,
+              "%s:%zu: %s: placeholder not closed, {{name}} is allowed\n",
+              path, line_number, s ? s->key : "?");
           ok = false;
         }
       line += size;
--- a/src/config/template.h
+++ b/src/config/template.h
@@ -1,5 +1,4 @@
-/* Settings with places for values that are filled in when they are deployed.
- */
+/* Settings files with placeholders that are filled in at deployment.  */
 #ifndef WY_CONFIG_TEMPLATE_H
 #define WY_CONFIG_TEMPLATE_H
 
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -1,4 +1,4 @@
-/* HTTP/1.1 client on h2o and libuv: one connection a call.  */
+/* HTTP/1.1 client on h2o and libuv: one connection per call.  */
 #include "http/client.h"
 
 #include <stdbool.h>
@@ -13,13 +13,13 @@
 struct wy_http_client
 {
   h2o_http1client_ctx_t h2o;
-  h2o_timeout_t silence;
+  h2o_timeout_t idle_timeout;
   uv_loop_t *loop;
 };
 
 struct wy_http_call
 {
-  struct wy_http_call_options o; /* its pointers to text are not kept */
+  struct wy_http_call_options o; /* its strings are not valid any more */
   h2o_http1client_t *h2o;
   GString *head;
   GString *body;
@@ -30,32 +30,32 @@
   bool cancelled;
   bool ended;
   /* for wy_http_fetch */
-  GString *answer;
+  GString *response;
   int status;
   char *etag;
-  void (*on_done) (void *ctx, const struct wy_http_response *a);
+  void (*on_done) (void *ctx, const struct wy_http_response *r);
   void *done_ctx;
 };
 
-/* Make a client on LOOP.  A call on which nothing arrives for
-   SILENCE_TIMEOUT_MS fails.  */
+/* Create a client on LOOP.  A call fails if nothing is received for
+   IDLE_TIMEOUT_MS.  */
 struct wy_http_client *
-wy_http_client_new (uv_loop_t *loop, uint32_t silence_timeout_ms)
+wy_http_client_new (uv_loop_t *loop, uint32_t idle_timeout_ms)
 {
   struct wy_http_client *c = g_malloc0 (sizeof *c);
 
   c->loop = loop;
-  h2o_timeout_init (loop, &c->silence, silence_timeout_ms);
+  h2o_timeout_init (loop, &c->idle_timeout, idle_timeout_ms);
   c->h2o.loop = loop;
-  c->h2o.io_timeout = &c->silence;
+  c->h2o.io_timeout = &c->idle_timeout;
   return c;
 }
 
-/* Free C; no call may be open.  */
+/* Free C; no call may be in progress.  */
 void
 wy_http_client_free (struct wy_http_client *c)
 {
-  h2o_timeout_dispose (c->loop, &c->silence);
+  h2o_timeout_dispose (c->loop, &c->idle_timeout);
   g_free (c);
 }
 
@@ -66,14 +66,14 @@
 
   g_string_free (call->head, TRUE);
   g_string_free (call->body, TRUE);
-  if (call->answer)
-    g_string_free (call->answer, TRUE);
+  if (call->response)
+    g_string_free (call->response, TRUE);
   g_free (call->etag);
   g_free (call);
 }
 
 static void
-release (struct wy_http_call *call)
+close_call (struct wy_http_call *call)
 {
   call->ended = true;
   uv_close ((uv_handle_t *)&call->timer, on_timer_closed);
@@ -89,16 +89,17 @@
       call->in_callback = true;
       call->o.on_end (call->o.ctx, err);
     }
-  release (call);
+  close_call (call);
 }
 
-/* Tell whether the body is whole when h2o says ERRSTR.  For a connection
-   that closes between two chunks, before the empty one that ends a body, h2o
-   says the same as for a body that is whole, as browsers do.  A crashed
-   target would then pass for one that has answered.  The two differ in that
-   the last chunk comes with bytes read and a closed connection does not.  */
+/* Whether the body is complete when h2o reports ERRSTR.  If the connection
+   closes between two chunks, before the empty one that ends a body, h2o
+   reports the same as for a complete body, as browsers do; the response of a
+   target that crashed would pass for a complete one.  The two cases differ in
+   that the last chunk comes with bytes read and a closed connection does
+   not.  */
 static bool
-is_whole (const struct wy_http_call *call, const char *errstr)
+is_complete (const struct wy_http_call *call, const char *errstr)
 {
   if (errstr != h2o_http1client_error_is_eos)
     return false;
@@ -120,20 +121,20 @@
   h2o_buffer_consume (&h2o->sock->input, h2o->sock->input->size);
   if (call->cancelled)
     {
-      release (call);
+      close_call (call);
       return -1;
     }
   if (errstr)
     {
-      finish (call, is_whole (call, errstr) ? 0 : WY_HTTP_EINCOMPLETE);
+      finish (call, is_complete (call, errstr) ? 0 : WY_HTTP_EINCOMPLETE);
       return -1;
     }
   return 0;
 }
 
 static void
-give_head (struct wy_http_call *call, int status, h2o_header_t *headers,
-           size_t n)
+deliver_head (struct wy_http_call *call, int status, h2o_header_t *headers,
+              size_t n)
 {
   struct wy_http_header_field *pairs
       = g_new (struct wy_http_header_field, n + 1);
@@ -170,10 +171,10 @@
     if (headers[i].name == &H2O_TOKEN_TRANSFER_ENCODING->buf)
       call->chunked = true;
   if (call->o.on_head)
-    give_head (call, status, headers, num_headers);
+    deliver_head (call, status, headers, num_headers);
   if (call->cancelled)
     {
-      release (call);
+      close_call (call);
       return NULL;
     }
   if (errstr)
@@ -227,10 +228,10 @@
   g_string_append (s, "connection: close\r\n\r\n");
 }
 
-/* Start the call O; everything O points to is copied.  on_end is told 0,
-   WY_HTTP_ECONNECT when nothing was sent, WY_HTTP_EBROKEN or
-   WY_HTTP_ETIMEOUT when the target may have run the call.  Never calls back
-   before it returns.  */
+/* Start the call O; everything O points to is copied.  on_end gets 0,
+   WY_HTTP_ECONNECT if nothing was sent, or WY_HTTP_EINCOMPLETE or
+   WY_HTTP_ETIMEOUT if the target may have run the request.  No callback comes
+   before this returns.  */
 struct wy_http_call *
 wy_http_call_start (struct wy_http_client *c,
                     const struct wy_http_call_options *o)
@@ -252,8 +253,8 @@
   return call;
 }
 
-/* Give CALL up: no callback comes after this, and the connection is closed.
-   CALL must not be used after.  */
+/* Cancel CALL: no further callback comes and the connection is closed.  CALL
+   must not be used afterwards.  */
 void
 wy_http_call_cancel (struct wy_http_call *call)
 {
@@ -263,7 +264,7 @@
   if (call->in_callback)
     return;
   h2o_http1client_cancel (call->h2o);
-  release (call);
+  close_call (call);
 }
 
 static void
@@ -281,36 +282,36 @@
 static void
 fetch_data (void *ctx, const char *p, size_t n)
 {
-  g_string_append_len (((struct wy_http_call *)ctx)->answer, p, (gssize)n);
+  g_string_append_len (((struct wy_http_call *)ctx)->response, p, (gssize)n);
 }
 
 static void
 fetch_end (void *ctx, int err)
 {
   struct wy_http_call *call = ctx;
-  struct wy_http_response a = { err, call->status, call->answer->str,
-                                call->answer->len, call->etag };
+  struct wy_http_response r = { err, call->status, call->response->str,
+                                call->response->len, call->etag };
 
-  call->on_done (call->done_ctx, &a);
+  call->on_done (call->done_ctx, &r);
 }
 
-/* Like wy_http_call_start, but the answer is taken whole: ON_DONE comes once,
+/* Like wy_http_call_start, but collects the response: ON_DONE is called once,
    unless the call is cancelled; the callbacks in O are not used.  */
 struct wy_http_call *
 wy_http_fetch (struct wy_http_client *c, const struct wy_http_call_options *o,
-               void (*on_done) (void *ctx, const struct wy_http_response *a),
+               void (*on_done) (void *ctx, const struct wy_http_response *r),
                void *ctx)
 {
-  struct wy_http_call_options whole = *o;
+  struct wy_http_call_options options = *o;
   struct wy_http_call *call;
 
-  whole.on_sending = NULL;
-  whole.on_head = fetch_head;
-  whole.on_data = fetch_data;
-  whole.on_end = fetch_end;
-  call = wy_http_call_start (c, &whole);
+  options.on_sending = NULL;
+  options.on_head = fetch_head;
+  options.on_data = fetch_data;
+  options.on_end = fetch_end;
+  call = wy_http_call_start (c, &options);
   call->o.ctx = call;
-  call->answer = g_string_new (NULL);
+  call->response = g_string_new (NULL);
   call->on_done = on_done;
   call->done_ctx = ctx;
   return call;
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -19,17 +19,18 @@
 struct wy_http_call_options
 {
   const char *method;
-  const char *host; /* IP number */
+  const char *host; /* IP address */
   uint16_t port;
-  const char *path; /* with the query */
+  const char *path; /* including the query */
   const struct wy_http_header_field *headers;
   size_t n_headers;
   const void *body;
   size_t body_size_bytes;
-  uint32_t timeout_ms; /* whole call; 0: only the silence limit */
+  uint32_t timeout_ms; /* of the call; 0: only the client's idle timeout */
   /* Any of the callbacks may be NULL.  on_end comes once, last, unless the
-     call is cancelled.  on_sending comes when the connection is up, right
-     before the request goes out: until then the target has seen nothing.  */
+     call is cancelled.  on_sending comes when the connection is established,
+     just before the request is sent: until then the target has received
+     nothing.  */
   void (*on_sending) (void *ctx);
   void (*on_head) (void *ctx, int status,
                    const struct wy_http_header_field *headers, size_t n);
@@ -38,25 +39,25 @@
   void *ctx;
 };
 
-/* One answer taken whole.  */
+/* A complete response, or an error.  */
 struct wy_http_response
 {
   int err;
   int status;
-  const char *body; /* followed by a NUL */
+  const char *body; /* NUL-terminated */
   size_t size_bytes;
-  const char *etag; /* as the server gave it; NULL: none */
+  const char *etag; /* as in the header; NULL: none */
 };
 
 struct wy_http_client *wy_http_client_new (uv_loop_t *loop,
-                                           uint32_t silence_timeout_ms);
+                                           uint32_t idle_timeout_ms);
 void wy_http_client_free (struct wy_http_client *c);
 struct wy_http_call *wy_http_call_start (struct wy_http_client *c,
                                          const struct wy_http_call_options *o);
 void wy_http_call_cancel (struct wy_http_call *call);
 struct wy_http_call *
 wy_http_fetch (struct wy_http_client *c, const struct wy_http_call_options *o,
-               void (*on_done) (void *ctx, const struct wy_http_response *a),
+               void (*on_done) (void *ctx, const struct wy_http_response *r),
                void *ctx);
 
 #endif
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -1,8 +1,8 @@
 /* One request and its response.
 
-   An exchange lives in the memory pool of the h2o request and dies with it; a
-   handler that answers later sets an abort callback, the only sign that the
-   caller has gone.  */
+   An exchange is allocated in the memory pool of the h2o request and freed
+   with it.  A handler that responds later sets an abort callback, which is the
+   only notice that the caller has disconnected.  */
 #include "http/exchange.h"
 
 #include <string.h>
@@ -13,7 +13,8 @@
   return h2o_strdup (&req->pool, p, n).base;
 }
 
-/* Tell the handler of EX, once, that nobody waits for its answer.  */
+/* Call the abort callback of EX, at most once, since nobody waits for the
+   response any more.  */
 void
 wy_http_exchange_abort (struct wy_http_exchange *ex)
 {
@@ -24,14 +25,14 @@
     cb (ex, ex->abort_ctx);
 }
 
-/* Runs when h2o drops the request, answered or not.  */
+/* Called when h2o frees the request, whether or not it got a response.  */
 static void
 exchange_dispose (void *p)
 {
   struct wy_http_exchange *ex = p;
 
   wy_http_exchange_abort (ex);
-  wy_http_server_closed (ex->server, ex);
+  wy_http_server_exchange_closed (ex->server, ex);
   g_string_free (ex->pending, TRUE);
 }
 
@@ -45,7 +46,7 @@
   if (ex->sending || (n == 0 && !ex->ended))
     return;
   if (ex->ended)
-    state = ex->broken ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
+    state = ex->aborted ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
   buf.base = pool_dup (ex->req, ex->pending->str, n);
   buf.len = n;
   g_string_truncate (ex->pending, 0);
@@ -68,7 +69,7 @@
   wy_http_exchange_abort ((struct wy_http_exchange *)self);
 }
 
-/* Make the exchange of REQ on S.  */
+/* Create the exchange for REQ on S.  */
 struct wy_http_exchange *
 wy_http_exchange_new (struct wy_http_server *s, h2o_req_t *req)
 {
@@ -92,11 +93,12 @@
                             req->input.path.len - path_n - 1);
     }
   ex->path = pool_dup (req, req->input.path.base, path_n);
-  wy_http_server_opened (s, ex);
+  wy_http_server_exchange_opened (s, ex);
   return ex;
 }
 
-/* Socket of the caller; -1 when h2o does not show it.  */
+/* File descriptor of the caller's connection; -1 if h2o does not expose
+   it.  */
 int
 wy_http_exchange_fd (struct wy_http_exchange *ex)
 {
@@ -112,22 +114,21 @@
   return ex->method;
 }
 
-/* Path of the request without the query, as it was sent.  */
+/* Path of the request without the query, not decoded.  */
 const char *
 wy_http_path (const struct wy_http_exchange *ex)
 {
   return ex->path;
 }
 
-/* Query of the request without the question mark; empty when there is
-   none.  */
+/* Query of the request without the question mark; empty if there is none.  */
 const char *
 wy_http_query (const struct wy_http_exchange *ex)
 {
   return ex->query;
 }
 
-/* Value of the request header NAME (lower case), or NULL.  */
+/* Value of the request header NAME (in lower case), or NULL.  */
 const char *
 wy_http_header (struct wy_http_exchange *ex, const char *name)
 {
@@ -159,7 +160,7 @@
   *value = pool_dup (ex->req, h->value.base, h->value.len);
 }
 
-/* Body of the request, N bytes.  */
+/* Body of the request; its size in bytes is stored in N.  */
 const char *
 wy_http_body (const struct wy_http_exchange *ex, size_t *n)
 {
@@ -167,7 +168,7 @@
   return ex->req->entity.base ? ex->req->entity.base : "";
 }
 
-/* Call CB when the caller goes away before the response has ended.  EX must
+/* Call CB if the caller disconnects before the response has ended.  EX must
    not be used after CB returns.  */
 void
 wy_http_on_abort (struct wy_http_exchange *ex,
@@ -178,7 +179,7 @@
   ex->abort_ctx = ctx;
 }
 
-/* Add a response header; before the response is started.  */
+/* Add a response header; only before the response is started.  */
 void
 wy_http_add_header (struct wy_http_exchange *ex, const char *name,
                     const char *value)
@@ -192,7 +193,8 @@
 }
 
 static void
-start (struct wy_http_exchange *ex, int status, const char *content_type)
+start_response (struct wy_http_exchange *ex, int status,
+                const char *content_type)
 {
   ex->started = true;
   ex->req->res.status = status;
@@ -202,7 +204,8 @@
   h2o_start_response (ex->req, &ex->generator);
 }
 
-/* Answer whole with the N bytes at BODY.  EX must not be used after.  */
+/* Send a complete response with the N bytes at BODY.  Does nothing if the
+   response has been started.  EX must not be used afterwards.  */
 void
 wy_http_respond (struct wy_http_exchange *ex, int status,
                  const char *content_type, const void *body, size_t n)
@@ -212,16 +215,16 @@
   ex->req->res.content_length = n;
   ex->ended = true;
   g_string_append_len (ex->pending, body, (gssize)n);
-  start (ex, status, content_type);
+  start_response (ex, status, content_type);
   flush (ex);
 }
 
-/* Begin a streamed response.  */
+/* Start a streamed response.  */
 void
 wy_http_stream_begin (struct wy_http_exchange *ex, int status,
                       const char *content_type)
 {
-  start (ex, status, content_type);
+  start_response (ex, status, content_type);
 }
 
 /* Append the N bytes at P to a streamed response.  */
@@ -232,14 +235,15 @@
   flush (ex);
 }
 
-/* Bytes of a streamed response that its reader has not yet taken.  */
+/* Bytes of a streamed response that are not yet passed to h2o, which takes
+   more as the caller reads.  */
 size_t
 wy_http_stream_pending_bytes (const struct wy_http_exchange *ex)
 {
   return ex->pending->len;
 }
 
-/* End a streamed response.  EX must not be used after.  */
+/* End a streamed response.  EX must not be used afterwards.  */
 void
 wy_http_stream_end (struct wy_http_exchange *ex)
 {
@@ -247,18 +251,19 @@
   flush (ex);
 }
 
-/* End a streamed response so that the caller sees it was cut off.  EX must
-   not be used after.  */
+/* End a streamed response in such a way that the caller sees that it is
+   incomplete.  EX must not be used afterwards.  */
 void
 wy_http_stream_abort (struct wy_http_exchange *ex)
 {
-  ex->broken = true;
+  ex->aborted = true;
   ex->ended = true;
   flush (ex);
 }
 
-/* Close the connection of EX without an answer: its caller can't tell what
-   became of the request.  EX must not be used after.  */
+/* Close the connection of EX without completing the response; the caller
+   can't tell whether the request was run.  EX must not be used
+   afterwards.  */
 void
 wy_http_close_connection (struct wy_http_exchange *ex)
 {
--- a/src/http/exchange.h
+++ b/src/http/exchange.h
@@ -1,4 +1,4 @@
-/* Inside of an exchange, for the server only.  */
+/* Internals of an exchange.  Private to src/http.  */
 #ifndef WY_HTTP_EXCHANGE_H
 #define WY_HTTP_EXCHANGE_H
 
@@ -16,11 +16,11 @@
   char *method;
   char *path;
   char *query;
-  GString *pending; /* written, not yet taken by h2o */
+  GString *pending; /* written, not yet passed to h2o */
   bool started;
   bool sending;
   bool ended;
-  bool broken;
+  bool aborted;
   void (*on_abort) (struct wy_http_exchange *ex, void *ctx);
   void *abort_ctx;
 };
@@ -30,9 +30,9 @@
 void wy_http_exchange_abort (struct wy_http_exchange *ex);
 int wy_http_exchange_fd (struct wy_http_exchange *ex);
 
-void wy_http_server_opened (struct wy_http_server *s,
-                            struct wy_http_exchange *ex);
-void wy_http_server_closed (struct wy_http_server *s,
-                            struct wy_http_exchange *ex);
+void wy_http_server_exchange_opened (struct wy_http_server *s,
+                                     struct wy_http_exchange *ex);
+void wy_http_server_exchange_closed (struct wy_http_server *s,
+                                     struct wy_http_exchange *ex);
 
 #endif
--- a/src/http/json.c
+++ b/src/http/json.c
@@ -1,4 +1,4 @@
-/* Answers in JSON, and problems as RFC 9457 says.  */
+/* JSON responses, and problem details (RFC 9457).  */
 #include "http/json.h"
 
 #include <inttypes.h>
@@ -20,14 +20,14 @@
   free (text);
 }
 
-/* Answer with BODY, which is taken.  EX must not be used after.  */
+/* Respond with BODY and release it.  EX must not be used afterwards.  */
 void
 wy_http_respond_json (struct wy_http_exchange *ex, int status, json_t *body)
 {
   respond (ex, status, "application/json", body);
 }
 
-/* Tell the caller to come back after MS, rounded up to seconds.  */
+/* Add a Retry-After header of MS milliseconds, rounded up to seconds.  */
 void
 wy_http_retry_after (struct wy_http_exchange *ex, uint32_t ms)
 {
@@ -37,7 +37,8 @@
   wy_http_add_header (ex, "retry-after", text);
 }
 
-/* Answer with the problem P.  EX must not be used after.  */
+/* Respond with the problem details P and release P->members.  EX must not be
+   used afterwards.  */
 void
 wy_http_respond_problem (struct wy_http_exchange *ex,
                          const struct wy_http_problem *p)
--- a/src/http/json.h
+++ b/src/http/json.h
@@ -1,4 +1,4 @@
-/* Answers in JSON, and problems as RFC 9457 says.  */
+/* JSON responses, and problem details (RFC 9457).  */
 #ifndef WY_HTTP_JSON_H
 #define WY_HTTP_JSON_H
 
@@ -27,7 +27,7 @@
   const char *title;
   const char *detail;      /* NULL: none */
   uint32_t retry_after_ms; /* 0: none */
-  json_t *members;         /* NULL or an object of further members; taken */
+  json_t *members; /* further members, an object; NULL: none; released */
 };
 
 void wy_http_respond_json (struct wy_http_exchange *ex, int status,
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -1,4 +1,4 @@
-/* HTTP server on h2o and libuv: listening, connections, slow callers.  */
+/* HTTP server on h2o and libuv: listening, connections, timeouts.  */
 #include "http/server.h"
 
 #include <string.h>
@@ -15,19 +15,19 @@
 enum
 {
   LISTEN_BACKLOG = 512,
-  DEFAULT_PORT_OF_HOST = 65535,
-  /* How often the sockets of callers are looked at.  h2o does not read a
-     connection while its request is being answered, so a caller that hangs
-     up would go unseen until the first write; a whole response has no early
-     write.  */
-  PEER_CHECK_MS = 500,
-  /* h2o closes a connection that sends its request too slowly without a
-     word.  Its limit is set this much above ours, so that the caller hears
-     408 first.  */
-  SILENT_CLOSE_FACTOR = 4
+  H2O_DEFAULT_PORT = 65535,
+  /* Interval of checks for disconnected callers.  h2o does not read from a
+     connection while its request is in progress, so it notices a disconnect
+     only at the first write, which comes late for a response that is not
+     streamed.  */
+  CALLER_CHECK_MS = 500,
+  /* When a request takes too long to arrive, h2o closes the connection
+     without a response.  Its timeout is set to this multiple of ours, so that
+     the caller gets a 408 first.  */
+  H2O_TIMEOUT_FACTOR = 4
 };
 
-static const char request_timeout_answer[]
+static const char request_timeout_response[]
     = "HTTP/1.1 408 Request Timeout\r\nconnection: close\r\n"
       "content-length: 0\r\n\r\n";
 
@@ -37,7 +37,7 @@
   h2o_context_t h2o;
   h2o_accept_ctx_t accept;
   uv_tcp_t listener;
-  uv_timer_t peer_check;
+  uv_timer_t caller_check;
   bool accepting;
   uint16_t port;
   uint32_t connection_limit;
@@ -59,9 +59,9 @@
   uv_tcp_t tcp; /* must stay first */
   struct wy_http_server *server;
   int fd;
-  uint32_t exchanges;      /* open ones */
-  uint64_t quiet_since_ms; /* loop time of the last whole request */
-  uint64_t quiet_bytes;    /* received until then */
+  uint32_t exchanges;     /* open ones */
+  uint64_t idle_since_ms; /* loop time of accept or of the last response */
+  uint64_t idle_bytes;    /* received on the connection until then */
   bool timed_out;
 };
 
@@ -73,15 +73,16 @@
 }
 
 static void
-mark_quiet (struct connection *c)
+mark_idle (struct connection *c)
 {
-  c->quiet_since_ms = uv_now (c->tcp.loop);
-  c->quiet_bytes = wy_tcp_received_bytes (c->fd);
+  c->idle_since_ms = uv_now (c->tcp.loop);
+  c->idle_bytes = wy_tcp_received_bytes (c->fd);
 }
 
-/* Count EX as open; called when it is made.  */
+/* Count EX as open; called when it is created.  */
 void
-wy_http_server_opened (struct wy_http_server *s, struct wy_http_exchange *ex)
+wy_http_server_exchange_opened (struct wy_http_server *s,
+                                struct wy_http_exchange *ex)
 {
   struct connection *c = connection_of (s, ex);
 
@@ -92,7 +93,8 @@
 
 /* Count EX as closed; called when it is freed.  */
 void
-wy_http_server_closed (struct wy_http_server *s, struct wy_http_exchange *ex)
+wy_http_server_exchange_closed (struct wy_http_server *s,
+                                struct wy_http_exchange *ex)
 {
   struct connection *c = connection_of (s, ex);
 
@@ -100,7 +102,7 @@
   if (!c || c->exchanges == 0)
     return;
   c->exchanges--;
-  mark_quiet (c);
+  mark_idle (c);
 }
 
 static int
@@ -112,12 +114,12 @@
   return 0;
 }
 
-/* Abort the exchanges whose callers have hung up; h2o sees it only at the
-   next write, and a stream may pause for long.  A callback may end other
-   exchanges, so the walk starts anew after each; an aborted exchange has no
-   callback left and is not met again.  */
+/* Abort the exchanges whose callers have disconnected; h2o notices it only at
+   the next write, and a stream may pause for long.  A callback may end other
+   exchanges, so the iteration restarts after each; an aborted exchange has no
+   callback any more and is skipped.  */
 static void
-abort_deserted (struct wy_http_server *s)
+abort_disconnected (struct wy_http_server *s)
 {
   GList *l = s->active.head;
 
@@ -138,14 +140,14 @@
     }
 }
 
-/* A caller that began a request and does not finish it is told 408 and loses
-   its connection; it would hold a slot of the connection limit otherwise.
-   Closing the reading side makes h2o see the end and close.  */
+/* Send 408 to a caller that began a request and does not complete it, and
+   close the connection, which counts against the connection limit.  Shutting
+   down the read side makes h2o see the end of the stream and close.  */
 static void
 time_out (struct connection *c)
 {
-  uv_buf_t buf = uv_buf_init ((char *)request_timeout_answer,
-                              sizeof request_timeout_answer - 1);
+  uv_buf_t buf = uv_buf_init ((char *)request_timeout_response,
+                              sizeof request_timeout_response - 1);
 
   c->timed_out = true;
   uv_try_write ((uv_stream_t *)&c->tcp, &buf, 1);
@@ -153,14 +155,14 @@
 }
 
 static void
-on_peer_check (uv_timer_t *t)
+on_caller_check (uv_timer_t *t)
 {
   struct wy_http_server *s = t->data;
   uint64_t now_ms = uv_now (t->loop);
   GHashTableIter it;
   gpointer value;
 
-  abort_deserted (s);
+  abort_disconnected (s);
   if (!s->request_timeout_ms)
     return;
   g_hash_table_iter_init (&it, s->connections);
@@ -169,8 +171,8 @@
       struct connection *c = value;
 
       if (!c->timed_out && c->exchanges == 0
-          && now_ms - c->quiet_since_ms >= s->request_timeout_ms
-          && wy_tcp_received_bytes (c->fd) > c->quiet_bytes)
+          && now_ms - c->idle_since_ms >= s->request_timeout_ms
+          && wy_tcp_received_bytes (c->fd) > c->idle_bytes)
         time_out (c);
     }
 }
@@ -181,14 +183,14 @@
   struct connection *c = (struct connection *)h;
   gpointer key = GINT_TO_POINTER (c->fd);
 
-  /* The number may already belong to a newer connection.  */
+  /* The file descriptor may already be reused by a newer connection.  */
   if (g_hash_table_lookup (c->server->connections, key) == c)
     g_hash_table_remove (c->server->connections, key);
   g_free (c);
 }
 
 static void
-on_refused_closed (uv_handle_t *h)
+on_rejected_closed (uv_handle_t *h)
 {
   g_free (h);
 }
@@ -209,11 +211,11 @@
       || (s->connection_limit
           && g_hash_table_size (s->connections) >= s->connection_limit))
     {
-      uv_close ((uv_handle_t *)&c->tcp, on_refused_closed);
+      uv_close ((uv_handle_t *)&c->tcp, on_rejected_closed);
       return;
     }
   uv_tcp_nodelay (&c->tcp, 1);
-  c->quiet_since_ms = uv_now (listener->loop);
+  c->idle_since_ms = uv_now (listener->loop);
   g_hash_table_replace (s->connections, GINT_TO_POINTER (c->fd), c);
   h2o_accept (&s->accept, h2o_uv_socket_create ((uv_stream_t *)&c->tcp,
                                                 on_connection_closed));
@@ -248,9 +250,9 @@
   s->conf.max_request_entity_size = o->body_limit_bytes;
   if (o->request_timeout_ms)
     s->conf.http1.req_timeout
-        = (uint64_t)o->request_timeout_ms * SILENT_CLOSE_FACTOR;
+        = (uint64_t)o->request_timeout_ms * H2O_TIMEOUT_FACTOR;
   host = h2o_config_register_host (
-      &s->conf, h2o_iovec_init (H2O_STRLIT ("default")), DEFAULT_PORT_OF_HOST);
+      &s->conf, h2o_iovec_init (H2O_STRLIT ("default")), H2O_DEFAULT_PORT);
   h = (struct handler *)h2o_create_handler (
       h2o_config_register_path (host, "/", 0), sizeof *h);
   h->base.on_req = on_req;
@@ -260,8 +262,9 @@
   s->accept.hosts = s->conf.hosts;
 }
 
-/* Start a server as O says and store it in OUT.  Each request is handed to
-   O->on_request with its body whole.  Returns 0 or WY_HTTP_EBIND.  */
+/* Start a server with the options O and store it in OUT.  O->on_request is
+   called for each request, once its body is complete.  Returns 0 or
+   WY_HTTP_EBIND.  */
 int
 wy_http_server_new (struct wy_http_server **out,
                     const struct wy_http_server_options *o)
@@ -281,10 +284,11 @@
   s->ctx = o->ctx;
   g_queue_init (&s->active);
   configure_h2o (s, o);
-  uv_timer_init (o->loop, &s->peer_check);
-  s->peer_check.data = s;
-  uv_timer_start (&s->peer_check, on_peer_check, PEER_CHECK_MS, PEER_CHECK_MS);
-  uv_unref ((uv_handle_t *)&s->peer_check);
+  uv_timer_init (o->loop, &s->caller_check);
+  s->caller_check.data = s;
+  uv_timer_start (&s->caller_check, on_caller_check, CALLER_CHECK_MS,
+                  CALLER_CHECK_MS);
+  uv_unref ((uv_handle_t *)&s->caller_check);
   *out = s;
   return 0;
 }
@@ -296,21 +300,21 @@
   return s->port;
 }
 
-/* Requests that h2o has not finished sending the response of.  */
+/* Number of requests whose response h2o has not sent completely.  */
 uint32_t
 wy_http_server_active_requests (const struct wy_http_server *s)
 {
   return s->active.length;
 }
 
-/* Open connections.  */
+/* Number of open connections.  */
 uint32_t
 wy_http_server_connections (const struct wy_http_server *s)
 {
   return g_hash_table_size (s->connections);
 }
 
-/* Close the listening socket; requests in progress go on.  */
+/* Close the listening socket; requests in progress continue.  */
 void
 wy_http_server_stop_accepting (struct wy_http_server *s)
 {
@@ -321,11 +325,11 @@
   h2o_context_request_shutdown (&s->h2o);
 }
 
-/* Stop listening.  The memory of S stays until the process ends, since open
-   connections refer to it; a process has few servers and ends with them.  */
+/* Stop listening.  The memory of S is not freed, since open connections refer
+   to it; a process has few servers, which live as long as it does.  */
 void
 wy_http_server_free (struct wy_http_server *s)
 {
   wy_http_server_stop_accepting (s);
-  uv_timer_stop (&s->peer_check);
+  uv_timer_stop (&s->caller_check);
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -14,11 +14,11 @@
 struct wy_http_server_options
 {
   uv_loop_t *loop;
-  const char *host; /* IP number */
+  const char *host; /* IPv4 address */
   uint16_t port;    /* 0: any free port */
   size_t body_limit_bytes;
   uint32_t connection_limit;   /* 0: no limit */
-  uint32_t request_timeout_ms; /* time to send a whole request */
+  uint32_t request_timeout_ms; /* to receive a complete request; 0: h2o's */
   void (*on_request) (struct wy_http_exchange *ex, void *ctx);
   void *ctx;
 };
--- a/src/http/tcp_info.c
+++ b/src/http/tcp_info.c
@@ -1,5 +1,5 @@
-/* What the kernel knows of the other end of a connection.  Apart, because
-   the kernel's own header and the one of the C library clash.  */
+/* TCP state of a connection, from the kernel (TCP_INFO).  In a file of its
+   own because linux/tcp.h conflicts with netinet/tcp.h of the C library.  */
 #include "http/tcp_info.h"
 
 #include <netinet/in.h>
@@ -9,7 +9,7 @@
 
 enum
 {
-  STATE_ESTABLISHED = 1 /* TCP_ESTABLISHED of the C library's header */
+  STATE_ESTABLISHED = 1 /* TCP_ESTABLISHED of netinet/tcp.h */
 };
 
 static bool
@@ -20,7 +20,7 @@
   return fd >= 0 && !getsockopt (fd, IPPROTO_TCP, TCP_INFO, info, &n);
 }
 
-/* Tell whether the other end of FD has closed its side.  */
+/* Whether the peer has closed its side of the connection FD.  */
 bool
 wy_tcp_peer_closed (int fd)
 {
@@ -29,7 +29,7 @@
   return tcp_info (fd, &info) && info.tcpi_state != STATE_ESTABLISHED;
 }
 
-/* Bytes that have come in on FD since it was opened.  */
+/* Bytes received on the connection FD since it was opened.  */
 uint64_t
 wy_tcp_received_bytes (int fd)
 {
--- a/src/http/tcp_info.h
+++ b/src/http/tcp_info.h
@@ -1,4 +1,4 @@
-/* What the kernel knows of the other end of a connection.  */
+/* TCP state of a connection, from the kernel.  */
 #ifndef WY_HTTP_TCP_INFO_H
 #define WY_HTTP_TCP_INFO_H
 
--- a/tests/test_config_apply.c
+++ b/tests/test_config_apply.c
@@ -1,4 +1,4 @@
-/* Configuration: documents, plan and apply over HTTP, and the feed.  */
+/* Configuration documents, plan and apply over HTTP, and the feed.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -25,7 +25,7 @@
   struct wy_http_client *http;
   struct entry entry[2];
   bool acknowledged;
-  uint32_t answers;
+  uint32_t responses;
   int status;
   json_t *body;
 };
@@ -115,17 +115,17 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_response *a)
+on_response (void *ctx, const struct wy_http_response *r)
 {
   struct world *w = ctx;
 
-  w->answers++;
-  /* Of two at once the refused one is looked at.  */
-  if (w->answers > 1 && a->status < w->status)
+  w->responses++;
+  /* Of two responses keep the one with the higher status, the rejection.  */
+  if (w->responses > 1 && r->status < w->status)
     return;
-  w->status = a->err ? a->err : a->status;
+  w->status = r->err ? r->err : r->status;
   json_decref (w->body);
-  w->body = json_loadb (a->body, a->size_bytes, 0, NULL);
+  w->body = json_loadb (r->body, r->size_bytes, 0, NULL);
 }
 
 static void
@@ -139,31 +139,32 @@
           .body = body,
           .body_size_bytes = body ? strlen (body) : 0 };
 
-  wy_http_fetch (w->http, &o, on_answer, w);
+  wy_http_fetch (w->http, &o, on_response, w);
 }
 
 static bool
-one_answered (void *ctx)
+one_response (void *ctx)
 {
-  return ((struct world *)ctx)->answers >= 1;
+  return ((struct world *)ctx)->responses >= 1;
 }
 
 static bool
-two_answered (void *ctx)
+two_responses (void *ctx)
 {
-  return ((struct world *)ctx)->answers >= 2;
+  return ((struct world *)ctx)->responses >= 2;
 }
 
 static int
 call (struct world *w, int i, const char *path, const char *body)
 {
-  w->answers = 0;
+  w->responses = 0;
   start_call (w, i, path, body);
-  cr_assert (run_until (&w->loop, one_answered, w));
+  cr_assert (run_until (&w->loop, one_response, w));
   return w->status;
 }
 
-/* Plan DOCUMENT at entry I; the body that applies it, to be freed.  */
+/* Plan DOCUMENT at entry I.  Returns the body of the request that applies it;
+   the caller frees it.  */
 static char *
 plan (struct world *w, int i, const char *document)
 {
@@ -223,7 +224,7 @@
          && wy_config_feed_revision (w->entry[1].feed) == 1;
 }
 
-Test (config, plan_is_readable_and_apply_is_in_force_at_all_entries)
+Test (config, plan_lists_changes_and_apply_reaches_all_entries)
 {
   struct world w;
 
@@ -240,9 +241,9 @@
   world_free (&w);
 }
 
-/* Two operators plan on the same revision and apply at the same moment.  One
-   of them would undo the other's change without knowing of it.  */
-Test (config, second_of_two_operators_is_told_what_came_first)
+/* Two operators plan on the same revision and apply at the same time.  Without
+   the conditional write one would undo the other's change unknowingly.  */
+Test (config, second_of_two_operators_gets_the_changes_of_the_first)
 {
   struct world w;
   char *a;
@@ -251,10 +252,10 @@
   world_init (&w);
   a = plan (&w, 0, MODEL);
   b = plan (&w, 1, DRAIN);
-  w.answers = 0;
+  w.responses = 0;
   start_call (&w, 0, "/v1/apply", a);
   start_call (&w, 1, "/v1/apply", b);
-  cr_assert (run_until (&w.loop, two_answered, &w));
+  cr_assert (run_until (&w.loop, two_responses, &w));
   cr_assert_eq (w.status, 409);
   cr_assert (changes_mention (&w, "+ model m")
              || changes_mention (&w, "+ drained engine-7"));
@@ -265,9 +266,9 @@
   world_free (&w);
 }
 
-/* The change is written and the answer is lost; the operator must not be told
-   that it failed.  */
-Test (config, lost_answer_of_apply_is_settled)
+/* The change is written and the response of the store is lost.  The operator
+   must not get an error for a change that was applied.  */
+Test (config, lost_store_response_of_apply_is_resolved)
 {
   struct world w;
   char *body;
@@ -284,7 +285,7 @@
   world_free (&w);
 }
 
-Test (config, old_plan_is_refused)
+Test (config, stale_plan_is_rejected)
 {
   struct world w;
   char *old;
@@ -299,9 +300,9 @@
   world_free (&w);
 }
 
-/* The store is down.  An operator hears so at once and the configuration in
-   force stays.  */
-Test (config, outage_keeps_what_is_in_force)
+/* The store is down.  An operator gets 503, and the configuration in force
+   stays.  */
+Test (config, store_outage_keeps_configuration_in_force)
 {
   struct world w;
   char *body;
@@ -319,9 +320,10 @@
   world_free (&w);
 }
 
-/* A peer that slept offers an old revision, or the store answers late.  A
-   process that went back would send work where it no longer belongs.  */
-Test (config, feed_never_goes_back)
+/* A peer that was suspended offers an old revision, or a response of the store
+   is delayed.  A process that returned to the old document would send work to
+   targets that must not run it any more.  */
+Test (config, feed_revision_never_decreases)
 {
   struct world w;
   struct wy_config_feed *f;
@@ -350,9 +352,9 @@
   return json_array_get (json_object_get (document, "services"), 0);
 }
 
-/* The members of a service change.  While some entries know the old list and
-   some the new, one key would have two homes and its request run twice.  */
-Test (config, change_of_members_counts_after_the_trust_time)
+/* The members of a service change.  While some entries have the old list and
+   some the new one, a request could have two homes and run twice.  */
+Test (config, change_of_members_takes_effect_after_the_trust_time)
 {
   struct world w;
   int64_t now = wy_clock_wall_ms (wy_clock_system ());
@@ -369,11 +371,11 @@
                         json_object_get (portal (&w), "previous"), 0)),
                     "a");
   cr_assert_eq (apply (&w, 0, PORTAL_AGAIN), 409,
-                "a second change before the first counts");
+                "a second change before the first is in effect");
   world_free (&w);
 }
 
-Test (config, acknowledged_change_of_members_counts_at_once)
+Test (config, acknowledged_change_of_members_takes_effect_at_once)
 {
   struct world w;
 
@@ -388,9 +390,10 @@
   world_free (&w);
 }
 
-/* A service is taken out and put in again at once with other members.  An
-   entry that slept through both sends a key to its old home.  */
-Test (config, service_with_members_can_not_be_taken_out)
+/* A service is removed and at once added again with other members.  An entry
+   that was suspended during both changes would send a request to its old
+   home.  */
+Test (config, service_with_members_can_not_be_removed)
 {
   struct world w;
 
@@ -405,9 +408,9 @@
   world_free (&w);
 }
 
-/* An unrelated change by an operator whose document does not name the times
-   must not make a change of members count early.  */
-Test (config, unrelated_change_keeps_the_members_times)
+/* An unrelated change, in a document without effective_ms, must not make a
+   pending change of members take effect early.  */
+Test (config, unrelated_change_keeps_effective_time_of_members)
 {
   struct world w;
   json_int_t effective;
@@ -429,7 +432,7 @@
   world_free (&w);
 }
 
-Test (config, invalid_documents_are_refused_with_all_reasons)
+Test (config, invalid_documents_are_rejected_with_reasons)
 {
   static const struct
   {
@@ -438,13 +441,13 @@
   } cases[] = {
     { "{\"modells\":[]}", "unknown key \"modells\"" },
     { "{\"models\":[{\"name\":\"a b\"}]}", "models: name" },
-    { "{\"models\":[{\"name\":\"m\"},{\"name\":\"m\"}]}", "stands twice" },
+    { "{\"models\":[{\"name\":\"m\"},{\"name\":\"m\"}]}", "is listed twice" },
     { "{\"yards\":[{\"name\":\"y\",\"model\":\"x\",\"staleness_bound\":1}]}",
       "no model \"x\"" },
     { "{\"models\":[{\"name\":\"m\"}],\"yards\":[{\"name\":\"y\",\"model\":"
       "\"m\"}]}",
       "staleness_bound" },
-    { "{\"drained\":[\"a\",\"a\"]}", "stands twice" },
+    { "{\"drained\":[\"a\",\"a\"]}", "is listed twice" },
     { "[]", "must be an object" },
   };
 
@@ -463,7 +466,7 @@
     }
 }
 
-Test (config, digest_is_of_the_intent_and_its_base)
+Test (config, digest_covers_base_revision_and_not_effective_times)
 {
   struct wy_document *a;
   struct wy_document *b;
--- a/tests/test_examples.c
+++ b/tests/test_examples.c
@@ -1,5 +1,5 @@
-/* The example settings and documents of the two deployments are loaded by the
-   programs' own tables, so that they can't go out of date.  */
+/* The example settings and documents must load with the tables of the
+   programs, so that they stay up to date.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -36,7 +36,7 @@
   return d;
 }
 
-/* The agent's example must serve what the document names.  */
+/* The target of the agent's example must be in the document.  */
 static void
 check_agent (const char *path, const struct wy_document *d)
 {
@@ -88,17 +88,17 @@
 }
 
 static bool
-template_is_good (const char *path, const char *text,
-                  const struct wy_setting *table, size_t n, void *out,
-                  GString *errors)
+template_is_valid (const char *path, const char *text,
+                   const struct wy_setting *table, size_t n, void *out,
+                   GString *errors)
 {
   char *sample = wy_template_fill_samples (path, text, table, n, errors);
-  bool good = sample
-              && !wy_settings_parse (path, sample, strlen (sample), table, n,
-                                     out, errors);
+  bool valid = sample
+               && !wy_settings_parse (path, sample, strlen (sample), table, n,
+                                      out, errors);
 
   g_free (sample);
-  return good;
+  return valid;
 }
 
 static void
@@ -109,14 +109,14 @@
   char *text = NULL;
 
   cr_assert (g_file_get_contents (path, &text, NULL, NULL), "%s", path);
-  cr_expect (template_is_good (path, text, table, n, out, errors), "%s",
+  cr_expect (template_is_valid (path, text, table, n, out, errors), "%s",
              errors->str);
   g_free (text);
   g_string_free (errors, TRUE);
 }
 
-/* The templates that are deployed have the keys of the programs.  */
-Test (examples, templates)
+/* The templates in deploy/ must fit the tables of the programs.  */
+Test (examples, deployed_templates_are_valid)
 {
   static struct wy_gate_settings gate;
   static struct wy_orders_settings orders;
@@ -127,21 +127,21 @@
                   wy_orders_settings_count, &orders);
 }
 
-/* A template with a fault is deployed to hundreds of machines, none of which
-   starts.  Each fault must be found before, and told by its line.  */
-Test (examples, template_faults)
+/* With a faulty template deployed, none of hundreds of machines would start.
+   The check before deployment must find each error and name its line.  */
+Test (examples, template_errors)
 {
   static const struct
   {
     const char *text;
-    const char *fault;
+    const char *error;
   } rows[] = {
-    { "name: \"{{node}\"\n", "t:1: name: place not closed" },
-    { "name: \"{{}}\"\n", "t:1: name: place not closed" },
-    { "seeds: [{{#seeds}}\"{{.}}\"]\n", "t:1: seeds: place not closed" },
-    { "seeds: [\"{{.}}\"{{/seeds}}]\n", "t:1: seeds: place not closed" },
+    { "name: \"{{node}\"\n", "t:1: name: placeholder not closed" },
+    { "name: \"{{}}\"\n", "t:1: name: placeholder not closed" },
+    { "seeds: [{{#seeds}}\"{{.}}\"]\n", "t:1: seeds: placeholder not closed" },
+    { "seeds: [\"{{.}}\"{{/seeds}}]\n", "t:1: seeds: placeholder not closed" },
     { "name: \"{{node}}\"\nspeed: {{x}}\n", "t:2: speed: unknown key" },
-    { "name: \"{{node}}\"\ngrace_s: fast\n", "t:2: grace_s: wrong value" },
+    { "name: \"{{node}}\"\ngrace_s: fast\n", "t:2: grace_s: invalid value" },
     { "name: \"{{node}}\"\n", "callers_address: missing" },
   };
 
@@ -150,10 +150,10 @@
       struct wy_gate_settings gate = { 0 };
       GString *errors = g_string_new (NULL);
 
-      cr_expect_not (template_is_good ("t", rows[i].text,
-                                       wy_gate_settings_table,
-                                       wy_gate_settings_count, &gate, errors));
-      cr_expect_not_null (strstr (errors->str, rows[i].fault), "%s: %s",
+      cr_expect_not (
+          template_is_valid ("t", rows[i].text, wy_gate_settings_table,
+                             wy_gate_settings_count, &gate, errors));
+      cr_expect_not_null (strstr (errors->str, rows[i].error), "%s: %s",
                           rows[i].text, errors->str);
       wy_settings_free (wy_gate_settings_table, wy_gate_settings_count, &gate);
       g_string_free (errors, TRUE);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,4 +1,4 @@
-/* HTTP server and client against each other over loopback.  */
+/* HTTP server and client, over loopback.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -13,7 +13,7 @@
   uv_loop_t loop;
   struct wy_http_server *server;
   struct wy_http_client *client;
-  struct wy_http_exchange *held;
+  struct wy_http_exchange *pending;
   bool aborted;
   int err;
   int status;
@@ -21,7 +21,7 @@
 };
 
 static void
-on_held_abort (struct wy_http_exchange *ex, void *ctx)
+on_pending_abort (struct wy_http_exchange *ex, void *ctx)
 {
   struct world *w = ctx;
 
@@ -38,8 +38,8 @@
 
   if (!strcmp (wy_http_path (ex), "/hold"))
     {
-      w->held = ex;
-      wy_http_on_abort (ex, on_held_abort, w);
+      w->pending = ex;
+      wy_http_on_abort (ex, on_pending_abort, w);
       uv_stop (&w->loop);
       return;
     }
@@ -51,7 +51,7 @@
       wy_http_stream_end (ex);
       return;
     }
-  if (!strcmp (wy_http_path (ex), "/cut"))
+  if (!strcmp (wy_http_path (ex), "/aborted"))
     {
       wy_http_stream_begin (ex, 200, "text/plain");
       wy_http_stream_write (ex, "par", 3);
@@ -63,13 +63,13 @@
 }
 
 static void
-on_done (void *ctx, const struct wy_http_response *a)
+on_done (void *ctx, const struct wy_http_response *r)
 {
   struct world *w = ctx;
 
-  w->err = a->err;
-  w->status = a->status;
-  g_string_assign (w->body, a->body);
+  w->err = r->err;
+  w->status = r->status;
+  g_string_assign (w->body, r->body);
   uv_stop (&w->loop);
 }
 
@@ -104,7 +104,7 @@
   return wy_http_fetch (w->client, &o, on_done, w);
 }
 
-Test (http, whole_answer)
+Test (http, complete_response)
 {
   struct world w;
 
@@ -116,7 +116,7 @@
   cr_assert_str_eq (w.body->str, "hello");
 }
 
-Test (http, streamed_answer)
+Test (http, streamed_response)
 {
   struct world w;
 
@@ -127,20 +127,20 @@
   cr_assert_str_eq (w.body->str, "one two");
 }
 
-/* The process behind a streamed answer fails halfway.  The reader must see
-   that the answer is not whole.  */
-Test (http, cut_stream_is_an_error)
+/* The server aborts a streamed response.  The client must see that the
+   response is incomplete.  */
+Test (http, aborted_stream_is_an_error)
 {
   struct world w;
 
   world_init (&w);
-  fetch (&w, "/cut", "", 0);
+  fetch (&w, "/aborted", "", 0);
   uv_run (&w.loop, UV_RUN_DEFAULT);
   cr_assert_eq (w.err, WY_HTTP_EINCOMPLETE);
 }
 
-/* Nothing listens at the address.  The client learns that nothing was sent,
-   so the call may be tried elsewhere.  */
+/* Nothing listens at the address.  The error says that nothing was sent, so
+   the call can safely be retried elsewhere.  */
 Test (http, refused_connection)
 {
   struct world w;
@@ -151,7 +151,8 @@
   cr_assert_eq (w.err, WY_HTTP_ECONNECT);
 }
 
-/* A caller sends more than the limit.  It gets 413 and nothing is run.  */
+/* A request body larger than the limit is rejected with 413 and no handler
+   runs.  */
 Test (http, oversized_body)
 {
   struct world w;
@@ -165,9 +166,10 @@
   cr_assert_eq (w.status, 413);
 }
 
-/* A caller hangs up while its request waits and nothing has been written to
-   it.  The handler is told, so that the work can be cancelled.  */
-Test (http, caller_gone_before_the_answer)
+/* A caller disconnects while its request is pending and nothing has been
+   written to it.  The handler's abort callback runs, so that the work can be
+   cancelled.  */
+Test (http, caller_disconnects_before_the_response)
 {
   struct world w;
   struct wy_http_call *call;
@@ -175,7 +177,7 @@
   world_init (&w);
   call = fetch (&w, "/hold", "", 0);
   uv_run (&w.loop, UV_RUN_DEFAULT);
-  cr_assert_not_null (w.held);
+  cr_assert_not_null (w.pending);
   wy_http_call_cancel (call);
   uv_run (&w.loop, UV_RUN_DEFAULT);
   cr_assert (w.aborted);
@@ -187,7 +189,7 @@
   uv_connect_t connect;
   uv_write_t write;
   char chunk[512];
-  GString *got;
+  GString *received;
   bool closed;
 };
 
@@ -205,7 +207,7 @@
   struct slow *slow = tcp->data;
 
   if (n > 0)
-    g_string_append_len (slow->got, buf->base, n);
+    g_string_append_len (slow->received, buf->base, n);
   if (n >= 0)
     return;
   slow->closed = true;
@@ -224,12 +226,12 @@
   uv_write (&slow->write, (uv_stream_t *)&slow->tcp, &buf, 1, NULL);
 }
 
-/* A caller begins a request and never finishes it.  It hears 408 and loses its
-   connection, and another caller is served meanwhile.  */
-Test (http, slow_caller_is_told_and_cut)
+/* A caller begins a request and never completes it.  It gets 408 and its
+   connection is closed; another caller is served meanwhile.  */
+Test (http, slow_caller_gets_408_and_is_disconnected)
 {
   struct world w;
-  struct slow slow = { .got = g_string_new (NULL) };
+  struct slow slow = { .received = g_string_new (NULL) };
   struct sockaddr_in a;
 
   world_init (&w);
@@ -245,6 +247,6 @@
   cr_assert_not (slow.closed);
   uv_run (&w.loop, UV_RUN_DEFAULT);
   cr_assert (slow.closed);
-  cr_assert (strstr (slow.got->str, "408"), "%s", slow.got->str);
+  cr_assert (strstr (slow.received->str, "408"), "%s", slow.received->str);
   cr_assert_eq (wy_http_server_connections (w.server), 0U);
 }
--- a/tests/test_http_truncated.c
+++ b/tests/test_http_truncated.c
@@ -1,4 +1,4 @@
-/* Bodies that end before they are whole.  */
+/* Responses that end before they are complete.  */
 #include <arpa/inet.h>
 #include <criterion/criterion.h>
 #include <string.h>
@@ -12,10 +12,10 @@
 
 #define CHUNKED "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 
-struct answer
+struct response
 {
   const char *head;
-  const char *rest; /* sent after the reader has had time for the head */
+  const char *rest; /* sent after the client has had time to read the head */
   int status;
   size_t size_bytes;
 };
@@ -23,10 +23,10 @@
 struct server
 {
   int fd;
-  const struct answer *answer;
+  const struct response *response;
 };
 
-/* Takes one connection, sends the answer in two parts and closes.  */
+/* Accept one connection, send the response in two parts and close it.  */
 static gpointer
 serve (gpointer p)
 {
@@ -35,9 +35,9 @@
   int c = accept (s->fd, NULL, NULL);
 
   cr_assert_gt (read (c, request, sizeof request), 0);
-  cr_assert_gt (write (c, s->answer->head, strlen (s->answer->head)), 0);
+  cr_assert_gt (write (c, s->response->head, strlen (s->response->head)), 0);
   wy_sleep_ms (20);
-  cr_assert_geq (write (c, s->answer->rest, strlen (s->answer->rest)), 0);
+  cr_assert_geq (write (c, s->response->rest, strlen (s->response->rest)), 0);
   close (c);
   return NULL;
 }
@@ -56,13 +56,12 @@
   return ntohs (a.sin_port);
 }
 
-/* A target crashes while it sends its answer and the connection closes, at
-   any place: inside a chunk, between two chunks, short of the length it had
-   promised.  A reader that took this for the end would hand its caller half
-   an answer as if it were whole.  */
-Test (http_cut, cut_bodies_are_errors)
+/* A target crashes while it sends a response, and the connection closes inside
+   a chunk, between two chunks or before content-length bytes.  A client that
+   took this for the end would pass on a partial response as complete.  */
+Test (http_truncated, truncated_responses_are_errors)
 {
-  static const struct answer answers[] = {
+  static const struct response responses[] = {
     { CHUNKED, "3\r\nabc\r\n0\r\n\r\n", 200, 3 },
     { CHUNKED "3\r\nabc\r\n0\r\n\r\n", "", 200, 3 },
     { CHUNKED "3\r\nabc\r\n", "0\r\n\r\n", 200, 3 },
@@ -75,9 +74,9 @@
     { "HTTP/1.1 200 OK\r\ncont", "", WY_HTTP_EINCOMPLETE, 0 },
   };
 
-  for (size_t i = 0; i < sizeof answers / sizeof *answers; i++)
+  for (size_t i = 0; i < sizeof responses / sizeof *responses; i++)
     {
-      struct server s = { .answer = &answers[i] };
+      struct server s = { .response = &responses[i] };
       uint16_t port = listen_any (&s.fd);
       GThread *t = g_thread_new ("server", serve, &s);
       size_t n;
@@ -85,8 +84,8 @@
 
       g_free (wy_fetch_bytes (port, "/", &n, &status));
       g_thread_join (t);
-      cr_expect_eq (status, answers[i].status, "case %zu: %d", i, status);
-      cr_expect_eq (n, answers[i].size_bytes, "case %zu: %zu", i, n);
+      cr_expect_eq (status, responses[i].status, "case %zu: %d", i, status);
+      cr_expect_eq (n, responses[i].size_bytes, "case %zu: %zu", i, n);
       close (s.fd);
     }
 }
--- a/tests/test_ports_file.c
+++ b/tests/test_ports_file.c
@@ -1,4 +1,4 @@
-/* The file in which a program tells its ports.  */
+/* The file to which a program writes its ports.  */
 #include <criterion/criterion.h>
 #include <signal.h>
 #include <string.h>
@@ -36,7 +36,7 @@
 };
 
 static char *
-content (const char *path)
+read_file (const char *path)
 {
   char *text = NULL;
 
@@ -64,11 +64,11 @@
   return pid;
 }
 
-/* Whoever waits for a program reads its ports as soon as the file is there,
-   or has changed.  A file that is emptied first and written then tells port 0
-   to one who comes in between, who then waits for nobody.  The old file must
-   stay as it is, and the new one take its name.  */
-Test (ports_file, replaced_at_once)
+/* Processes that wait for a program read its ports as soon as the file exists
+   or has changed.  If the file were truncated and then written, a reader in
+   between would find no port and connect to port 0.  So a new file must
+   replace the old one by a rename, and the old one stay unchanged.  */
+Test (ports_file, replaced_atomically)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (programs); i++)
     {
@@ -78,25 +78,26 @@
       char *settings = g_build_filename (dir, "settings.yaml", NULL);
       char *text = g_strdup_printf ("%sports_file: %s\n", programs[i].settings,
                                     ports);
-      char *now = NULL;
+      char *current = NULL;
       pid_t pid;
 
       g_file_set_contents (settings, text, -1, NULL);
       g_file_set_contents (ports, before, -1, NULL);
       cr_assert_eq (link (ports, old), 0);
       pid = launch (&programs[i], settings);
-      for (int ms = 0; ms < LIMIT_MS && (!now || !strcmp (now, before));
+      for (int ms = 0;
+           ms < LIMIT_MS && (!current || !strcmp (current, before));
            ms += POLL_MS)
         {
           wy_sleep_ms (POLL_MS);
-          g_free (now);
-          now = content (ports);
+          g_free (current);
+          current = read_file (ports);
         }
-      cr_expect_str_neq (now, before, "%s", programs[i].name);
-      g_free (now);
-      now = content (old);
-      cr_expect_str_eq (now, before, "%s", programs[i].name);
-      g_free (now);
+      cr_expect_str_neq (current, before, "%s", programs[i].name);
+      g_free (current);
+      current = read_file (old);
+      cr_expect_str_eq (current, before, "%s", programs[i].name);
+      g_free (current);
       kill (pid, SIGKILL);
       waitpid (pid, NULL, 0);
       g_unlink (settings);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* Settings loader: faults are told by file, line and key.  */
+/* Settings loader: errors name the file, line and key.  */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <unistd.h>
@@ -46,7 +46,7 @@
   return err;
 }
 
-Test (settings, values_and_fallbacks)
+Test (settings, values_and_defaults)
 {
   struct sample s = { 0 };
   GString *errors = g_string_new (NULL);
@@ -64,24 +64,24 @@
   g_string_free (errors, TRUE);
 }
 
-Test (settings, faults_are_located)
+Test (settings, errors_name_line_and_key)
 {
   static const struct
   {
     const char *text;
-    const char *said;
+    const char *message;
   } cases[] = {
     { "limit_ms: 5\n", ":1: name: missing" },
-    { "name: a\nlimit_ms: 5000\n", ":2: limit_ms: wrong value, a whole number "
-                                   "from 1 to 1000 is allowed" },
-    { "name: a\nlimit_ms: 5x\n", ":2: limit_ms: wrong value" },
+    { "name: a\nlimit_ms: 5000\n", ":2: limit_ms: invalid value, a whole "
+                                   "number from 1 to 1000 is allowed" },
+    { "name: a\nlimit_ms: 5x\n", ":2: limit_ms: invalid value" },
     { "name: a\n\nmode: fast\n",
-      ":3: mode: wrong value, one of idle, staleness is allowed" },
-    { "name: a\nshare: 2\n", ":2: share: wrong value" },
-    { "name: a\non: maybe\n", ":2: on: wrong value" },
+      ":3: mode: invalid value, one of idle, staleness is allowed" },
+    { "name: a\nshare: 2\n", ":2: share: invalid value" },
+    { "name: a\non: maybe\n", ":2: on: invalid value" },
     { "name: a\nnam: b\n", ":2: nam: unknown key" },
     { "name: a\nname: b\n", ":2: name: given twice" },
-    { "name: a\npeers: [[x]]\n", ":2: peers: wrong value" },
+    { "name: a\npeers: [[x]]\n", ":2: peers: invalid value" },
     { "- a\n", ":1: ?: not a mapping" },
     { "name: [a\n", "YAML is allowed" },
     { "", "not a mapping" },
@@ -93,7 +93,7 @@
       GString *errors = g_string_new (NULL);
 
       cr_assert_lt (load (cases[i].text, &s, errors), 0, "%s", cases[i].text);
-      cr_assert (strstr (errors->str, cases[i].said), "%s gave %s",
+      cr_assert (strstr (errors->str, cases[i].message), "%s gave %s",
                  cases[i].text, errors->str);
       wy_settings_free (table, G_N_ELEMENTS (table), &s);
       g_string_free (errors, TRUE);
--- a/tests/test_sigpipe.c
+++ b/tests/test_sigpipe.c
@@ -1,4 +1,4 @@
-/* Peers that hang up while a daemon writes to them.  */
+/* Connections that are closed by the other side while a daemon writes.  */
 #include <criterion/criterion.h>
 #include <signal.h>
 
@@ -8,11 +8,11 @@
 
 #define KEY "availability_zone: a\nkey_1: 1:secret\n"
 
-/* A caller, or a target after a pause of the process, closes its connection
-   while the daemon writes to it, and the system raises SIGPIPE.  A daemon
-   that kept the default would be gone without a word, and with it all the
-   requests it carries.  */
-Test (sigpipe, does_not_end_a_daemon)
+/* A caller, or a target whose process was suspended, closes its connection
+   while the daemon writes to it, which raises SIGPIPE.  With the default
+   action the daemon would end without a log line, and all its requests would
+   fail.  */
+Test (sigpipe, does_not_terminate_a_daemon)
 {
   static const struct
   {
