--- a/src/standin/call.c
+++ b/src/standin/call.c
@@ -1,5 +1,5 @@
 /* Requests to a stand-in, with the faults that act on their answers.  */
-#include "standin/frame.h"
+#include "standin/standin.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/standin/callers.h
+++ b/src/standin/callers.h
@@ -4,8 +4,8 @@
 
 #include "base/hist.h"
 #include "base/id.h"
-#include "standin/client_list.h"
-#include "standin/frame.h"
+#include "standin/entry_list.h"
+#include "standin/standin.h"
 
 enum wy_errand_kind
 {
@@ -63,8 +63,8 @@
 /* What the text of a completion proves.  */
 enum wy_text_verdict
 {
-  WY_TEXT_WHOLE,
-  WY_TEXT_CUT,
+  WY_TEXT_COMPLETE,
+  WY_TEXT_PARTIAL,
   WY_TEXT_SPLICED /* tokens of two runs, missing or twice */
 };
 
@@ -101,8 +101,8 @@
                       enum wy_errand_end how);
 void wy_errand_on_end (void *ctx, int err);
 
-enum wy_text_verdict wy_callers_verify_text (const char *text);
-char *wy_callers_text_of_events (const char *events, bool *done);
+enum wy_text_verdict wy_callers_check_text (const char *text);
+char *wy_callers_join_events (const char *events, bool *done);
 void wy_callers_books_init (struct wy_callers_books *b);
 void wy_callers_books_write (const struct wy_callers_books *b,
                              const struct wy_callers_settings *o);
--- a/src/standin/callers_answer.c
+++ b/src/standin/callers_response.c
@@ -81,19 +81,19 @@
       json_array_get (json_object_get (j, "choices"), 0), "text"));
 
   if (e->kind == WY_ERRAND_STREAM)
-    text = wy_callers_text_of_events (e->body->str, &done);
+    text = wy_callers_join_events (e->body->str, &done);
   else
     text = g_strdup (whole ? whole : "");
-  switch (wy_callers_verify_text (text))
+  switch (wy_callers_check_text (text))
     {
-    case WY_TEXT_WHOLE:
+    case WY_TEXT_COMPLETE:
       if (done)
         {
           wy_errand_end (e, WY_ERRAND_ANSWERED);
           break;
         }
       /* fall through */
-    case WY_TEXT_CUT:
+    case WY_TEXT_PARTIAL:
       e->callers->books.cut++;
       wy_errand_again (e, AGAIN_MS, WY_ERRAND_UNKNOWN);
       break;
--- a/src/standin/callers_text.c
+++ b/src/standin/callers_text.c
@@ -8,10 +8,10 @@
 
 /* Tell whether TEXT is the whole text of one run.  */
 enum wy_text_verdict
-wy_callers_verify_text (const char *text)
+wy_callers_check_text (const char *text)
 {
   char **tokens = g_strsplit (text, " ", -1);
-  enum wy_text_verdict v = WY_TEXT_CUT;
+  enum wy_text_verdict v = WY_TEXT_PARTIAL;
   const char *first = tokens[0] ? tokens[1] : NULL;
   const char *colon = first ? strchr (first, ':') : NULL;
   size_t n = colon ? (size_t)(colon - first) + 1 : 0;
@@ -22,14 +22,14 @@
       char *end;
 
       if (strncmp (*t, first, n) != 0 || strtol (*t + n, &end, 10) != next
-          || v == WY_TEXT_WHOLE)
+          || v == WY_TEXT_COMPLETE)
         {
           v = WY_TEXT_SPLICED;
           break;
         }
       next++;
       if (*end == '.')
-        v = WY_TEXT_WHOLE;
+        v = WY_TEXT_COMPLETE;
     }
   g_strfreev (tokens);
   return v;
@@ -38,7 +38,7 @@
 /* Join the texts of the server-sent EVENTS, to be freed by the caller; DONE
    tells whether the last event was there.  */
 char *
-wy_callers_text_of_events (const char *events, bool *done)
+wy_callers_join_events (const char *events, bool *done)
 {
   GString *text = g_string_new (NULL);
   char **lines = g_strsplit (events, "\n", -1);
--- a/src/standin/engine.h
+++ b/src/standin/engine.h
@@ -3,7 +3,7 @@
 #define WY_STANDIN_ENGINE_H
 
 #include "standin/engine_batch.h"
-#include "standin/frame.h"
+#include "standin/standin.h"
 
 struct wy_engine_settings
 {
--- a/src/standin/client_list.c
+++ b/src/standin/entry_list.c
@@ -1,6 +1,6 @@
 /* Calls to the service through a list of entries: one is used until it
    fails, then the next one.  */
-#include "standin/client_list.h"
+#include "standin/entry_list.h"
 
 /* Read the "HOST:PORT" texts of ADDRESSES.  Returns 0, or -1 when one is
    wrong or there is none.  */
--- a/src/standin/client_list.h
+++ b/src/standin/entry_list.h
@@ -1,8 +1,8 @@
 /* Calls to the service through a list of entries.  */
-#ifndef WY_STANDIN_CLIENT_LIST_H
-#define WY_STANDIN_CLIENT_LIST_H
+#ifndef WY_STANDIN_ENTRY_LIST_H
+#define WY_STANDIN_ENTRY_LIST_H
 
-#include "standin/frame.h"
+#include "standin/standin.h"
 
 struct wy_entries
 {
--- a/src/standin/kinds.h
+++ b/src/standin/kinds.h
@@ -2,7 +2,7 @@
 #ifndef WY_STANDIN_KINDS_H
 #define WY_STANDIN_KINDS_H
 
-#include "standin/frame.h"
+#include "standin/standin.h"
 
 extern const struct wy_standin_kind wy_standin_engine;
 extern const struct wy_standin_kind wy_standin_service;
--- a/src/standin/platform.c
+++ b/src/standin/platform.c
@@ -90,7 +90,7 @@
 list_replica (struct wy_platform *p, const struct wy_platform_replica *r,
               const char *service, const char *id, const char *address)
 {
-  char *entry = wy_platform_replica_entry (r, service, "ready", address);
+  char *entry = wy_platform_replica_row_value (r, service, "ready", address);
 
   wy_platform_store_put (p->store, "servers", "", id, entry);
   g_free (entry);
@@ -138,7 +138,7 @@
                            json_string (g_ptr_array_index (b->violations, i)));
   doc = json_pack (
       "{s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:o}",
-      "usage_windows", (int)wy_platform_duties_windows (p->duties),
+      "usage_windows", (int)wy_platform_duties_window_count (p->duties),
       "calm_sent", (int)b->calm_sent, "calm_answered", (int)b->calm_answered,
       "sent", (int)b->sent, "answered", (int)b->answered, "refused",
       (int)b->refused, "failed", (int)b->failed, "retries", (int)b->retries,
@@ -347,7 +347,7 @@
   for (guint i = 0; i < of_duties->len; i++)
     wy_platform_violation (p, "%s",
                            (const char *)g_ptr_array_index (of_duties, i));
-  if (wy_platform_duties_windows (p->duties) == 0)
+  if (wy_platform_duties_window_count (p->duties) == 0)
     wy_platform_violation (p, "no window of usage was reported");
   p->standin->failed = write_report (p) || p->books.violations->len > 0;
   wy_standin_quit (p->standin);
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -4,7 +4,7 @@
 #define WY_STANDIN_PLATFORM_H
 
 #include "h1/client.h"
-#include "standin/frame.h"
+#include "standin/standin.h"
 #include "standin/platform_duties.h"
 #include "standin/platform_replica.h"
 #include "standin/platform_store.h"
--- a/src/standin/platform_duties.c
+++ b/src/standin/platform_duties.c
@@ -159,18 +159,18 @@
   d->calls++;
   if (f->silent)
     return;
-  if (spend (&f->busy))
+  if (spend (&f->respond_503))
     {
       wy_h1_respond (r, 503, NULL, 0, "", 0);
       return;
     }
-  if (spend (&f->rate))
+  if (spend (&f->respond_429))
     {
       wy_h1_respond (r, 429, NULL, 0, "", 0);
       return;
     }
   status = take (d, r);
-  if (!spend (&f->lose))
+  if (!spend (&f->lose_response))
     wy_h1_respond (r, status, NULL, 0, "", 0);
 }
 
@@ -237,15 +237,15 @@
 
 /* Number of windows that were reported.  */
 uint32_t
-wy_platform_duties_windows (const struct wy_platform_duties *d)
+wy_platform_duties_window_count (const struct wy_platform_duties *d)
 {
   return g_hash_table_size (d->reports);
 }
 
 /* Requests of ORGANISATION in all windows together.  */
 int64_t
-wy_platform_duties_count (const struct wy_platform_duties *d,
-                          const char *organisation)
+wy_platform_duties_request_count (const struct wy_platform_duties *d,
+                                  const char *organisation)
 {
   GHashTableIter it;
   gpointer p;
--- a/src/standin/platform_duties.h
+++ b/src/standin/platform_duties.h
@@ -10,10 +10,10 @@
 /* What goes wrong; all off when zeroed.  Counts run down with each call.  */
 struct wy_platform_duties_faults
 {
-  uint32_t busy; /* calls answered 503 and not taken */
-  uint32_t rate; /* calls answered 429 and not taken */
-  uint32_t lose; /* calls taken, their answer lost */
-  bool silent;   /* no call is answered or taken */
+  uint32_t respond_503;   /* calls answered 503 and not taken */
+  uint32_t respond_429;   /* calls answered 429 and not taken */
+  uint32_t lose_response; /* calls taken, their answer lost */
+  bool silent;            /* no call is answered or taken */
 };
 
 struct wy_platform_duties;
@@ -25,9 +25,9 @@
 struct wy_platform_duties_faults *
 wy_platform_duties_faults (struct wy_platform_duties *d);
 uint32_t wy_platform_duties_calls (const struct wy_platform_duties *d);
-uint32_t wy_platform_duties_windows (const struct wy_platform_duties *d);
-int64_t wy_platform_duties_count (const struct wy_platform_duties *d,
-                                  const char *organisation);
+uint32_t wy_platform_duties_window_count (const struct wy_platform_duties *d);
+int64_t wy_platform_duties_request_count (const struct wy_platform_duties *d,
+                                          const char *organisation);
 int64_t wy_platform_duties_replicas (const struct wy_platform_duties *d,
                                      const char *service,
                                      const char *availability_zone);
--- a/src/standin/platform_faults.c
+++ b/src/standin/platform_faults.c
@@ -36,10 +36,10 @@
   wy_platform_replica_faults (p->engines[0])->silent
       = age_s >= ENGINE_SILENT_FROM_S && age_s < ENGINE_SILENT_TO_S;
   if (age_s == ENGINE_SILENT_FROM_S)
-    store->lose = LOST_WRITES;
+    store->lose_response = LOST_WRITES;
   store->silent = age_s >= STORE_SILENT_FROM_S && age_s < STORE_SILENT_TO_S;
   if (age_s == STORE_SILENT_TO_S)
-    store->forget_history = true;
+    store->compact_history = true;
 }
 
 static void
@@ -51,31 +51,31 @@
   switch (between (p, 0, 7))
     {
     case 0:
-      f->refuse = n;
+      f->respond_503 = n;
       break;
     case 1:
-      f->busy = n;
+      f->respond_429 = n;
       break;
     case 2:
-      f->lose = n;
+      f->lose_response = n;
       break;
     case 3:
-      f->late = n;
-      f->late_ms = between (p, LATE_MIN_MS, LATE_MAX_MS);
+      f->delay_tx = n;
+      f->delay_tx_ms = between (p, LATE_MIN_MS, LATE_MAX_MS);
       break;
     case 4:
       f->silent = true;
       p->store_well_ms = now_ms + between (p, LAST_MIN_MS, LAST_MAX_MS);
       break;
     case 5:
-      f->deaf = true;
+      f->stall_feed = true;
       p->store_well_ms = now_ms + between (p, LAST_MIN_MS, LAST_MAX_MS);
       break;
     case 6:
-      f->refuse_put = n;
+      f->respond_507 = n;
       break;
     default:
-      f->forget_history = true;
+      f->compact_history = true;
       break;
     }
 }
@@ -93,26 +93,26 @@
       f->hang = 1;
       break;
     case 8:
-      f->unstamped = 1;
+      f->omit_stamp = 1;
       break;
     case 0:
-      f->cuts = n;
-      f->cut_after = between (p, 0, CUT_AFTER_MAX);
+      f->abort_streams = n;
+      f->abort_after_events = between (p, 0, CUT_AFTER_MAX);
       break;
     case 1:
-      f->stalls = 1;
+      f->stall_streams = 1;
       break;
     case 2:
-      f->refuse = n;
+      f->respond_not_run = n;
       break;
     case 3:
-      f->foreign = 1;
+      f->wrong_attempt_id = 1;
       break;
     case 4:
-      f->lose = n;
+      f->lose_response = n;
       break;
     case 5:
-      f->lose_orders = 1;
+      f->lose_order_response = 1;
       break;
     default:
       f->silent = true;
@@ -131,7 +131,7 @@
   else if (now_ms >= p->store_well_ms)
     {
       f->silent = false;
-      f->deaf = false;
+      f->stall_feed = false;
     }
   for (int i = 0; i < WY_PLATFORM_ENGINES; i++)
     if (all || now_ms >= p->engine_well_ms[i])
--- a/src/standin/platform_replica.c
+++ b/src/standin/platform_replica.c
@@ -31,7 +31,7 @@
 
 /* Data of the event number EVENT.  */
 const char *
-wy_platform_replica_text (uint32_t event, char *out, size_t size)
+wy_platform_replica_event_data (uint32_t event, char *out, size_t size)
 {
   snprintf (out, size, "piece-%u", event);
   return out;
@@ -75,7 +75,7 @@
   n += snprintf (
       text + n, sizeof text - (size_t)n, "id: %lld\ndata: %s\n\n",
       (long long)u->next,
-      wy_platform_replica_text ((uint32_t)u->next, data, sizeof data));
+      wy_platform_replica_event_data ((uint32_t)u->next, data, sizeof data));
   wy_h1_write_response (u->request, text, (size_t)n);
   u->next++;
   u->sent++;
@@ -89,7 +89,7 @@
 
   if (u->next <= r->o.events)
     send_event (u);
-  if (u->cut && u->sent >= r->faults.cut_after)
+  if (u->cut && u->sent >= r->faults.abort_after_events)
     {
       wy_h1_abort (u->request);
       end_run (u);
@@ -115,8 +115,9 @@
   char load[48];
   struct wy_h1_header fields[]
       = { { "Content-Type", "text/event-stream" },
-          { "Attempt-Id",
-            wy_platform_take_fault (&r->faults.foreign) ? "another" : id },
+          { "Attempt-Id", wy_platform_take_fault (&r->faults.wrong_attempt_id)
+                              ? "another"
+                              : id },
           { "Response-Stamp", "stamp" },
           { "Server-Load", load },
           { "Weight-Versions", version } };
@@ -129,8 +130,8 @@
   u->request = q;
   u->version = r->version;
   u->next = r->last_resume + 1;
-  u->cut = wy_platform_take_fault (&r->faults.cuts);
-  u->stall = wy_platform_take_fault (&r->faults.stalls);
+  u->cut = wy_platform_take_fault (&r->faults.abort_streams);
+  u->stall = wy_platform_take_fault (&r->faults.stall_streams);
   snprintf (version, sizeof version, "%lld", (long long)r->version);
   snprintf (load, sizeof load, "%u,0,%u", r->running, r->o.slots);
   wy_h1_begin_response (q, 200, fields, G_N_ELEMENTS (fields));
@@ -181,8 +182,9 @@
   char load[48];
   char mark[160];
   struct wy_h1_header fields[3]
-      = { { "Attempt-Id",
-            wy_platform_take_fault (&r->faults.foreign) ? "another" : u->id },
+      = { { "Attempt-Id", wy_platform_take_fault (&r->faults.wrong_attempt_id)
+                              ? "another"
+                              : u->id },
           { "Server-Load", load },
           { "Response-Stamp", mark } };
 
@@ -193,7 +195,7 @@
   wy_h1_on_hangup (u->request, NULL, NULL);
   /* The body comes back, so that a caller can tell its own answer.  */
   wy_h1_respond (u->request, u->status, fields,
-                 wy_platform_take_fault (&r->faults.unstamped) ? 2 : 3, body,
+                 wy_platform_take_fault (&r->faults.omit_stamp) ? 2 : 3, body,
                  n);
   end_plain (u);
 }
@@ -220,8 +222,8 @@
   wy_h1_on_hangup (q, on_plain_gone, u);
   if (wy_platform_take_fault (&r->faults.hang))
     return;
-  if (r->faults.answer_ms)
-    uv_timer_start (&u->timer, on_plain_timer, r->faults.answer_ms, 0);
+  if (r->faults.response_ms)
+    uv_timer_start (&u->timer, on_plain_timer, r->faults.response_ms, 0);
   else
     answer_plain (u);
 }
@@ -247,23 +249,23 @@
 
   if (target && strcmp (target, r->o.id) != 0)
     wy_h1_respond (q, 421, NULL, 0, "", 0);
-  else if (!id || wy_platform_take_fault (&r->faults.refuse)
+  else if (!id || wy_platform_take_fault (&r->faults.respond_not_run)
            || (r->o.model && r->running >= r->o.slots))
     wy_h1_respond (q, id ? 503 : 400, &not_run, 1, "", 0);
-  else if (wy_platform_take_fault (&r->faults.lose))
+  else if (wy_platform_take_fault (&r->faults.lose_response))
     {
       r->runs++;
       tell_run (r, head, id, "", 0);
       wy_h1_abort (q);
     }
-  else if (wy_platform_take_fault (&r->faults.never))
+  else if (wy_platform_take_fault (&r->faults.respond_422))
     plain (r, q, 422, id);
-  else if (wy_platform_take_fault (&r->faults.fail))
+  else if (wy_platform_take_fault (&r->faults.respond_500))
     {
       r->runs++;
       plain (r, q, 500, id);
     }
-  else if (wy_platform_take_fault (&r->faults.ran_503))
+  else if (wy_platform_take_fault (&r->faults.respond_503_after_run))
     {
       r->runs++;
       plain (r, q, 503, id);
--- a/src/standin/platform_replica.h
+++ b/src/standin/platform_replica.h
@@ -9,19 +9,21 @@
    that they hit.  */
 struct wy_platform_replica_faults
 {
-  uint32_t cut_after;   /* streams: broken off behind so many events, ... */
-  uint32_t cuts;        /* ... so often */
-  uint32_t stalls;      /* streams that stand still after one event */
-  uint32_t refuse;      /* turned away as not run */
-  uint32_t fail;        /* answered 500 */
-  uint32_t ran_503;     /* run, and answered 503, not marked as not run */
-  uint32_t never;       /* answered 422 */
-  uint32_t foreign;     /* answered as if to another request */
-  uint32_t unstamped;   /* without the mark of a replica's answer */
-  uint32_t lose;        /* run, the answer lost */
-  uint32_t lose_orders; /* performed, not answered */
-  uint32_t hang;        /* plain services: run and never answered */
-  uint32_t answer_ms;   /* plain services: time of an answer */
+  uint32_t
+      abort_after_events; /* streams: broken off behind so many events, ... */
+  uint32_t abort_streams; /* ... so often */
+  uint32_t stall_streams; /* streams that stand still after one event */
+  uint32_t respond_not_run; /* turned away as not run */
+  uint32_t respond_500;     /* answered 500 */
+  uint32_t
+      respond_503_after_run; /* run, and answered 503, not marked as not run */
+  uint32_t respond_422;      /* answered 422 */
+  uint32_t wrong_attempt_id; /* answered as if to another request */
+  uint32_t omit_stamp;       /* without the mark of a replica's answer */
+  uint32_t lose_response;    /* run, the answer lost */
+  uint32_t lose_order_response; /* performed, not answered */
+  uint32_t hang;                /* plain services: run and never answered */
+  uint32_t response_ms;         /* plain services: time of an answer */
   uint32_t order_load_ms;
   bool silent;
 };
@@ -58,9 +60,9 @@
 uint16_t wy_platform_replica_port (const struct wy_platform_replica *r);
 struct wy_platform_replica_faults *
 wy_platform_replica_faults (struct wy_platform_replica *r);
-char *wy_platform_replica_entry (const struct wy_platform_replica *r,
-                                 const char *service, const char *state,
-                                 const char *address);
+char *wy_platform_replica_row_value (const struct wy_platform_replica *r,
+                                     const char *service, const char *state,
+                                     const char *address);
 uint32_t wy_platform_replica_runs (const struct wy_platform_replica *r);
 uint32_t wy_platform_replica_running (const struct wy_platform_replica *r);
 uint32_t wy_platform_replica_connections (const struct wy_platform_replica *r);
@@ -70,6 +72,7 @@
                                       int64_t version);
 void wy_platform_replica_restart (struct wy_platform_replica *r);
 int64_t wy_platform_replica_last_resume (const struct wy_platform_replica *r);
-const char *wy_platform_replica_text (uint32_t event, char *out, size_t size);
+const char *wy_platform_replica_event_data (uint32_t event, char *out,
+                                            size_t size);
 
 #endif
--- a/src/standin/platform_replica_orders.c
+++ b/src/standin/platform_replica_orders.c
@@ -74,7 +74,7 @@
   int status = take_order (r, doc);
 
   json_decref (doc);
-  if (wy_platform_take_fault (&r->faults.lose_orders))
+  if (wy_platform_take_fault (&r->faults.lose_order_response))
     wy_h1_abort (q);
   else
     wy_h1_respond (q, status, NULL, 0, "", 0);
@@ -82,9 +82,9 @@
 
 /* R's entry in the list of replicas, in STATE; the caller frees it.  */
 char *
-wy_platform_replica_entry (const struct wy_platform_replica *r,
-                           const char *service, const char *state,
-                           const char *address)
+wy_platform_replica_row_value (const struct wy_platform_replica *r,
+                               const char *service, const char *state,
+                               const char *address)
 {
   char *own = g_strdup_printf ("127.0.0.1:%u", wy_platform_replica_port (r));
   char *entry = g_strdup_printf (
--- a/src/standin/platform_store.c
+++ b/src/standin/platform_store.c
@@ -121,8 +121,8 @@
 
 /* Remove a row as its writer would.  */
 void
-wy_platform_store_drop (struct wy_platform_store *s, const char *table,
-                        const char *part, const char *key)
+wy_platform_store_delete (struct wy_platform_store *s, const char *table,
+                          const char *part, const char *key)
 {
   s->version++;
   wy_platform_store_set (s, table, part, key, NULL);
@@ -149,8 +149,8 @@
 
 /* Rows of a part.  */
 uint32_t
-wy_platform_store_count (const struct wy_platform_store *s, const char *table,
-                         const char *part)
+wy_platform_store_row_count (const struct wy_platform_store *s,
+                             const char *table, const char *part)
 {
   uint32_t n = 0;
 
@@ -165,7 +165,7 @@
 
 /* Objects that are kept.  */
 uint32_t
-wy_platform_store_objects (const struct wy_platform_store *s)
+wy_platform_store_object_count (const struct wy_platform_store *s)
 {
   return g_hash_table_size (s->objects);
 }
@@ -184,9 +184,9 @@
   size_t n;
   const char *body = wy_h1_body (r, &n);
 
-  if (s->faults.refuse_put)
+  if (s->faults.respond_507)
     {
-      s->faults.refuse_put--;
+      s->faults.respond_507--;
       wy_platform_store_respond (s, r, 507, NULL);
     }
   else if (g_hash_table_contains (s->objects, name))
@@ -214,15 +214,15 @@
 {
   if (s->faults.silent)
     return true; /* the caller's own time limit ends it */
-  if (s->faults.refuse)
+  if (s->faults.respond_503)
     {
-      s->faults.refuse--;
+      s->faults.respond_503--;
       wy_platform_store_respond (s, r, 503, NULL);
       return true;
     }
-  if (s->faults.busy)
+  if (s->faults.respond_429)
     {
-      s->faults.busy--;
+      s->faults.respond_429--;
       wy_platform_store_respond (s, r, 429, NULL);
       return true;
     }
--- a/src/standin/platform_store.h
+++ b/src/standin/platform_store.h
@@ -10,15 +10,15 @@
    they hit.  */
 struct wy_platform_store_faults
 {
-  uint32_t refuse; /* calls answered 503 and not performed */
-  uint32_t busy;   /* calls answered 429 */
-  uint32_t lose;   /* transactions performed, their answer lost */
-  uint32_t late;   /* transactions performed LATE_MS after, unanswered */
-  uint32_t late_ms;
-  bool silent;         /* no call is answered or performed */
-  bool forget_history; /* the next wait for changes is answered 410 */
-  bool deaf;           /* waits for changes never end */
-  uint32_t refuse_put; /* objects refused as too much */
+  uint32_t respond_503;   /* calls answered 503 and not performed */
+  uint32_t respond_429;   /* calls answered 429 */
+  uint32_t lose_response; /* transactions performed, their answer lost */
+  uint32_t delay_tx; /* transactions performed LATE_MS after, unanswered */
+  uint32_t delay_tx_ms;
+  bool silent;          /* no call is answered or performed */
+  bool compact_history; /* the next wait for changes is answered 410 */
+  bool stall_feed;      /* waits for changes never end */
+  uint32_t respond_507; /* objects refused as too much */
 };
 
 struct wy_platform_store_options
@@ -38,13 +38,13 @@
 int64_t wy_platform_store_put (struct wy_platform_store *s, const char *table,
                                const char *part, const char *key,
                                const char *value);
-void wy_platform_store_drop (struct wy_platform_store *s, const char *table,
-                             const char *part, const char *key);
+void wy_platform_store_delete (struct wy_platform_store *s, const char *table,
+                               const char *part, const char *key);
 char *wy_platform_store_value (const struct wy_platform_store *s,
                                const char *table, const char *part,
                                const char *key);
-uint32_t wy_platform_store_count (const struct wy_platform_store *s,
-                                  const char *table, const char *part);
-uint32_t wy_platform_store_objects (const struct wy_platform_store *s);
+uint32_t wy_platform_store_row_count (const struct wy_platform_store *s,
+                                      const char *table, const char *part);
+uint32_t wy_platform_store_object_count (const struct wy_platform_store *s);
 
 #endif
--- a/src/standin/platform_store_read.c
+++ b/src/standin/platform_store_read.c
@@ -156,7 +156,7 @@
 {
   struct wy_platform_store *s = t->data;
 
-  for (guint i = s->waits->len; !s->faults.deaf && i > 0; i--)
+  for (guint i = s->waits->len; !s->faults.stall_feed && i > 0; i--)
     if (answer_wait (g_ptr_array_index (s->waits, i - 1)))
       g_ptr_array_remove_index (s->waits, i - 1);
 }
@@ -178,9 +178,9 @@
   char *wait_ms = query (target, "waitMs");
   struct wy_platform_wait *w;
 
-  if (s->faults.forget_history)
+  if (s->faults.compact_history)
     {
-      s->faults.forget_history = false;
+      s->faults.compact_history = false;
       wy_platform_store_respond (s, r, 410, NULL);
     }
   else
--- a/src/standin/platform_store_tx.c
+++ b/src/standin/platform_store_tx.c
@@ -118,7 +118,7 @@
   l->doc = json_incref (doc);
   uv_timer_init (s->loop, &l->timer);
   l->timer.data = l;
-  uv_timer_start (&l->timer, on_late, s->faults.late_ms, 0);
+  uv_timer_start (&l->timer, on_late, s->faults.delay_tx_ms, 0);
 }
 
 /* Perform the transaction R, or what the faults make of it.  */
@@ -134,18 +134,18 @@
 
   if (invalid (doc))
     wy_platform_store_respond (s, r, 400, NULL);
-  else if (s->faults.late)
+  else if (s->faults.delay_tx)
     {
-      s->faults.late--;
+      s->faults.delay_tx--;
       perform_late (s, doc);
       wy_h1_abort (r);
     }
   else
     {
       status = perform (s, doc, &rows);
-      if (s->faults.lose)
+      if (s->faults.lose_response)
         {
-          s->faults.lose--;
+          s->faults.lose_response--;
           json_decref (rows);
           wy_h1_abort (r);
         }
--- a/src/standin/platform_trainer.c
+++ b/src/standin/platform_trainer.c
@@ -142,8 +142,9 @@
   char piece[64];
 
   for (uint32_t i = 1; i <= WY_PLATFORM_EVENTS; i++)
-    g_string_append_printf (s, "%s%s", i > 1 ? "\n" : "",
-                            wy_platform_replica_text (i, piece, sizeof piece));
+    g_string_append_printf (
+        s, "%s%s", i > 1 ? "\n" : "",
+        wy_platform_replica_event_data (i, piece, sizeof piece));
   return g_string_free (s, FALSE);
 }
 
--- a/src/standin/proxy.c
+++ b/src/standin/proxy.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "standin/frame.h"
+#include "standin/standin.h"
 #include "standin/kinds.h"
 
 enum
--- a/src/standin/frame.c
+++ b/src/standin/standin.c
@@ -1,5 +1,5 @@
 /* Life of a stand-in process: settings, server, timeline, stop.  */
-#include "standin/frame.h"
+#include "standin/standin.h"
 
 #include <signal.h>
 #include <stddef.h>
--- a/src/standin/frame.h
+++ b/src/standin/standin.h
@@ -1,6 +1,6 @@
 /* What all stand-ins share: settings, server, faults, start and stop.  */
-#ifndef WY_STANDIN_FRAME_H
-#define WY_STANDIN_FRAME_H
+#ifndef WY_STANDIN_STANDIN_H
+#define WY_STANDIN_STANDIN_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/standin/trainer.h
+++ b/src/standin/trainer.h
@@ -2,8 +2,8 @@
 #ifndef WY_STANDIN_TRAINER_H
 #define WY_STANDIN_TRAINER_H
 
-#include "standin/client_list.h"
-#include "standin/frame.h"
+#include "standin/entry_list.h"
+#include "standin/standin.h"
 
 struct wy_trainer_settings
 {
--- a/tests/support/job_world.c
+++ b/tests/support/job_world.c
@@ -225,8 +225,9 @@
   char piece[64];
 
   for (uint32_t i = 1; i <= JOB_EVENTS; i++)
-    g_string_append_printf (s, "%s%s", i > 1 ? "\n" : "",
-                            wy_platform_replica_text (i, piece, sizeof piece));
+    g_string_append_printf (
+        s, "%s%s", i > 1 ? "\n" : "",
+        wy_platform_replica_event_data (i, piece, sizeof piece));
   return g_string_free (s, FALSE);
 }
 
@@ -256,5 +257,5 @@
 uint32_t
 job_world_listed (const char *job)
 {
-  return wy_platform_store_count (job_world.store, WY_RESULTS_TABLE, job);
+  return wy_platform_store_row_count (job_world.store, WY_RESULTS_TABLE, job);
 }
--- a/tests/support/platform_world.c
+++ b/tests/support/platform_world.c
@@ -168,7 +168,7 @@
                                            .event_ms = EVENT_MS,
                                            .model = model };
   struct wy_platform_replica *r = wy_platform_replica_new (&o);
-  char *entry = wy_platform_replica_entry (r, service, "ready", NULL);
+  char *entry = wy_platform_replica_row_value (r, service, "ready", NULL);
   struct wy_replica info;
 
   if (!wy_replica_decode (o.id, entry, strlen (entry), &info))
--- a/tests/test_contract_engine.c
+++ b/tests/test_contract_engine.c
@@ -154,10 +154,10 @@
 {
   char *events = run_stream (SHORT);
   bool done;
-  char *text = wy_callers_text_of_events (events, &done);
+  char *text = wy_callers_join_events (events, &done);
 
   cr_expect (done);
-  cr_expect_eq (wy_callers_verify_text (text), WY_TEXT_WHOLE, "%s", text);
+  cr_expect_eq (wy_callers_check_text (text), WY_TEXT_COMPLETE, "%s", text);
   expect_finish (events, "length");
   cr_expect_not_null (
       strstr (events, "\"segments\":[{\"version\":1,\"from\":0,\"to\":4}]"));
@@ -217,8 +217,8 @@
   expect_finish (first, "exported");
   second = run_stream (body);
   both = g_strconcat (first, second, NULL);
-  text = wy_callers_text_of_events (both, &done);
-  cr_expect_eq (wy_callers_verify_text (text), WY_TEXT_WHOLE);
+  text = wy_callers_join_events (both, &done);
+  cr_expect_eq (wy_callers_check_text (text), WY_TEXT_COMPLETE);
   runs = wy_proc_events (&engine, "engine.run");
   cr_expect_eq (json_array_size (runs), 2U);
   json_decref (runs);
--- a/tests/test_crashes.c
+++ b/tests/test_crashes.c
@@ -154,7 +154,8 @@
   platform_world_set_routing (&w, WY_ROUTE_IDEMPOTENT, 2);
   cr_assert_eq (wy_h1_server_new (&server, &o), 0);
   for (int i = 0; i < 3; i++)
-    wy_platform_replica_faults (platform_world_add_replica (&w, NULL, 0))->lose
+    wy_platform_replica_faults (platform_world_add_replica (&w, NULL, 0))
+        ->lose_response
         = 1;
   a = send_request ("bad");
   cr_expect_eq (a->status, 502);
@@ -165,7 +166,7 @@
 
       wy_crash_tracker_target_crashed (&w.env.crashes, ids[i],
                                        wy_clock_mono_ms (w.env.clock));
-      wy_platform_replica_faults (w.replicas[i])->lose = 0;
+      wy_platform_replica_faults (w.replicas[i])->lose_response = 0;
     }
   runs = wy_platform_replica_runs (w.replicas[0])
          + wy_platform_replica_runs (w.replicas[1])
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -156,7 +156,7 @@
 static bool
 three_windows (void *ctx)
 {
-  return wy_platform_duties_windows (duty_platform) >= 3;
+  return wy_platform_duties_window_count (duty_platform) >= 3;
 }
 
 static int64_t counted_window;
@@ -171,7 +171,8 @@
 static bool
 acme_is_reported (void *ctx)
 {
-  return wy_platform_duties_count (duty_platform, "acme") == *(int *)ctx;
+  return wy_platform_duties_request_count (duty_platform, "acme")
+         == *(int *)ctx;
 }
 
 /* One report has the requests counted by both entries, without those that no
@@ -215,10 +216,10 @@
 
   start_two_entries ();
   f = wy_platform_duties_faults (duty_platform);
-  f->busy = 1;
-  f->rate = 1;
-  f->lose = 1;
-  wy_platform_store_faults (duty_world.store)->lose = 2;
+  f->respond_503 = 1;
+  f->respond_429 = 1;
+  f->lose_response = 1;
+  wy_platform_store_faults (duty_world.store)->lose_response = 2;
   cr_assert (platform_world_until (&duty_world, is_counted, &a));
   wy_usage_end (a.usage, counted_window, "acme", true);
   cr_expect (platform_world_until (&duty_world, acme_is_reported, &wanted));
--- a/tests/test_jobs.c
+++ b/tests/test_jobs.c
@@ -30,11 +30,11 @@
   for (uint32_t i = 0; i < 2; i++)
     {
       f = wy_platform_replica_faults (job_world.replicas[i]);
-      f->cuts = 2;
-      f->cut_after = 2;
-      f->refuse = 1;
-      f->fail = 1;
-      f->foreign = 1;
+      f->abort_streams = 2;
+      f->abort_after_events = 2;
+      f->respond_not_run = 1;
+      f->respond_500 = 1;
+      f->wrong_attempt_id = 1;
     }
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   job_world_check_all ("j1");
@@ -51,7 +51,7 @@
   platform_world_run_ms (&job_world, 700);
   /* The next transaction may be a heartbeat, so all of them lose their
      responses for a while.  */
-  wy_platform_store_faults (job_world.store)->lose = 2;
+  wy_platform_store_faults (job_world.store)->lose_response = 2;
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   job_world_check_all ("j1");
   cr_expect_eq (job_world_listed ("j1"), JOB_ITEMS);
@@ -77,7 +77,7 @@
   platform_world_run_ms (&job_world, 100);
   f->silent = false;
   cr_expect_eq (job_world_submit ("j1", 1), 202);
-  f->refuse_put = 1;
+  f->respond_507 = 1;
   cr_assert (platform_world_until (&job_world, platform_answer_done, first));
   cr_expect_eq (first->status, 202);
   job_world_check_all ("j1");
@@ -131,9 +131,9 @@
   job_world_start (2);
   f = wy_platform_store_faults (job_world.store);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
-  f->late = 2;
-  f->late_ms = 150;
-  f->lose = 3;
+  f->delay_tx = 2;
+  f->delay_tx_ms = 150;
+  f->lose_response = 3;
   job_world_check_all ("j1");
   platform_world_run_ms (&job_world, 300);
   cr_expect_eq (job_world_listed ("j1"), JOB_ITEMS);
@@ -151,13 +151,13 @@
   job_world_start (2);
   f = wy_platform_store_faults (job_world.store);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
-  f->refuse = 1000000;
+  f->respond_503 = 1000000;
   a = job_world_call ("POST", "/p/job", "j2", body);
   cr_expect_eq (a->status, 503);
   cr_expect_not_null (a->retry_after);
   platform_answer_free (a);
   cr_expect_eq (job_world_status ("GET", "/api/lots/j1?after=0"), 503);
-  f->refuse = 0;
+  f->respond_503 = 0;
   job_world_check_all ("j1");
   cr_expect_eq (job_world_status ("GET", "/api/lots/j2"), 404);
   g_free (body);
@@ -196,7 +196,7 @@
   uint32_t given_up = 0;
 
   job_world_start (1);
-  wy_platform_replica_faults (job_world.replicas[0])->never = 1;
+  wy_platform_replica_faults (job_world.replicas[0])->respond_422 = 1;
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   for (uint32_t i = 0; i < JOB_ITEMS; i++)
     {
@@ -229,8 +229,8 @@
       cr_expect_eq (a->status, 400, "body %zu", i);
       platform_answer_free (a);
     }
-  cr_expect_eq (wy_platform_store_count (job_world.store, WY_JOBS_TABLE, "j1"),
-                0);
+  cr_expect_eq (
+      wy_platform_store_row_count (job_world.store, WY_JOBS_TABLE, "j1"), 0);
   job_world_stop ();
 }
 
--- a/tests/test_jobs_takeover.c
+++ b/tests/test_jobs_takeover.c
@@ -12,7 +12,7 @@
   json_t *again;
 
   job_world_start (1);
-  wy_platform_replica_faults (job_world.replicas[0])->stalls = 2;
+  wy_platform_replica_faults (job_world.replicas[0])->stall_streams = 2;
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   first = job_world_await ("j1", 0);
   job_world_stop_entry ();
@@ -66,7 +66,8 @@
   char *other;
 
   job_world_start (1);
-  wy_platform_replica_faults (job_world.replicas[0])->stalls = JOB_ITEMS;
+  wy_platform_replica_faults (job_world.replicas[0])->stall_streams
+      = JOB_ITEMS;
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   record = wy_platform_store_value (job_world.store, WY_JOBS_TABLE, "j1",
                                     WY_JOB_ROW_KEY);
@@ -215,12 +216,12 @@
   job_world_start (2);
   f = wy_platform_store_faults (job_world.store);
   cr_expect_eq (job_world_submit ("j1", 1), 202);
-  f->deaf = true;
+  f->stall_feed = true;
   cr_assert (platform_world_until (&job_world, all_results_are_listed, NULL));
-  f->lose = 4;
+  f->lose_response = 4;
   platform_world_run_ms (&job_world, 700);
   cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
-  f->deaf = false;
+  f->stall_feed = false;
   platform_world_run_ms (&job_world, 1500);
   cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
   cr_expect (strstr (wy_platform_store_value (job_world.store, WY_JOBS_TABLE,
@@ -236,7 +237,8 @@
   uint32_t runs;
 
   job_world_start (1);
-  wy_platform_replica_faults (job_world.replicas[0])->stalls = JOB_ITEMS;
+  wy_platform_replica_faults (job_world.replicas[0])->stall_streams
+      = JOB_ITEMS;
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   platform_world_run_ms (&job_world, 30);
   cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
@@ -257,7 +259,7 @@
   cr_expect_eq (job_world_submit ("j1", 1), 202);
   job_world_check_all ("j1");
   cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
-  cr_expect_gt (wy_platform_store_objects (job_world.store), 0);
+  cr_expect_gt (wy_platform_store_object_count (job_world.store), 0);
   /* As if it had been accepted long ago.  */
   {
     char *value = wy_platform_store_value (job_world.store, WY_JOBS_TABLE,
@@ -274,10 +276,10 @@
     json_decref (doc);
   }
   platform_world_run_ms (&job_world, 3500);
-  cr_expect_eq (wy_platform_store_count (job_world.store, WY_JOBS_TABLE, "j1"),
-                0);
+  cr_expect_eq (
+      wy_platform_store_row_count (job_world.store, WY_JOBS_TABLE, "j1"), 0);
   cr_expect_eq (job_world_listed ("j1"), 0);
-  cr_expect_eq (wy_platform_store_objects (job_world.store), 0, "%u left",
-                wy_platform_store_objects (job_world.store));
+  cr_expect_eq (wy_platform_store_object_count (job_world.store), 0, "%u left",
+                wy_platform_store_object_count (job_world.store));
   job_world_stop ();
 }
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -108,7 +108,7 @@
 Test (orders, lost_response)
 {
   start ();
-  wy_platform_replica_faults (w.replicas[0])->lose_orders = 1;
+  wy_platform_replica_faults (w.replicas[0])->lose_order_response = 1;
   request_version (2);
   cr_expect (gets_loaded (2));
   platform_world_run_ms (&w, 300);
@@ -177,11 +177,11 @@
   platform_world_init (&w);
   platform_world_free (&w);
   start ();
-  wy_platform_store_faults (w.store)->refuse = 1000000;
+  wy_platform_store_faults (w.store)->respond_503 = 1000000;
   request_version (2);
   platform_world_run_ms (&w, 300);
   cr_expect_eq (wy_platform_replica_orders (w.replicas[0]), 0);
-  wy_platform_store_faults (w.store)->refuse = 0;
+  wy_platform_store_faults (w.store)->respond_503 = 0;
   cr_expect (gets_loaded (2));
   stop ();
 }
@@ -224,8 +224,8 @@
   start ();
   wy_orderer_daemon_free (d);
   platform_world_run_ms (&w, 50);
-  entry = wy_platform_replica_entry (w.replicas[0], "svc", "ready", NULL);
-  wy_platform_store_drop (w.store, WY_REPLICA_TABLE, "", "i-1");
+  entry = wy_platform_replica_row_value (w.replicas[0], "svc", "ready", NULL);
+  wy_platform_store_delete (w.store, WY_REPLICA_TABLE, "", "i-1");
   start_daemon ();
   request_version (2);
   platform_world_run_ms (&w, 700);
--- a/tests/test_proxy.c
+++ b/tests/test_proxy.c
@@ -112,22 +112,22 @@
     case NONE:
       break;
     case REFUSE:
-      f->refuse = 1;
+      f->respond_not_run = 1;
       break;
     case FAIL:
-      f->fail = 1;
+      f->respond_500 = 1;
       break;
     case LOSE:
-      f->lose = 1;
+      f->lose_response = 1;
       break;
     case FOREIGN:
-      f->foreign = 1;
+      f->wrong_attempt_id = 1;
       break;
     case UNSTAMPED:
-      f->unstamped = 1;
+      f->omit_stamp = 1;
       break;
     case RAN_503:
-      f->ran_503 = 1;
+      f->respond_503_after_run = 1;
       break;
     }
 }
@@ -264,13 +264,14 @@
       struct wy_platform_replica_faults *f = wy_platform_replica_faults (
           platform_world_add_replica (&w, "m", 8));
 
-      f->cuts = 1;
-      f->cut_after = 3;
+      f->abort_streams = 1;
+      f->abort_after_events = 3;
     }
   a = send_request ("1900");
   for (uint32_t i = 1; i <= 8; i++)
-    g_string_append_printf (want, "id: %u\ndata: %s\n\n", i,
-                            wy_platform_replica_text (i, text, sizeof text));
+    g_string_append_printf (
+        want, "id: %u\ndata: %s\n\n", i,
+        wy_platform_replica_event_data (i, text, sizeof text));
   cr_expect_eq (a->err, 0);
   cr_expect_eq (a->status, 200);
   cr_expect_str_eq (a->body->str, want->str);
--- a/tests/test_results.c
+++ b/tests/test_results.c
@@ -171,7 +171,8 @@
       platform_world_run_ms (&w, 5);
     }
   platform_world_run_ms (&w, 100);
-  cr_expect_eq (wy_platform_store_count (w.store, WY_STALENESS_TABLE, "m"), 1);
+  cr_expect_eq (wy_platform_store_row_count (w.store, WY_STALENESS_TABLE, "m"),
+                1);
   for (int i = 0; i < ENTRIES; i++)
     wy_staleness_free (staleness[i]);
   platform_world_free (&w);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -94,11 +94,11 @@
 
   start_world ();
   f = wy_platform_store_faults (w.store);
-  f->refuse = 1;
+  f->respond_503 = 1;
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_EREFUSED);
-  f->busy = 1;
+  f->respond_429 = 1;
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_EREFUSED);
-  f->lose = 1;
+  f->lose_response = 1;
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_EUNKNOWN);
   /* The write was performed: repeating it conflicts.  */
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_ECONFLICT);
@@ -202,7 +202,7 @@
   wy_clock_manual_advance (&clock, 1000);
   write_row ("a", "1", 0);
   cr_expect (!object.done);
-  wy_platform_store_faults (w.store)->refuse = 1;
+  wy_platform_store_faults (w.store)->respond_503 = 1;
   write_row ("b", "1", 0);
   write_row ("c", "1", 0);
   cr_expect (object.done);
@@ -219,8 +219,8 @@
 
   start_world ();
   f = wy_platform_store_faults (w.store);
-  f->late = 1;
-  f->late_ms = 60;
+  f->delay_tx = 1;
+  f->delay_tx_ms = 60;
   cr_expect_eq (write_row ("a", "old", 0).err, WY_ROWS_EUNKNOWN);
   cr_expect_eq (write_row ("a", "new", 0).err, 0);
   platform_world_run_ms (&w, 120);
@@ -345,7 +345,7 @@
   peer = platform_loopback (wy_platform_store_port (w.store));
   wy_rows_set_relays (w.env.rows, &peer, 1);
   f = wy_platform_store_faults (w.store);
-  f->busy = 1;
+  f->respond_429 = 1;
   cr_expect_eq (write_row ("a", "1", 0).err, WY_ROWS_EREFUSED);
   wy_rows_stats (w.env.rows, &stats);
   cr_expect_eq (stats.relayed, 0);
--- a/tests/test_scores.c
+++ b/tests/test_scores.c
@@ -102,10 +102,10 @@
   start (2);
   for (int i = SCORER; i <= OTHER_SCORER; i++)
     {
-      faults (i)->refuse = 3;
-      faults (i)->lose = 2;
-      faults (i)->foreign = 2;
-      faults (i)->unstamped = 2;
+      faults (i)->respond_not_run = 3;
+      faults (i)->lose_response = 2;
+      faults (i)->wrong_attempt_id = 2;
+      faults (i)->omit_stamp = 2;
     }
   submit (SCORED);
   check_scores ();
@@ -165,7 +165,7 @@
   char *body = few_fail_body (FAILING, OTHERS);
 
   start (2);
-  faults (SCORER)->answer_ms = 50;
+  faults (SCORER)->response_ms = 50;
   wy_targets_find (job_world.env.targets, "i-3")->avoid_until_ms = INT64_MAX;
   cr_assert_eq (job_world_submit_body ("j1", body), 202);
   for (uint32_t n = 0; n < OTHERS; n++)
@@ -187,7 +187,7 @@
 {
   start (2);
   faults (SCORER)->hang = 1000;
-  faults (SCORER)->answer_ms = 1000000;
+  faults (SCORER)->response_ms = 1000000;
   submit (SCORED);
   check_scores ();
   cr_expect_eq (runs (ENGINE), JOB_ITEMS);
@@ -220,7 +220,7 @@
   uint32_t calls;
 
   start (1);
-  faults (SCORER)->answer_ms = 200;
+  faults (SCORER)->response_ms = 200;
   submit (SCORED);
   cr_assert (platform_world_until (&job_world, texts_are_complete, NULL));
   cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
@@ -264,12 +264,12 @@
   platform_world_set_routing (&job_world, WY_ROUTE_JOB, 3);
   without = job_world.env.routing;
   job_world.env.routing = with;
-  faults (SCORER)->refuse = 1000;
+  faults (SCORER)->respond_not_run = 1000;
   submit (SCORED);
   cr_assert (platform_world_until (&job_world, texts_are_complete, NULL));
   job_world.env.routing = without;
   platform_world_run_ms (&job_world, 400);
-  faults (SCORER)->refuse = 0;
+  faults (SCORER)->respond_not_run = 0;
   job_world.env.routing = with;
   check_scores ();
   cr_expect_eq (runs (ENGINE), JOB_ITEMS);
@@ -283,7 +283,7 @@
 Test (scores, one_slot_stays_free)
 {
   start (1);
-  faults (SCORER)->answer_ms = 60;
+  faults (SCORER)->response_ms = 60;
   submit (SCORED);
   for (int k = 0; k < 200 && wy_jobs_running (job_entry.jobs); k++)
     {
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -96,13 +96,13 @@
   wy_platform_store_put (w.store, "t", "", "a", "2");
   cr_expect (wait_for_value (&f, "/a", "2"));
   wy_platform_store_put (w.store, "t", "", "b", "1");
-  wy_platform_store_drop (w.store, "t", "", "a");
+  wy_platform_store_delete (w.store, "t", "", "a");
   cr_expect (wait_for_value (&f, "/a", NULL));
   faults->silent = true;
   platform_world_run_ms (&w, 50);
-  wy_platform_store_drop (w.store, "t", "", "b");
+  wy_platform_store_delete (w.store, "t", "", "b");
   wy_platform_store_put (w.store, "t", "", "c", "1");
-  faults->forget_history = true;
+  faults->compact_history = true;
   faults->silent = false;
   cr_expect (wait_for_value (&f, "/c", "1"));
   cr_expect (wait_for_value (&f, "/b", NULL));
@@ -122,14 +122,14 @@
   watch = start_watch (&f, false);
   wy_platform_store_put (w.store, "t", "", "a", "1");
   cr_expect (wait_for_value (&f, "/a", "1"));
-  wy_platform_store_faults (w.store)->deaf = true;
+  wy_platform_store_faults (w.store)->stall_feed = true;
   platform_world_run_ms (&w, 50);
   wy_platform_store_put (w.store, "t", "", "a", "2");
   wy_platform_store_put (w.store, "t", "", "b", "2");
   start_ms = wy_clock_mono_ms (wy_clock_system ());
   while (wy_clock_mono_ms (wy_clock_system ()) - start_ms < 1000)
     platform_world_run_ms (&w, 50);
-  wy_platform_store_faults (w.store)->deaf = false;
+  wy_platform_store_faults (w.store)->stall_feed = false;
   cr_expect (wait_for_value (&f, "/b", "2"));
   wy_watch_free (watch);
   platform_world_free (&w);
@@ -218,7 +218,7 @@
   wy_rows_stats (w.env.rows, &before);
   watch = start_watch (&f, true);
   cr_assert (platform_world_until (&w, has_any, &f));
-  wy_platform_store_faults (w.store)->busy = REJECTED;
+  wy_platform_store_faults (w.store)->respond_429 = REJECTED;
   cr_assert (platform_world_until (&w, is_synced, &f));
   cr_expect_eq (g_hash_table_size (f.rows), PARTITIONS);
   wy_rows_stats (w.env.rows, &after);
