--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -1,7 +1,7 @@
-/* An agent: the only door to the target beside it.
+/* An agent forwards all requests to the target on its host.
 
-   It holds the queue in front of the target, runs requests, keeps results
-   until they are acknowledged, and carries orders.  */
+   It keeps the queue in front of the target, runs requests, retains results
+   until they are acknowledged and executes orders.  */
 #include "agent/agent.h"
 
 #include <stdlib.h>
@@ -19,17 +19,19 @@
 enum
 {
   SWEEP_MS = 100,
-  /* Calls to the target have limits of their own; this one is for what
-     they miss.  */
+  /* Idle timeout of last resort; calls to the target have their own
+     timeouts.  */
   CLIENT_SILENCE_MS = 3600 * 1000,
-  /* Weight of a new measurement of the rate at which runs end.  */
-  RATE_SHARE = 16,
-  RATE_UNIT = 1000 * 1000
+  /* Smoothing of the rate at which runs end: a new measurement counts one
+     sixteenth.  */
+  RATE_SMOOTHING = 16,
+  RATE_UNIT = 1000 * 1000 /* ms in 1000 s */
 };
 
-/* Read NUMBER:SECRET, or a bare secret whose number is DFLT.  */
+/* Parse NUMBER:SECRET, or a bare secret with the number DFLT, into OUT.  OUT
+   points into TEXT.  Returns false if the secret is empty.  */
 static bool
-read_key (const char *text, uint32_t dflt, struct wy_inner_key *out)
+parse_key (const char *text, uint32_t dflt, struct wy_inner_key *out)
 {
   char *end;
   unsigned long number = strtoul (text, &end, 10);
@@ -45,17 +47,17 @@
 }
 
 static int
-read_keys (struct wy_agent *a)
+parse_keys (struct wy_agent *a)
 {
   struct wy_inner_identity *id = &a->identity;
 
-  if (!read_key (a->s->key_1, 1, &a->keys[0]))
+  if (!parse_key (a->s->key_1, 1, &a->keys[0]))
     return WY_AGENT_EKEY;
   id->keys = a->keys;
   id->n_keys = 1;
   if (!*a->s->key_2)
     return 0;
-  if (!read_key (a->s->key_2, 2, &a->keys[1])
+  if (!parse_key (a->s->key_2, 2, &a->keys[1])
       || a->keys[0].number == a->keys[1].number)
     return WY_AGENT_EKEY;
   id->n_keys = 2;
@@ -82,12 +84,11 @@
 }
 
 static void
-learn_members (struct wy_agent *a, const struct wy_document *d,
-               int64_t revision)
+set_members (struct wy_agent *a, const struct wy_document *d, int64_t revision)
 {
   const struct wy_service_config *s
       = wy_document_service (d, a->s->target_name);
-  struct wy_once_members m = { .revision = revision };
+  struct wy_at_most_once_members m = { .revision = revision };
 
   if (!s)
     return;
@@ -95,7 +96,7 @@
   for (guint i = 0; i < s->members->len; i++)
     m.digest = wy_hash64 (s->members->pdata[i], strlen (s->members->pdata[i]),
                           m.digest);
-  wy_once_learn (a->once, &m, wy_clock_wall_ms (a->clock));
+  wy_at_most_once_set_members (a->once, &m, wy_clock_wall_ms (a->clock));
 }
 
 static void
@@ -103,25 +104,25 @@
 {
   struct wy_agent *a = ctx;
 
-  learn_members (a, d, revision);
+  set_members (a, d, revision);
   a->document = d;
-  wy_agent_drain_configured (a, d);
+  wy_agent_drain_on_config (a, d);
 }
 
-/* The wall clock was set by more than the clocks may differ: what was issued
-   before and after can't be compared.  */
+/* Detects a step of the wall clock larger than clock_skew_ms.  Issue times
+   from before and after the step can't be compared.  */
 static void
-watch_clock (struct wy_agent *a, int64_t now_ms)
+check_clock_step (struct wy_agent *a, int64_t now_ms)
 {
   int64_t wall_ms = wy_clock_wall_ms (a->clock);
   int64_t offset_ms = wall_ms - now_ms;
 
   if (llabs (offset_ms - a->clock_offset_ms) > a->s->clock_skew_ms)
-    wy_once_clock_stepped (a->once, wall_ms);
+    wy_at_most_once_clock_stepped (a->once, wall_ms);
   a->clock_offset_ms = offset_ms;
 }
 
-/* Smooth the number of runs that end a second.  */
+/* Update the smoothed number of runs that end per 1000 seconds.  */
 static void
 measure_rate (struct wy_agent *a)
 {
@@ -130,11 +131,11 @@
 
   for (size_t i = 0; i < sizeof a->n.ended / sizeof *a->n.ended; i++)
     total += *a->n.ended[i];
-  rate = (total - a->ended_before) * RATE_UNIT / SWEEP_MS;
-  a->ended_before = total;
-  a->drain_milli_per_s
-      = (uint32_t)((a->drain_milli_per_s * (RATE_SHARE - 1ULL) + rate)
-                   / RATE_SHARE);
+  rate = (total - a->last_ended_total) * RATE_UNIT / SWEEP_MS;
+  a->last_ended_total = total;
+  a->completed_milli_per_s
+      = (uint32_t)((a->completed_milli_per_s * (RATE_SMOOTHING - 1ULL) + rate)
+                   / RATE_SMOOTHING);
 }
 
 static void
@@ -143,22 +144,22 @@
   struct wy_agent *a = t->data;
   int64_t now_ms = wy_agent_now_ms (a);
 
-  watch_clock (a, now_ms);
+  check_clock_step (a, now_ms);
   measure_rate (a);
-  wy_agent_target_silent (a, now_ms);
+  wy_agent_target_end_silent (a, now_ms);
   wy_agent_runs_sweep (a, now_ms);
-  if (!a->ready_told && wy_agent_is_ready (a))
+  if (!a->ready_reported && wy_agent_is_ready (a))
     {
-      a->ready_told = true;
+      a->ready_reported = true;
       wy_trace_event (a->trace, "process.ready", NULL);
     }
   wy_agent_drain_sweep (a, now_ms);
 }
 
 static void
-set_memory (struct wy_agent *a)
+init_state (struct wy_agent *a)
 {
-  struct wy_once_options once
+  struct wy_at_most_once_options once
       = { .now_ms = wy_clock_wall_ms (a->clock),
           .clock_skew_ms = (uint32_t)a->s->clock_skew_ms,
           .cold_window_ms = (uint32_t)a->s->cold_window_ms,
@@ -170,7 +171,7 @@
                                          .on_change = on_config,
                                          .ctx = a };
 
-  a->once = wy_once_new (&once);
+  a->once = wy_at_most_once_new (&once);
   a->fences = wy_fences_new ();
   a->runs = g_hash_table_new (g_str_hash, g_str_equal);
   a->feed = wy_config_feed_new (&feed);
@@ -184,7 +185,7 @@
 static int
 open_ports (struct wy_agent *a)
 {
-  int err = wy_agent_weights_start (a);
+  int err = wy_agent_weight_relay_start (a);
 
   if (!err)
     err = wy_agent_http_start (a);
@@ -193,8 +194,8 @@
   return err;
 }
 
-/* Start an agent as O says and store it in OUT.  It lives as long as the
-   process.  */
+/* Start the agent described by O and store it in OUT.  It exists until the
+   process ends.  Returns 0 or a negative error code.  */
 int
 wy_agent_new (struct wy_agent **out, const struct wy_agent_options *o)
 {
@@ -208,15 +209,15 @@
   a->metrics = o->metrics;
   a->on_stopped = o->on_stopped;
   a->ctx = o->ctx;
-  err = read_keys (a);
+  err = parse_keys (a);
   if (err)
     {
       g_free (a);
       return err;
     }
   set_identity (a);
-  wy_agent_counters (a);
-  set_memory (a);
+  wy_agent_register_metrics (a);
+  init_state (a);
   a->client = wy_http_client_new (a->loop, CLIENT_SILENCE_MS);
   wy_agent_dispatch_start (a);
   uv_timer_init (a->loop, &a->sweep_timer);
@@ -230,14 +231,14 @@
   return 0;
 }
 
-/* The port that entries connect to.  */
+/* Return the port that entries connect to.  */
 uint16_t
 wy_agent_port (const struct wy_agent *a)
 {
   return wy_listener_port (a->listener);
 }
 
-/* The port of metrics and health.  */
+/* Return the port for metrics and health checks.  */
 uint16_t
 wy_agent_http_port (const struct wy_agent *a)
 {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -1,4 +1,4 @@
-/* An agent: the only door to the target beside it.  */
+/* An agent: forwards all requests to the target on its host.  */
 #ifndef WY_AGENT_AGENT_H
 #define WY_AGENT_AGENT_H
 
@@ -13,9 +13,9 @@
 
 enum wy_agent_error
 {
-  WY_AGENT_EKEY = -501,    /* not NUMBER:SECRET */
-  WY_AGENT_ELISTEN = -502, /* a port can't be had */
-  WY_AGENT_EADDRESS = -503 /* not HOST:PORT */
+  WY_AGENT_EKEY = -501,    /* key isn't NUMBER:SECRET */
+  WY_AGENT_ELISTEN = -502, /* can't listen on a port */
+  WY_AGENT_EADDRESS = -503 /* address isn't HOST:PORT */
 };
 
 struct wy_agent;
@@ -27,8 +27,9 @@
   const struct wy_agent_settings *settings; /* must outlive the agent */
   struct wy_trace *trace;
   struct wy_metrics *metrics;
-  /* The agent has ended after a stop; CUT requests were cut off.  */
-  void (*on_stopped) (void *ctx, uint32_t cut);
+  /* Called when the agent has stopped.  ABORTED requests were still in
+     progress.  */
+  void (*on_stopped) (void *ctx, uint32_t aborted);
   void *ctx;
 };
 
--- a/src/agent/at_most_once.c
+++ b/src/agent/at_most_once.c
@@ -1,17 +1,17 @@
-/* Whether a non-idempotent request may run here.
+/* Decides whether a non-idempotent request may run here.
 
    Each such request has one home among the members that the configuration
-   names for its issue time.  The home's memory of identifiers keeps it from
-   running twice within an incarnation; what the memory can't vouch for, an
-   earlier incarnation or entries that were evicted, is shut out by issue time
-   (Liskov, Shrira, Wroclawski: Efficient at-most-once messages based on
-   synchronized clocks, 1991).  No store is asked, so filings go on while it
-   is down.  "Not run" is said only when proven, and then made true for good:
-   a sending that was under way when it was said is turned away when it
-   arrives.
-
-   The clocks of our processes differ by at most clock_skew_ms.  Those of
-   callers, who may make the keys, needn't.  */
+   lists for its issue time.  The home remembers request identifiers, so that a
+   request doesn't run twice within an incarnation.  Requests that the memory
+   doesn't cover, because an earlier incarnation may have run them or their
+   records were evicted, are rejected by issue time (Liskov, Shrira,
+   Wroclawski: Efficient at-most-once messages based on synchronized clocks,
+   1991).  No store is needed, so such requests run while the store is down.
+   "Not run" is reported only when proven, and stays true: an attempt that was
+   in transit when it was reported is rejected on arrival.
+
+   The clocks of the processes of the system differ by at most clock_skew_ms.
+   The clocks of callers, who may create the keys, may differ by more.  */
 #include "agent/at_most_once.h"
 
 #include <glib.h>
@@ -21,37 +21,37 @@
   CLOCK_SKEW_MS = 500,
   COLD_WINDOW_MS = 15 * 60 * 1000,
   ROSTER_TRUST_MS = 75 * 60 * 1000,
-  /* At 100 filings a second on one target, twenty minutes of memory and
-     about 13 MB.  */
+  /* At 100 requests per second on one target: twenty minutes, about 13 MB.  */
   IDS_MAX = 131072
 };
 
-struct entry
+struct record
 {
   uint64_t id;
   int64_t issued_ms;
-  int64_t at_ms;
+  int64_t recorded_ms;
   bool started;
-  bool ended;
-  GList link; /* in order */
+  bool completed;
+  GList link; /* in the order of recorded_ms */
 };
 
-struct wy_once
+struct wy_at_most_once
 {
-  struct wy_once_options o;
-  GHashTable *entries; /* of struct entry, by id */
-  GQueue order;        /* oldest first */
-  /* Issued at or before it: may have run unseen.  */
-  int64_t floor_ms;
-  /* Keys without an issue time may have run unseen until then.  */
-  int64_t opaque_until_ms;
-  /* Sent at or before it: "not run" may have been said since.  */
+  struct wy_at_most_once_options o;
+  GHashTable *records; /* struct record by id */
+  GQueue order;        /* struct record, oldest first */
+  /* A request issued at or before it may have run unrecorded.  */
+  int64_t issued_floor_ms;
+  /* Until then, keys without an issue time may have run unrecorded.  */
+  int64_t untimed_until_ms;
+  /* For an attempt sent at or before it, "not run" may have been reported
+     since.  */
   int64_t sent_floor_ms;
-  /* "Too new" proves nothing before: an earlier incarnation with a faster
-     clock may have taken the key.  */
-  int64_t vouches_from_ms;
+  /* Before it, a request that is too new may have run: an earlier incarnation
+     with a faster clock may have accepted the key.  */
+  int64_t not_run_proven_from_ms;
   bool has_members;
-  struct wy_once_members members;
+  struct wy_at_most_once_members members;
 };
 
 static uint32_t
@@ -67,36 +67,36 @@
     *v = floor;
 }
 
-/* An empty memory of an incarnation that begins at O->now_ms.
+/* Create an empty memory for an incarnation that starts at OPTIONS->now_ms.
 
-   An earlier incarnation took keys issued up to a skew ahead of its clock,
-   which itself was up to a skew ahead of ours: so far reaches the first
-   floor.  */
-struct wy_once *
-wy_once_new (const struct wy_once_options *options)
+   An earlier incarnation accepted keys issued up to clock_skew_ms ahead of its
+   clock, which could itself be clock_skew_ms ahead of this one, so the first
+   issued_floor_ms is two times clock_skew_ms in the future.  */
+struct wy_at_most_once *
+wy_at_most_once_new (const struct wy_at_most_once_options *options)
 {
-  struct wy_once *o = g_new0 (struct wy_once, 1);
+  struct wy_at_most_once *o = g_new0 (struct wy_at_most_once, 1);
 
   o->o = *options;
   o->o.clock_skew_ms = or_default (o->o.clock_skew_ms, CLOCK_SKEW_MS);
   o->o.cold_window_ms = or_default (o->o.cold_window_ms, COLD_WINDOW_MS);
   o->o.roster_trust_ms = or_default (o->o.roster_trust_ms, ROSTER_TRUST_MS);
   o->o.ids_max = or_default (o->o.ids_max, IDS_MAX);
-  o->entries = g_hash_table_new (g_int64_hash, g_int64_equal);
+  o->records = g_hash_table_new (g_int64_hash, g_int64_equal);
   g_queue_init (&o->order);
-  wy_once_clock_stepped (o, options->now_ms);
+  wy_at_most_once_clock_stepped (o, options->now_ms);
   return o;
 }
 
-/* Forget all.  */
+/* Free O; NULL is allowed.  */
 void
-wy_once_free (struct wy_once *o)
+wy_at_most_once_free (struct wy_at_most_once *o)
 {
-  struct entry *e;
+  struct record *e;
 
   if (!o)
     return;
-  g_hash_table_destroy (o->entries);
+  g_hash_table_destroy (o->records);
   while ((e = o->order.head ? o->order.head->data : NULL))
     {
       g_queue_unlink (&o->order, &e->link);
@@ -105,32 +105,34 @@
   g_free (o);
 }
 
-/* This process can't tell what was issued before NOW_MS by its clock: it has
-   just begun, or its clock was set anew, which makes old and new times
-   incomparable.  */
+/* Reject requests issued before NOW_MS, the current wall-clock time.  Called
+   when the process starts or its clock was set, since old and new times can't
+   be compared then.  */
 void
-wy_once_clock_stepped (struct wy_once *o, int64_t now_ms)
+wy_at_most_once_clock_stepped (struct wy_at_most_once *o, int64_t now_ms)
 {
   int64_t skew = o->o.clock_skew_ms;
 
-  raise_to (&o->floor_ms, now_ms + 2 * skew);
-  raise_to (&o->opaque_until_ms, now_ms + o->o.cold_window_ms);
-  raise_to (&o->vouches_from_ms, now_ms + skew);
-  /* An earlier incarnation may have said "not run" of what is still under
-     way.  */
+  raise_to (&o->issued_floor_ms, now_ms + 2 * skew);
+  raise_to (&o->untimed_until_ms, now_ms + o->o.cold_window_ms);
+  raise_to (&o->not_run_proven_from_ms, now_ms + skew);
+  /* An earlier incarnation may have reported "not run" for an attempt that is
+     still in transit.  */
   raise_to (&o->sent_floor_ms, now_ms + skew);
 }
 
-/* The configuration M is in force here.  Keys issued before its members took
-   effect belong to the list before, and keys issued before that one took
-   effect to a list that the configuration no longer tells.  When this process
-   saw every revision, it knows that time; else there may have been a change
-   that it never saw, at any time up to now.  */
+/* Apply the member list M of a new configuration.  Keys issued before M took
+   effect belong to the previous list, and keys issued before that one took
+   effect to a list that the configuration no longer contains.  If this process
+   received every revision, the time when the previous list took effect is
+   known.  Otherwise there may have been a change that it never received, at
+   any time up to now.  */
 void
-wy_once_learn (struct wy_once *o, const struct wy_once_members *m,
-               int64_t now_ms)
+wy_at_most_once_set_members (struct wy_at_most_once *o,
+                             const struct wy_at_most_once_members *m,
+                             int64_t now_ms)
 {
-  const struct wy_once_members *old = &o->members;
+  const struct wy_at_most_once_members *old = &o->members;
   int64_t from_ms = now_ms + o->o.clock_skew_ms;
 
   if (o->has_members && m->effective_ms == old->effective_ms
@@ -138,100 +140,106 @@
     from_ms = 0;
   else if (o->has_members && m->revision == old->revision + 1)
     from_ms = old->effective_ms;
-  raise_to (&o->floor_ms, from_ms);
-  raise_to (&o->opaque_until_ms, from_ms + o->o.cold_window_ms);
+  raise_to (&o->issued_floor_ms, from_ms);
+  raise_to (&o->untimed_until_ms, from_ms + o->o.cold_window_ms);
   o->has_members = true;
   o->members = *m;
 }
 
-static struct entry *
-find (const struct wy_once *o, uint64_t id)
+static struct record *
+find (const struct wy_at_most_once *o, uint64_t id)
 {
   gint64 key = (gint64)id;
 
-  return g_hash_table_lookup (o->entries, &key);
+  return g_hash_table_lookup (o->records, &key);
 }
 
-/* Drop the oldest entry.  What it stood for is shut out by time from now
+/* Evict the oldest record.  Requests it covered are rejected by time from now
    on.  */
 static void
-evict (struct wy_once *o)
+evict (struct wy_at_most_once *o)
 {
-  struct entry *e = o->order.head->data;
+  struct record *e = o->order.head->data;
 
   if (!e->started)
-    raise_to (&o->sent_floor_ms, e->at_ms + o->o.clock_skew_ms);
+    raise_to (&o->sent_floor_ms, e->recorded_ms + o->o.clock_skew_ms);
   else if (e->issued_ms == 0)
-    raise_to (&o->opaque_until_ms, e->at_ms + o->o.cold_window_ms);
+    raise_to (&o->untimed_until_ms, e->recorded_ms + o->o.cold_window_ms);
   else
-    raise_to (&o->floor_ms, e->issued_ms);
-  g_hash_table_remove (o->entries, &e->id);
+    raise_to (&o->issued_floor_ms, e->issued_ms);
+  g_hash_table_remove (o->records, &e->id);
   g_queue_unlink (&o->order, &e->link);
   g_free (e);
 }
 
 static void
-note (struct wy_once *o, const struct wy_once_ask *a, bool started)
+add_record (struct wy_at_most_once *o, const struct wy_at_most_once_attempt *a,
+            bool started)
 {
-  struct entry *e = find (o, a->id);
+  struct record *e = find (o, a->id);
 
   if (e)
     g_queue_unlink (&o->order, &e->link);
   else
     {
-      e = g_new0 (struct entry, 1);
+      e = g_new0 (struct record, 1);
       e->id = a->id;
       e->link.data = e;
-      g_hash_table_insert (o->entries, &e->id, e);
+      g_hash_table_insert (o->records, &e->id, e);
     }
   e->issued_ms = a->issued_ms;
-  e->at_ms = a->now_ms;
+  e->recorded_ms = a->now_ms;
   e->started = e->started || started;
   g_queue_push_tail_link (&o->order, &e->link);
   while (o->order.length > o->o.ids_max)
     evict (o);
 }
 
-/* The request of A is about to run.  */
+/* Record that the request of A is about to run.  */
 void
-wy_once_started (struct wy_once *o, const struct wy_once_ask *a)
+wy_at_most_once_started (struct wy_at_most_once *o,
+                         const struct wy_at_most_once_attempt *a)
 {
-  note (o, a, true);
+  add_record (o, a, true);
 }
 
-/* "Not run" is about to be said of the request of A, which has not.  */
+/* Record that "not run" is about to be reported for the request of A, which
+   has not run.  */
 void
-wy_once_denied (struct wy_once *o, const struct wy_once_ask *a)
+wy_at_most_once_reported_not_run (struct wy_at_most_once *o,
+                                  const struct wy_at_most_once_attempt *a)
 {
-  note (o, a, false);
+  add_record (o, a, false);
 }
 
-/* The request ID has run to its end.  */
+/* Record that the request ID has run to completion.  */
 void
-wy_once_ended (struct wy_once *o, uint64_t id)
+wy_at_most_once_completed (struct wy_at_most_once *o, uint64_t id)
 {
-  struct entry *e = find (o, id);
+  struct record *e = find (o, id);
 
   if (e)
-    e->ended = true;
+    e->completed = true;
 }
 
-/* Tell whether ID ran to its end here, as far as memory reaches.  One that
-   began and broke off may have run or not.  */
+/* Whether ID is known to have run to completion here.  A request that started
+   and was interrupted may have run or not.  */
 bool
-wy_once_has_ended (const struct wy_once *o, uint64_t id)
+wy_at_most_once_has_completed (const struct wy_at_most_once *o, uint64_t id)
 {
-  const struct entry *e = find (o, id);
+  const struct record *e = find (o, id);
 
-  return e && e->ended;
+  return e && e->completed;
 }
 
-/* Members take effect no sooner than roster_trust_ms after the change was
-   made.  So whoever has not learnt of a change is still right about keys
-   issued until then, counted from the time at which its own configuration was
-   last known to be the newest.  That time was read from another clock.  */
+/* Whether the configuration is recent enough to know the members for A.  A
+   member list takes effect roster_trust_ms or later after the change was made.
+   So a process that hasn't received a change still knows the right members for
+   keys issued until roster_trust_ms after its configuration was last confirmed
+   as the newest.  The confirmation time was read from another clock.  */
 static bool
-config_reaches (const struct wy_once *o, const struct wy_once_ask *a)
+config_covers (const struct wy_at_most_once *o,
+               const struct wy_at_most_once_attempt *a)
 {
   int64_t issued = a->issued_ms ? a->issued_ms : a->now_ms;
 
@@ -240,55 +248,61 @@
                 < a->config_confirmed_ms + o->o.roster_trust_ms;
 }
 
-/* Whether a key without an issue time may have run where or when this memory
-   doesn't reach.  */
+/* Whether a key without an issue time may have run on another target or before
+   this memory began.  */
 static bool
-opaque_too_old (const struct wy_once *o, const struct wy_once_ask *a)
+untimed_too_old (const struct wy_at_most_once *o,
+                 const struct wy_at_most_once_attempt *a)
 {
-  if (a->now_ms < o->opaque_until_ms)
+  if (a->now_ms < o->untimed_until_ms)
     return true;
-  return a->moved
+  return a->home_changed
          && a->now_ms < a->effective_ms + (int64_t)o->o.cold_window_ms;
 }
 
-/* Whether the sending of A may have been under way when "not run" was said
-   at AT_MS.  */
+/* Whether the attempt A may have been in transit when "not run" was reported
+   at RECORDED_MS.  */
 static bool
-sent_before (const struct wy_once *o, const struct wy_once_ask *a,
-             int64_t at_ms)
+sent_before (const struct wy_at_most_once *o,
+             const struct wy_at_most_once_attempt *a, int64_t recorded_ms)
 {
-  return a->sent_ms && a->sent_ms <= at_ms + o->o.clock_skew_ms;
+  return a->sent_ms && a->sent_ms <= recorded_ms + o->o.clock_skew_ms;
 }
 
-static struct wy_once_answer
-answer (enum wy_once_verdict verdict, bool not_run)
+static struct wy_at_most_once_decision
+decision (enum wy_at_most_once_verdict verdict, bool not_run)
 {
-  struct wy_once_answer r = { verdict, not_run };
+  struct wy_at_most_once_decision r = { verdict, not_run };
 
   return r;
 }
 
-/* Judge the sending A.  The caller then tells wy_once_started or
-   wy_once_denied, before it acts.  */
-struct wy_once_answer
-wy_once_ask (struct wy_once *o, const struct wy_once_ask *a)
+/* Decide whether the attempt A may run.  The caller must then call
+   wy_at_most_once_started before it runs the request, or
+   wy_at_most_once_reported_not_run before it reports that the request has not
+   run.  */
+struct wy_at_most_once_decision
+wy_at_most_once_check (struct wy_at_most_once *o,
+                       const struct wy_at_most_once_attempt *a)
 {
-  const struct entry *e = find (o, a->id);
+  const struct record *e = find (o, a->id);
   /* A key without an issue time may have run before the cold window.  */
   bool proven = a->issued_ms != 0;
 
   if (e && e->started)
-    return answer (WY_ONCE_SEEN, false);
-  if (!config_reaches (o, a))
-    return answer (WY_ONCE_NO_CONFIG, false);
-  if (!a->home)
-    return answer (WY_ONCE_NOT_HOME, false);
-  if (a->issued_ms ? a->issued_ms <= o->floor_ms : opaque_too_old (o, a))
-    return answer (WY_ONCE_TOO_OLD, false);
+    return decision (WY_AT_MOST_ONCE_DUPLICATE, false);
+  if (!config_covers (o, a))
+    return decision (WY_AT_MOST_ONCE_NO_CONFIG, false);
+  if (!a->is_home)
+    return decision (WY_AT_MOST_ONCE_NOT_HOME, false);
+  if (a->issued_ms ? a->issued_ms <= o->issued_floor_ms
+                   : untimed_too_old (o, a))
+    return decision (WY_AT_MOST_ONCE_TOO_OLD, false);
   if (a->issued_ms > a->now_ms + o->o.clock_skew_ms)
-    return answer (WY_ONCE_TOO_NEW, a->now_ms >= o->vouches_from_ms);
-  if ((e && sent_before (o, a, e->at_ms))
+    return decision (WY_AT_MOST_ONCE_TOO_NEW,
+                     a->now_ms >= o->not_run_proven_from_ms);
+  if ((e && sent_before (o, a, e->recorded_ms))
       || (a->sent_ms && a->sent_ms <= o->sent_floor_ms))
-    return answer (WY_ONCE_AGAIN, proven);
-  return answer (WY_ONCE_RUN, proven);
+    return decision (WY_AT_MOST_ONCE_DELAYED, proven);
+  return decision (WY_AT_MOST_ONCE_RUN, proven);
 }
--- a/src/agent/attach.c
+++ b/src/agent/attach.c
@@ -1,10 +1,11 @@
-/* Connections that follow runs.
-
-   Any connection may follow a run from any place of its output: the one that
-   submitted it, a later one of the same entry, or one of another entry to
-   which the caller has sent the request again.  Output goes out no faster
-   than the connection takes it, so that the replay of a large result can't
-   run into the limit of unsent bytes and be cut each time anew.  */
+/* Attachments of connections to runs.
+
+   A connection can attach to a run at any offset of its output: the connection
+   that submitted the request, a later one of the same entry, or one of another
+   entry to which the caller has sent the request again.  Output is sent no
+   faster than the connection accepts it, so that the replay of a large result
+   doesn't exceed the limit of unsent bytes, which would close the connection
+   on every replay.  */
 #include "agent/attach.h"
 
 #include "agent/run.h"
@@ -12,8 +13,8 @@
 enum
 {
   CHUNK_SIZE_BYTES = 65536,
-  /* Unsent bytes of a connection above which its runs wait.  A few chunks
-     keep it busy; more would only be memory.  */
+  /* Above this number of unsent bytes nothing more is sent to a connection.  A
+     few chunks keep it busy; more would only use memory.  */
   UNSENT_LIMIT_BYTES = 4 * CHUNK_SIZE_BYTES
 };
 
@@ -21,13 +22,13 @@
 send_head (struct wy_attachment *at)
 {
   const struct wy_run *r = at->run;
-  guint n = r->answer_headers->len / 2;
+  guint n = r->response_headers->len / 2;
   struct wy_header_pair *pairs = g_new (struct wy_header_pair, n + 1);
   struct wy_frame f = { .kind = WY_FRAME_HEAD };
 
   for (guint i = 0; i < n; i++)
     {
-      gpointer *pair = &r->answer_headers->pdata[(size_t)2 * i];
+      gpointer *pair = &r->response_headers->pdata[(size_t)2 * i];
 
       pairs[i].name = wy_bytes_of (pair[0]);
       pairs[i].value = wy_bytes_of (pair[1]);
@@ -46,13 +47,13 @@
 send_chunk (struct wy_attachment *at)
 {
   const struct wy_run *r = at->run;
-  size_t left = r->out->len - at->offset_bytes;
+  size_t left = r->output->len - at->offset_bytes;
   struct wy_frame f = { .kind = WY_FRAME_CHUNK };
 
   f.u.chunk.id = wy_bytes_of (r->id);
   f.u.chunk.run = wy_bytes_of (r->run);
   f.u.chunk.offset_bytes = at->offset_bytes;
-  f.u.chunk.data.p = (const char *)r->out->data + at->offset_bytes;
+  f.u.chunk.data.p = (const char *)r->output->data + at->offset_bytes;
   f.u.chunk.data.n = (uint32_t)MIN (left, CHUNK_SIZE_BYTES);
   at->offset_bytes += f.u.chunk.data.n;
   wy_conn_send (at->link->conn, &f);
@@ -72,11 +73,11 @@
 {
   if (wy_conn_unsent_bytes (l->conn) < UNSENT_LIMIT_BYTES)
     return true;
-  l->held = true;
+  l->blocked = true;
   return false;
 }
 
-/* AT follows no more.  */
+/* Detach AT from its run and its connection, and free it.  */
 void
 wy_agent_detach (struct wy_attachment *at)
 {
@@ -86,12 +87,13 @@
   g_queue_unlink (&at->link->attached, &at->link_link);
   g_free (at);
   if (r->attached.length == 0)
-    r->alone_ms = wy_agent_now_ms (r->agent);
+    r->detached_ms = wy_agent_now_ms (r->agent);
 }
 
-/* Send what AT lacks, as far as its connection takes it.  */
+/* Send AT the output it hasn't received, as far as its connection accepts
+   it.  */
 static void
-pump_one (struct wy_attachment *at)
+send_pending (struct wy_attachment *at)
 {
   const struct wy_run *r = at->run;
 
@@ -99,7 +101,7 @@
     return;
   if (r->status && !at->head_sent)
     send_head (at);
-  while (at->offset_bytes < r->out->len)
+  while (at->offset_bytes < r->output->len)
     {
       if (!wy_conn_is_ready (at->link->conn) || !has_room (at->link))
         return;
@@ -108,38 +110,38 @@
   if (r->phase != WY_PHASE_ENDED)
     return;
   send_end (at);
-  /* Not all entries acknowledge: one whose caller has gone, or that tries
-     elsewhere after a crash, doesn't.  A result that was sent waits its time
-     alone, so that it is let go in the end.  */
+  /* Not every entry acknowledges: one whose caller has disconnected, or that
+     retries elsewhere after a crash, doesn't.  Detaching starts the retention
+     time of the result, so that it is discarded eventually.  */
   wy_agent_detach (at);
 }
 
-/* Send what is new of R to all that follow it.  */
+/* Send new output of R to all connections attached to it.  */
 void
-wy_agent_pump (struct wy_run *r)
+wy_agent_flush_run (struct wy_run *r)
 {
   GList *next;
 
   for (GList *l = r->attached.head; l; l = next)
     {
       next = l->next;
-      pump_one (l->data);
+      send_pending (l->data);
     }
 }
 
-/* L takes bytes again.  */
+/* Continue sending on L, which accepts bytes again.  */
 void
-wy_agent_pump_link (struct wy_link *l)
+wy_agent_flush_link (struct wy_link *l)
 {
   GList *next;
 
-  if (!l->held)
+  if (!l->blocked)
     return;
-  l->held = false;
+  l->blocked = false;
   for (GList *i = l->attached.head; i; i = next)
     {
       next = i->next;
-      pump_one (i->data);
+      send_pending (i->data);
     }
 }
 
@@ -157,7 +159,9 @@
     }
 }
 
-/* Let L follow R from OFFSET_BYTES on, which is within the output.  */
+/* Attach L to R.  Output is sent from OFFSET_BYTES on, which must not be
+   beyond the end of the output so far.  Replaces an earlier attachment of L to
+   R.  */
 void
 wy_agent_attach (struct wy_run *r, struct wy_link *l, uint64_t offset_bytes)
 {
@@ -171,5 +175,5 @@
   at->link_link.data = at;
   g_queue_push_tail_link (&r->attached, &at->run_link);
   g_queue_push_tail_link (&l->attached, &at->link_link);
-  pump_one (at);
+  send_pending (at);
 }
--- a/src/agent/control.c
+++ b/src/agent/control.c
@@ -1,10 +1,10 @@
-/* Short calls to the engine about a run.
+/* Control calls to the engine about a run.
 
-   Their answers matter little: a stream that has ended can't be paused, and
-   one that the engine lost shows by its own connection.  Calls for one run
-   may overtake each other on their way, each being a connection of its own;
-   what the engine was told last is told again when it differs from what the
-   queue wants by then.  */
+   Most failures can be ignored: a stream that has ended can't be paused, and
+   one that the engine lost is detected by its own connection.  Calls for one
+   run may overtake each other, since each uses its own connection; when a call
+   completes and the queue wants another state by then, the call for that state
+   is sent.  */
 #include "agent/control.h"
 
 #include <stdlib.h>
@@ -23,11 +23,11 @@
   char *id;
   char run[WY_ID_SIZE_BYTES];
   void (*on_done) (struct wy_run *r, const char *blob);
-  bool wants_running; /* what a pause or resume was about */
-  bool steers;
+  bool wants_running; /* state that a pause or resume asked for */
+  bool is_pause_or_resume;
 };
 
-/* The run of C, when it is still the same.  */
+/* Return the run that C is about, or NULL if it no longer exists.  */
 static struct wy_run *
 run_of (const struct control *c)
 {
@@ -36,29 +36,32 @@
   return r && !strcmp (r->run, c->run) ? r : NULL;
 }
 
-/* The queue may have changed its mind while the call was under way, and the
-   later call may have come first.  */
+/* The queue may have changed the state of R during the call, and a later call
+   may have arrived first.  Sends the state again if it differs from
+   SENT_RUNNING.  */
 static void
-steer_again (struct wy_run *r, bool told_running)
+resend_if_changed (struct wy_run *r, bool sent_running)
 {
   bool running = r->item.state == WY_QUEUE_ITEM_RUNNING;
 
-  if (r->phase == WY_PHASE_RUNNING && r->call && running != told_running
+  if (r->phase == WY_PHASE_RUNNING && r->call && running != sent_running
       && r->item.state != WY_QUEUE_ITEM_WAITING)
     wy_agent_control (r, running ? "/control/resume" : "/control/pause");
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_response *a)
+on_response (void *ctx, const struct wy_http_response *response)
 {
   struct control *c = ctx;
   struct wy_run *r = run_of (c);
-  json_t *body = a->err ? NULL : json_loadb (a->body, a->size_bytes, 0, NULL);
+  json_t *body = response->err ? NULL
+                               : json_loadb (response->body,
+                                             response->size_bytes, 0, NULL);
 
   if (r && c->on_done)
     c->on_done (r, json_string_value (json_object_get (body, "blob")));
-  else if (r && c->steers)
-    steer_again (r, c->wants_running);
+  else if (r && c->is_pause_or_resume)
+    resend_if_changed (r, c->wants_running);
   json_decref (body);
   g_free (c->id);
   g_free (c);
@@ -81,23 +84,24 @@
   c->agent = r->agent;
   c->id = g_strdup (r->id);
   memcpy (c->run, r->run, sizeof c->run);
-  wy_http_fetch (r->agent->client, &o, on_answer, c);
+  wy_http_fetch (r->agent->client, &o, on_response, c);
   free (text);
   json_decref (body);
 }
 
-/* POST the identifier of R to PATH.  */
+/* POST the identifier of R to PATH, a control endpoint of the engine.  */
 void
 wy_agent_control (struct wy_run *r, const char *path)
 {
   struct control *c = g_new0 (struct control, 1);
 
   c->wants_running = !strcmp (path, "/control/resume");
-  c->steers = c->wants_running || !strcmp (path, "/control/pause");
+  c->is_pause_or_resume = c->wants_running || !strcmp (path, "/control/pause");
   call (r, path, c);
 }
 
-/* Export the state of R.  ON_DONE gets it, or NULL, while R is known.  */
+/* Export the state of R from the engine.  ON_DONE is called with the state, or
+   NULL on failure, unless R has been freed by then.  */
 void
 wy_agent_control_export (struct wy_run *r,
                          void (*on_done) (struct wy_run *r, const char *blob))
--- a/src/agent/control.h
+++ b/src/agent/control.h
@@ -1,4 +1,4 @@
-/* Short calls to the engine about a run.  */
+/* Control calls to the engine about a run.  */
 #ifndef WY_AGENT_CONTROL_H
 #define WY_AGENT_CONTROL_H
 
--- a/src/agent/dispatch.c
+++ b/src/agent/dispatch.c
@@ -1,4 +1,5 @@
-/* The queue in front of the target, and what its advice leads to.  */
+/* Executes the decisions of the admission queue: starts, pauses, resumes and
+   rejects runs.  */
 #include "agent/dispatch.h"
 
 #include <string.h>
@@ -13,7 +14,7 @@
   wy_agent_dispatch (t->data);
 }
 
-/* Prepare the queue of A.  */
+/* Initialize the queue of A and its timer.  */
 void
 wy_agent_dispatch_start (struct wy_agent *a)
 {
@@ -26,7 +27,7 @@
           .kv_tokens_max = (uint32_t)s->kv_tokens };
 
   if (!model && !o.streams_max)
-    o.streams_max = WY_AGENT_SERVICE_CALLS;
+    o.streams_max = WY_AGENT_SERVICE_CALLS_MAX;
   wy_queue_init (&a->queue, &o);
   uv_timer_init (a->loop, &a->queue_timer);
   a->queue_timer.data = a;
@@ -94,10 +95,10 @@
   return WY_REFUSED_BUSY;
 }
 
-/* Offer R, which was made of S, to the queue.  R may be refused and gone when
-   this returns.  */
+/* Add R, created from S, to the queue, or start it at once.  If the queue
+   rejects R, R has been freed when this returns.  */
 void
-wy_agent_offer (struct wy_run *r, const struct wy_frame_submit *s)
+wy_agent_enqueue (struct wy_run *r, const struct wy_frame_submit *s)
 {
   struct wy_agent *a = r->agent;
   int64_t now_ms = wy_agent_now_ms (a);
@@ -115,7 +116,7 @@
   v = wy_queue_offer (&a->queue, it, now_ms);
   if (v.kind == WY_ADMISSION_REFUSED)
     {
-      wy_agent_run_refuse (r, reason_of (v.reason), v.retry_after_ms);
+      wy_agent_run_reject (r, reason_of (v.reason), v.retry_after_ms);
       return;
     }
   if (v.kind == WY_ADMISSION_RUN)
@@ -129,12 +130,12 @@
   struct wy_queue_item *it;
 
   while ((it = wy_queue_expire (&a->queue, now_ms)))
-    wy_agent_run_refuse (it->data, WY_REFUSED_BUSY,
+    wy_agent_run_reject (it->data, WY_REFUSED_BUSY,
                          1 + wy_queue_expected_wait_ms (&a->queue, now_ms));
 }
 
 static void
-give_way (struct wy_agent *a, int64_t now_ms)
+preempt (struct wy_agent *a, int64_t now_ms)
 {
   struct wy_preempt p;
 
@@ -151,19 +152,20 @@
 }
 
 static void
-arm (struct wy_agent *a, int64_t now_ms)
+arm_timer (struct wy_agent *a, int64_t now_ms)
 {
   int64_t wake_ms = wy_queue_next_wakeup_ms (&a->queue, now_ms);
 
   if (wake_ms == INT64_MAX)
     uv_timer_stop (&a->queue_timer);
   else
-    /* Never at once: what is due now was done just before.  */
+    /* At least 1 ms: whatever is due now has just been done.  */
     uv_timer_start (&a->queue_timer, on_queue_timer,
                     (uint64_t)MAX (wake_ms - now_ms, 1), 0);
 }
 
-/* Start and stop what the queue says.  */
+/* Reject expired requests, preempt runs and start the next ones, as the queue
+   decides.  */
 void
 wy_agent_dispatch (struct wy_agent *a)
 {
@@ -173,45 +175,47 @@
   expire (a, now_ms);
   if (a->target.state == WY_TARGET_UP)
     {
-      give_way (a, now_ms);
+      preempt (a, now_ms);
       while ((it = wy_queue_next (&a->queue, now_ms)))
         start (it->data);
     }
-  arm (a, now_ms);
+  arm_timer (a, now_ms);
 }
 
-/* Dispatch at the next turn of the loop, where nobody walks over runs.  */
+/* Dispatch in the next iteration of the event loop.  Used where a caller may
+   be iterating over the list of runs.  */
 void
 wy_agent_dispatch_soon (struct wy_agent *a)
 {
   uv_timer_start (&a->queue_timer, on_queue_timer, 0, 0);
 }
 
-/* Nobody wants R any more.  A non-idempotent one that has begun runs to its
-   end.  */
+/* Cancel R, which no caller wants any more.  A non-idempotent request that was
+   sent to the target runs to completion.  */
 void
-wy_agent_cancel (struct wy_run *r)
+wy_agent_run_cancel (struct wy_run *r)
 {
-  if (r->phase == WY_PHASE_ENDED || (r->non_idempotent && r->told))
+  if (r->phase == WY_PHASE_ENDED || (r->non_idempotent && r->sent))
     return;
   if (r->call)
     wy_http_call_cancel (r->call);
   r->call = NULL;
-  if (r->is_model && r->told)
+  if (r->is_model && r->sent)
     wy_agent_model_cancel (r);
-  if (r->non_idempotent && !r->ran_before)
+  if (r->non_idempotent && !r->may_have_run_before)
     {
-      r->ask.now_ms = wy_clock_wall_ms (r->agent->clock);
-      wy_once_denied (r->agent->once, &r->ask);
+      r->at_most_once.now_ms = wy_clock_wall_ms (r->agent->clock);
+      wy_at_most_once_reported_not_run (r->agent->once, &r->at_most_once);
     }
   wy_agent_run_end (r, WY_RUN_CANCELLED,
-                    r->told || r->ran_before ? WY_RAN_UNKNOWN : WY_RAN_NO);
+                    r->sent || r->may_have_run_before ? WY_RAN_UNKNOWN
+                                                      : WY_RAN_NO);
 }
 
-/* Refuse what has not begun, non-idempotent work only when NON_IDEMPOTENT
-   says so: it has nowhere else to go.  */
+/* Reject all runs that have not started with REASON.  Non-idempotent ones,
+   which can't run on another target, only if NON_IDEMPOTENT is true.  */
 void
-wy_agent_refuse_waiting (struct wy_agent *a, enum wy_refusal_reason reason,
+wy_agent_reject_waiting (struct wy_agent *a, enum wy_refusal_reason reason,
                          bool non_idempotent)
 {
   GList *next;
@@ -223,6 +227,6 @@
       next = l->next;
       if (r->phase == WY_PHASE_WAITING
           && (non_idempotent || !r->non_idempotent))
-        wy_agent_run_refuse (r, reason, WY_AGENT_RETRY_MS);
+        wy_agent_run_reject (r, reason, WY_AGENT_RETRY_MS);
     }
 }
--- a/src/agent/fence.c
+++ b/src/agent/fence.c
@@ -1,14 +1,15 @@
-/* Highest fencing numbers seen, one for each lease.
+/* Highest fencing token seen for each lease.
 
-   A number lower than the highest comes from a holder that lost its lease
-   while it was paused, and is refused here, since not all engines do.  A
-   fresh incarnation knows no highest number: any order could be a stale one
-   that it would have refused before it restarted.  So the first order under
-   a lease is sent back.  Its giver checks its lease and gives it again;
-   that it did so after it had the answer, and not by orders already on their
-   way, shows by a PONG to a PING sent after the answer, since a connection
-   keeps its order.  A holder that has lost its lease finds out in that
-   check.  */
+   An order with a token lower than the highest comes from a holder that lost
+   its lease while it was paused.  It is rejected here, since not every engine
+   does so.
+
+   After a restart no highest token is known, so any order could be stale.  The
+   first order under a lease is therefore sent back.  Its sender checks that it
+   still holds the lease, which reveals a lost lease, and repeats the order.
+   The repetition must have been sent after the reply arrived; it could
+   otherwise be another order already in transit.  A PONG to a PING sent after
+   the reply proves this, since a connection preserves order.  */
 #include "agent/fence.h"
 
 #include <glib.h>
@@ -16,17 +17,18 @@
 struct fence
 {
   int64_t highest; /* 0: none accepted by this incarnation */
-  /* The order that was sent back.  */
-  uint64_t giver;
+  /* The order that was sent back: its connection, and the last PING sent on it
+     before.  */
+  uint64_t sender;
   uint64_t sent_seq;
 };
 
 struct wy_fences
 {
-  GHashTable *leases; /* of struct fence, by name */
+  GHashTable *leases; /* struct fence by lease name */
 };
 
-/* No numbers.  */
+/* Create an empty set of fencing tokens.  */
 struct wy_fences *
 wy_fences_new (void)
 {
@@ -49,22 +51,22 @@
   return x;
 }
 
-/* Judge an order with FENCE under LEASE.  GIVER is the connection it came
-   on, HEARD_SEQ the PING that its last PONG answered and SENT_SEQ the last
-   PING sent on it.  */
+/* Check an order with the token FENCE under LEASE.  SENDER is the connection
+   that it came on, PONG_SEQ the last PING on it that was answered and SENT_SEQ
+   the last PING sent on it.  */
 enum wy_fence_verdict
-wy_fences_offer (struct wy_fences *f, const char *lease, int64_t fence,
-                 uint64_t giver, uint64_t heard_seq, uint64_t sent_seq)
+wy_fences_check (struct wy_fences *f, const char *lease, int64_t fence,
+                 uint64_t sender, uint64_t pong_seq, uint64_t sent_seq)
 {
   struct fence *x = get (f, lease);
 
   if (fence <= 0 || fence < x->highest)
     return WY_FENCE_STALE;
-  if (x->highest == 0 && (x->giver != giver || heard_seq <= x->sent_seq))
+  if (x->highest == 0 && (x->sender != sender || pong_seq <= x->sent_seq))
     {
-      if (x->giver != giver)
+      if (x->sender != sender)
         {
-          x->giver = giver;
+          x->sender = sender;
           x->sent_seq = sent_seq;
         }
       return WY_FENCE_CONFIRM;
@@ -73,9 +75,10 @@
   return WY_FENCE_ACCEPT;
 }
 
-/* FENCE under LEASE is known from elsewhere, such as the engine.  */
+/* Raise the highest token of LEASE to FENCE, which was learned elsewhere, such
+   as from the engine.  */
 void
-wy_fences_learn (struct wy_fences *f, const char *lease, int64_t fence)
+wy_fences_raise (struct wy_fences *f, const char *lease, int64_t fence)
 {
   struct fence *x = get (f, lease);
 
@@ -83,7 +86,7 @@
     x->highest = fence;
 }
 
-/* The highest number accepted under LEASE, 0: none.  */
+/* Return the highest token accepted under LEASE; 0 if none.  */
 int64_t
 wy_fences_highest (const struct wy_fences *f, const char *lease)
 {
--- a/src/agent/http.c
+++ b/src/agent/http.c
@@ -1,4 +1,4 @@
-/* Metrics and health of an agent.  */
+/* Metrics and health checks of an agent.  */
 #include "agent/http.h"
 
 #include <string.h>
@@ -16,7 +16,7 @@
   REQUEST_LIMIT_BYTES = 4096
 };
 
-/* Whether a request would be taken now.  */
+/* Whether the agent accepts requests now.  */
 bool
 wy_agent_is_ready (const struct wy_agent *a)
 {
@@ -57,7 +57,8 @@
     wy_http_respond (ex, STATUS_NOT_FOUND, "text/plain", "", 0);
 }
 
-/* Open the port of metrics and health.  */
+/* Open the port for metrics and health checks.  Returns 0 or
+   WY_AGENT_ELISTEN.  */
 int
 wy_agent_http_start (struct wy_agent *a)
 {
@@ -77,9 +78,9 @@
 #define GAUGE(field, help)                                                    \
   a->n.field = wy_metrics_gauge (m, "wy_agent_" #field, help)
 
-/* Name the counters of A.  */
+/* Register the metrics of A.  */
 void
-wy_agent_counters (struct wy_agent *a)
+wy_agent_register_metrics (struct wy_agent *a)
 {
   struct wy_metrics *m = a->metrics;
   static const char *const results[]
--- a/src/agent/links.c
+++ b/src/agent/links.c
@@ -1,9 +1,9 @@
 /* Connections from entries.
 
-   Each incarnation of an entry has one connection that counts, the newest.
-   An entry that dials anew has given the old one up; were frames still read
-   from it, a SUBMIT that was delayed on the way could run after the entry
-   had told its caller that the request didn't.  */
+   Only the newest connection of each incarnation of an entry is used.  An
+   entry that reconnects has given up the old connection.  If frames were still
+   read from it, a delayed SUBMIT could run after the entry had told its caller
+   that the request didn't run.  */
 #include "agent/links.h"
 
 #include <string.h>
@@ -16,7 +16,7 @@
 
 enum
 {
-  /* A frame with the configuration is not sent again before this.  */
+  /* Minimum time between two sends of the configuration to an entry.  */
   CONFIG_RESEND_MS = 1000
 };
 
@@ -52,19 +52,20 @@
     wy_conn_send (c, &leaving);
 }
 
-/* The entry of L knows an older configuration: tell it.  Entries that can't
-   reach the store learn so from agents, and those from other entries.  */
+/* Send the configuration to the entry of L, which has an older one.  Entries
+   that can't reach the store receive it from agents, which received it from
+   other entries.  */
 static void
-push_config (struct wy_link *l)
+send_config (struct wy_link *l)
 {
   struct wy_agent *a = l->agent;
   const char *text = wy_config_feed_text (a->feed);
   int64_t now_ms = wy_agent_now_ms (a);
   struct wy_frame f = { .kind = WY_FRAME_CONFIG };
 
-  if (!text || now_ms < l->config_again_ms)
+  if (!text || now_ms < l->config_resend_ms)
     return;
-  l->config_again_ms = now_ms + CONFIG_RESEND_MS;
+  l->config_resend_ms = now_ms + CONFIG_RESEND_MS;
   f.u.config.revision = wy_config_feed_revision (a->feed);
   f.u.config.confirmed_ms = wy_config_feed_confirmed_ms (a->feed);
   f.u.config.json = wy_bytes_of (text);
@@ -72,23 +73,23 @@
 }
 
 static void
-take_ping (struct wy_link *l, const struct wy_frame *f)
+on_ping (struct wy_link *l, const struct wy_frame *f)
 {
   struct wy_agent *a = l->agent;
   int64_t revision = wy_config_feed_revision (a->feed);
 
   wy_trace_observe (a->trace, f->u.ping.timestamp);
   if (f->kind == WY_FRAME_PONG)
-    l->heard_seq = f->u.ping.seq;
+    l->last_pong_seq = f->u.ping.seq;
   if (f->u.ping.config_revision < revision)
-    push_config (l);
+    send_config (l);
   else if (f->u.ping.config_revision == revision && revision > 0)
     wy_config_feed_offer (a->feed, revision, f->u.ping.config_confirmed_ms,
                           NULL, 0);
 }
 
 static void
-take_ack (struct wy_link *l, const struct wy_frame_resume *f)
+on_ack (struct wy_link *l, const struct wy_frame_resume *f)
 {
   struct wy_run *r = wy_agent_run_find (l->agent, f->id);
 
@@ -105,7 +106,7 @@
     {
     case WY_FRAME_PING:
     case WY_FRAME_PONG:
-      take_ping (l, f);
+      on_ping (l, f);
       return;
     case WY_FRAME_SUBMIT:
       wy_agent_submit (l, &f->u.submit);
@@ -114,10 +115,10 @@
       wy_agent_resume (l, &f->u.resume);
       return;
     case WY_FRAME_CANCEL:
-      wy_agent_cancelled (l, &f->u.resume);
+      wy_agent_cancel (l, &f->u.resume);
       return;
     case WY_FRAME_ACK:
-      take_ack (l, &f->u.resume);
+      on_ack (l, &f->u.resume);
       return;
     case WY_FRAME_QUERY:
       wy_agent_query (l, &f->u.resume);
@@ -170,20 +171,20 @@
     }
   while (l->attached.head)
     wy_agent_detach (l->attached.head->data);
-  wy_agent_orders_forget (l);
+  wy_agent_orders_link_closed (l);
   g_queue_unlink (&a->links, &l->link);
   g_free (l->peer);
   g_free (l);
 }
 
 static void
-on_drained (void *ctx, struct wy_conn *c)
+on_writable (void *ctx, struct wy_conn *c)
 {
-  wy_agent_pump_link (ctx);
+  wy_agent_flush_link (ctx);
 }
 
 static uint32_t
-age_of (const struct wy_agent *a)
+load_age_ms (const struct wy_agent *a)
 {
   int64_t age = wy_clock_wall_ms (a->clock) - a->target.as_of_ms;
 
@@ -202,12 +203,12 @@
   l->queued_rollout = q.rollouts_waiting;
   l->kv_total_tokens = a->queue.o.kv_tokens_max;
   l->kv_used_tokens = (int64_t)a->queue.o.kv_tokens_max - q.kv_free_tokens;
-  l->drain_milli_per_s = a->drain_milli_per_s;
+  l->completed_milli_per_s = a->completed_milli_per_s;
   l->version = a->target.version;
   l->staged_version = a->target.staged;
   l->leaving = a->leaving;
   l->target_up = a->target.state == WY_TARGET_UP;
-  l->age_ms = age_of (a);
+  l->age_ms = load_age_ms (a);
   l->streams_max = q.streams_max;
   l->caller_wait_ms = q.caller_wait_ms;
   l->us_per_token = a->s->target_kind == WY_TARGET_MODEL ? q.us_per_token : 0;
@@ -242,7 +243,7 @@
   struct wy_conn_events events = { .on_ready = on_ready,
                                    .on_frame = on_frame,
                                    .on_closed = on_closed,
-                                   .on_drained = on_drained,
+                                   .on_writable = on_writable,
                                    .is_busy = is_busy,
                                    .fill_ping = fill_ping,
                                    .ctx = l };
@@ -255,7 +256,7 @@
   return events;
 }
 
-/* Listen for entries.  */
+/* Listen for connections from entries.  Returns 0 or WY_AGENT_ELISTEN.  */
 int
 wy_agent_links_start (struct wy_agent *a)
 {
@@ -268,7 +269,7 @@
   return wy_listener_new (&a->listener, &o) ? WY_AGENT_ELISTEN : 0;
 }
 
-/* Send F to all entries.  */
+/* Send F to all connected entries.  */
 void
 wy_agent_links_send (struct wy_agent *a, const struct wy_frame *f)
 {
@@ -276,7 +277,7 @@
     wy_conn_send (((struct wy_link *)i->data)->conn, f);
 }
 
-/* Close all connections and listen no more.  */
+/* Stop listening and close all connections.  */
 void
 wy_agent_links_stop (struct wy_agent *a)
 {
--- a/src/agent/orders.c
+++ b/src/agent/orders.c
@@ -1,8 +1,9 @@
-/* Orders of entries to the target.
+/* Orders from entries to the target.
 
-   Engines take orders from anyone who reaches them, so only the agent beside
-   one does, and only after the entry proved its key.  Orders under a lease
-   carry its fencing number, see agent/fence.c.  */
+   Engines accept orders from anyone who can reach them.  Only the agent on the
+   same host should, and it forwards orders only from entries that have
+   authenticated.  An order under a lease carries the lease's fencing token,
+   see agent/fence.c.  */
 #include "agent/orders.h"
 
 #include <stdlib.h>
@@ -18,7 +19,7 @@
 
 enum
 {
-  /* Fetching a version takes its time at the weight store's rate.  */
+  /* Fetching a weight version is limited by the weight store's rate.  */
   ORDER_TIMEOUT_MS = 60000,
   STATUS_OK = 200,
   STATUS_CONFLICT = 409
@@ -27,18 +28,18 @@
 struct order
 {
   struct wy_agent *agent;
-  struct wy_link *link; /* NULL: its connection is gone */
+  struct wy_link *link; /* NULL: the connection is closed */
   char *id;
   char *lease;
-  GList entry;
+  GList list_link;
 };
 
 static const char *const kind_names[]
     = { "", "stage", "activate", "drain", "undrain", "unblock" };
 
 static void
-answer (struct wy_agent *a, struct wy_link *l, const char *id,
-        const char *lease, int32_t result)
+send_result (struct wy_agent *a, struct wy_link *l, const char *id,
+             const char *lease, int32_t result)
 {
   struct wy_frame f = { .kind = WY_FRAME_ORDERED };
 
@@ -53,7 +54,7 @@
 static void
 order_free (struct order *o)
 {
-  g_queue_unlink (&o->agent->orders, &o->entry);
+  g_queue_unlink (&o->agent->orders, &o->list_link);
   g_free (o->id);
   g_free (o->lease);
   g_free (o);
@@ -65,52 +66,54 @@
   return json_integer_value (json_object_get (body, key));
 }
 
-/* What the engine's answer means.  A swap that failed leaves the old version
-   in force, which the answer names.  */
+/* Return the order result for the engine's RESPONSE.  After a failed swap the
+   old version stays in force and is named in the response.  */
 static int32_t
-result_of (struct order *o, const struct wy_http_response *answer,
+result_of (struct order *o, const struct wy_http_response *response,
            const json_t *body)
 {
   struct wy_agent *a = o->agent;
 
-  if (answer->err)
-    return answer->err == WY_HTTP_ECONNECT ? WY_ORDER_EAWAY : WY_ORDER_ETARGET;
-  if (answer->status == STATUS_CONFLICT)
+  if (response->err)
+    return response->err == WY_HTTP_ECONNECT ? WY_ORDER_EUNREACHABLE
+                                             : WY_ORDER_ETARGET;
+  if (response->status == STATUS_CONFLICT)
     {
-      wy_fences_learn (a->fences, o->lease, number (body, "highest"));
+      wy_fences_raise (a->fences, o->lease, number (body, "highest"));
       return WY_ORDER_EFENCE;
     }
-  if (answer->status != STATUS_OK)
+  if (response->status != STATUS_OK)
     return WY_ORDER_ETARGET;
   a->target.ordered_ms = wy_clock_wall_ms (a->clock);
-  wy_agent_target_version (a, number (body, "version"),
-                           number (body, "staged"));
+  wy_agent_target_set_version (a, number (body, "version"),
+                               number (body, "staged"));
   return WY_ORDER_OK;
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_response *http)
+on_response (void *ctx, const struct wy_http_response *response)
 {
   struct order *o = ctx;
-  json_t *body
-      = http->err ? NULL : json_loadb (http->body, http->size_bytes, 0, NULL);
-  int32_t result = result_of (o, http, body);
+  json_t *body = response->err ? NULL
+                               : json_loadb (response->body,
+                                             response->size_bytes, 0, NULL);
+  int32_t result = result_of (o, response, body);
 
   if (result)
     wy_log (WY_LOG_WARN, "order.failed", "order=%s result=%d status=%d", o->id,
-            result, http->status);
-  answer (o->agent, o->link, o->id, o->lease, result);
+            result, response->status);
+  send_result (o->agent, o->link, o->id, o->lease, result);
   json_decref (body);
   order_free (o);
 }
 
 static void
-pass_on (struct wy_link *l, const struct wy_frame_order *f)
+forward_to_engine (struct wy_link *l, const struct wy_frame_order *f)
 {
   struct wy_agent *a = l->agent;
   struct order *o = g_new0 (struct order, 1);
   char *model = wy_bytes_dup (f->model);
-  char *source = wy_agent_weights_source (a, f);
+  char *source = wy_agent_weight_relay_source (a, f);
   json_t *body = json_pack (
       "{s:s, s:s, s:I, s:I}", "order", kind_names[f->kind], "model", model,
       "version", (json_int_t)f->version, "fence", (json_int_t)f->fence);
@@ -130,27 +133,27 @@
   o->link = l;
   o->id = wy_bytes_dup (f->order);
   o->lease = wy_bytes_dup (f->lease);
-  o->entry.data = o;
-  g_queue_push_tail_link (&a->orders, &o->entry);
-  wy_http_fetch (a->client, &call, on_answer, o);
+  o->list_link.data = o;
+  g_queue_push_tail_link (&a->orders, &o->list_link);
+  wy_http_fetch (a->client, &call, on_response, o);
   free (text);
   json_decref (body);
   g_free (source);
   g_free (model);
 }
 
-/* Judge the fencing number of F.  */
+/* Check the fencing token of F.  Returns 0 or an enum wy_order_result.  */
 static int32_t
 check_fence (struct wy_link *l, const struct wy_frame_order *f,
              const char *lease)
 {
   struct wy_agent *a = l->agent;
 
-  /* Orders of operators come under no lease.  */
+  /* Orders from operators have no lease.  */
   if (!*lease)
     return 0;
-  switch (wy_fences_offer (a->fences, lease, f->fence, l->number, l->heard_seq,
-                           wy_conn_ping_seq (l->conn)))
+  switch (wy_fences_check (a->fences, lease, f->fence, l->number,
+                           l->last_pong_seq, wy_conn_ping_seq (l->conn)))
     {
     case WY_FENCE_STALE:
       ++*a->n.orders_stale;
@@ -167,7 +170,7 @@
 }
 
 static int32_t
-carry_out (struct wy_link *l, const struct wy_frame_order *f, bool *later)
+execute (struct wy_link *l, const struct wy_frame_order *f, bool *deferred)
 {
   struct wy_agent *a = l->agent;
 
@@ -178,8 +181,8 @@
       if (a->s->target_kind != WY_TARGET_MODEL
           || !wy_bytes_equal (f->model, a->s->target_name))
         return WY_ORDER_EINVALID;
-      *later = true;
-      pass_on (l, f);
+      *deferred = true;
+      forward_to_engine (l, f);
       return 0;
     case WY_ORDER_DRAIN:
       wy_agent_drain_order (a, true);
@@ -188,37 +191,37 @@
       wy_agent_drain_order (a, false);
       return 0;
     case WY_ORDER_UNBLOCK:
-      /* The entries keep the list of suspects.  */
+      /* The list of suspects is kept by the entries.  */
       return 0;
     }
   return WY_ORDER_EINVALID;
 }
 
-/* Carry out the order F.  */
+/* Execute the order F and send its result to L.  */
 void
 wy_agent_order (struct wy_link *l, const struct wy_frame_order *f)
 {
   struct wy_agent *a = l->agent;
   char *lease = wy_bytes_dup (f->lease);
   char *id = wy_bytes_dup (f->order);
-  bool later = false;
+  bool deferred = false;
   int32_t result = check_fence (l, f, lease);
 
   ++*a->n.orders;
   if (!result)
-    result = carry_out (l, f, &later);
-  if (!later)
-    answer (a, l, id, lease, result);
-  /* The PONG to this shows that the answer came through.  */
+    result = execute (l, f, &deferred);
+  if (!deferred)
+    send_result (a, l, id, lease, result);
+  /* The PONG to this PING shows that the result has arrived.  */
   if (result == WY_ORDER_ECONFIRM)
     wy_conn_ping (l->conn);
   g_free (id);
   g_free (lease);
 }
 
-/* L is gone; what it ordered goes on.  */
+/* Handle the close of L.  Orders from it that are being executed continue.  */
 void
-wy_agent_orders_forget (struct wy_link *l)
+wy_agent_orders_link_closed (struct wy_link *l)
 {
   for (GList *i = l->agent->orders.head; i; i = i->next)
     {
--- a/src/agent/prefix_cache.c
+++ b/src/agent/prefix_cache.c
@@ -1,7 +1,7 @@
-/* Prompt prefixes that the engine has cached.
+/* Prompt prefixes in the engine's cache.
 
-   The engine tells of them late and leaves some out, so the list is a hint
-   for placement and nothing depends on it.  */
+   The engine reports cache events late and omits some, so the list is only a
+   hint for placement.  */
 #include "agent/prefix_cache.h"
 
 #include <stdio.h>
@@ -17,7 +17,7 @@
 };
 
 static void
-drop (struct wy_target *t, uint64_t prefix)
+remove_prefix (struct wy_target *t, uint64_t prefix)
 {
   for (uint32_t i = 0; i < t->n_prefixes; i++)
     if (t->prefixes[i] == prefix)
@@ -29,18 +29,18 @@
       }
 }
 
-/* Put PREFIX behind the others; the oldest goes when there is no room.  */
+/* Append PREFIX.  The oldest prefix is removed if the list is full.  */
 static void
-add (struct wy_target *t, uint64_t prefix)
+add_prefix (struct wy_target *t, uint64_t prefix)
 {
-  drop (t, prefix);
+  remove_prefix (t, prefix);
   if (t->n_prefixes == WY_AGENT_PREFIXES_MAX)
-    drop (t, t->prefixes[0]);
+    remove_prefix (t, t->prefixes[0]);
   t->prefixes[t->n_prefixes++] = prefix;
 }
 
 static void
-take_event (struct wy_target *t, const json_t *event)
+apply_event (struct wy_target *t, const json_t *event)
 {
   const char *kind = json_string_value (json_object_get (event, "kind"));
   const char *text = json_string_value (json_object_get (event, "prefix"));
@@ -53,32 +53,32 @@
   if (*end || end == text)
     return;
   if (!strcmp (kind, "stored"))
-    add (t, prefix);
+    add_prefix (t, prefix);
   else
-    drop (t, prefix);
+    remove_prefix (t, prefix);
 }
 
 static void
-on_events (void *ctx, const struct wy_http_response *answer)
+on_events (void *ctx, const struct wy_http_response *response)
 {
   struct wy_agent *a = ctx;
-  json_t *body = answer->err
-                     ? NULL
-                     : json_loadb (answer->body, answer->size_bytes, 0, NULL);
+  json_t *body = response->err ? NULL
+                               : json_loadb (response->body,
+                                             response->size_bytes, 0, NULL);
   json_t *event;
   size_t i;
 
   a->target.cache_polling = false;
   json_array_foreach (json_object_get (body, "events"), i, event)
-      take_event (&a->target, event);
+      apply_event (&a->target, event);
   if (json_is_integer (json_object_get (body, "next")))
     a->target.cache_seq = json_integer_value (json_object_get (body, "next"));
   json_decref (body);
 }
 
-/* Ask for the events since the last.  */
+/* Request the cache events since the last poll.  */
 void
-wy_agent_cache_poll (struct wy_agent *a)
+wy_agent_prefix_cache_poll (struct wy_agent *a)
 {
   const struct wy_agent_settings *s = a->s;
   char path[64];
--- a/src/agent/probe.c
+++ b/src/agent/probe.c
@@ -1,5 +1,5 @@
-/* Whether anything listens at a port.  A plain service is only connected to:
-   any request that we could make up might mean something to it.  */
+/* Tests whether a port accepts connections.  A plain service is only connected
+   to, since any request invented here could have an effect on it.  */
 #include "agent/probe.h"
 
 #include <glib.h>
@@ -14,7 +14,7 @@
   uv_tcp_t tcp; /* must stay first */
   uv_timer_t timer;
   uv_connect_t connect;
-  uint32_t handles;
+  uint32_t open_handles;
   bool done;
   void (*on_done) (void *ctx, bool ok);
   void *ctx;
@@ -25,7 +25,7 @@
 {
   struct probe *p = h->data;
 
-  if (--p->handles == 0)
+  if (--p->open_handles == 0)
     g_free (p);
 }
 
@@ -58,8 +58,8 @@
   finish (t->data, false);
 }
 
-/* Connect to PORT of HOST and tell ON_DONE, from the loop, whether that
-   worked.  */
+/* Connect to PORT of HOST, an IPv4 address, and pass the outcome to ON_DONE,
+   which is called from the event loop.  */
 void
 wy_agent_probe (uv_loop_t *loop, const char *host, uint16_t port,
                 void (*on_done) (void *ctx, bool ok), void *ctx)
@@ -69,7 +69,7 @@
 
   p->on_done = on_done;
   p->ctx = ctx;
-  p->handles = 2;
+  p->open_handles = 2;
   uv_tcp_init (loop, &p->tcp);
   uv_timer_init (loop, &p->timer);
   p->tcp.data = p;
--- a/src/agent/probe.h
+++ b/src/agent/probe.h
@@ -1,4 +1,4 @@
-/* Whether anything listens at a port.  */
+/* Tests whether a port accepts connections.  */
 #ifndef WY_AGENT_PROBE_H
 #define WY_AGENT_PROBE_H
 
--- a/src/agent/run.c
+++ b/src/agent/run.c
@@ -1,11 +1,12 @@
-/* Runs: one execution each, from acceptance until the result is forgotten.
-
-   A result is kept until an entry has acknowledged it.  After that, that of a
-   non-idempotent request stays as long as there is room, since its caller may
-   send the request again when the answer was lost on the last stretch.  When
-   there is no room, acknowledged results go first, and then new work is
-   refused: a result that nobody has got yet is the only proof of what the
-   request did.  */
+/* Runs.  A run is one execution of a request, from its acceptance until its
+   result is discarded.
+
+   A result is retained until an entry has acknowledged it.  The result of a
+   non-idempotent request is retained after that as long as there is room,
+   since the caller may send the request again if the response was lost between
+   entry and caller.  When there is no room, acknowledged results are
+   discarded, then new work is rejected: an unacknowledged result is the only
+   proof of what the request did.  */
 #include "agent/run.h"
 
 #include <string.h>
@@ -17,10 +18,10 @@
 enum
 {
   DIGEST_SEED = 0,
-  /* Of an answer, as many as a frame takes.  */
+  /* Headers of a response: as many as a frame can hold.  */
   HEADERS_MAX = 256,
-  /* What a run takes besides its body and output, about; small filings are
-     mostly this.  */
+  /* Approximate memory of a run without its body and output; most of it for
+     small requests.  */
   RUN_SIZE_BYTES = 2048
 };
 
@@ -28,7 +29,7 @@
     = { "none", "done", "failed", "crashed", "cancelled", "timed_out" };
 static const char *const class_names[] = { "interactive", "rollout" };
 
-/* A run for S, not yet offered to the queue.  */
+/* Create a run for the request S.  It must be added to the queue next.  */
 struct wy_run *
 wy_agent_run_new (struct wy_agent *a, const struct wy_frame_submit *s)
 {
@@ -53,18 +54,18 @@
       g_ptr_array_add (r->headers, wy_bytes_dup (s->headers[i].name));
       g_ptr_array_add (r->headers, wy_bytes_dup (s->headers[i].value));
     }
-  r->answer_headers = g_ptr_array_new_with_free_func (g_free);
-  r->out = g_byte_array_new ();
+  r->response_headers = g_ptr_array_new_with_free_func (g_free);
+  r->output = g_byte_array_new ();
   r->digest = XXH64_createState ();
   XXH64_reset (r->digest, DIGEST_SEED);
-  r->alone_ms = wy_agent_now_ms (a);
+  r->detached_ms = wy_agent_now_ms (a);
   g_hash_table_replace (a->runs, r->id, r);
   r->list_link.data = r;
   g_queue_push_tail_link (&a->open, &r->list_link);
   return r;
 }
 
-/* The run of request ID, or NULL.  */
+/* Return the run of request ID, or NULL.  */
 struct wy_run *
 wy_agent_run_find (const struct wy_agent *a, struct wy_bytes id)
 {
@@ -82,9 +83,9 @@
   g_byte_array_set_size (r->body, 0);
 }
 
-/* Forget R, which is in no queue and has no call.  */
+/* Free R, which must not be in the queue or have a call open.  */
 void
-wy_agent_run_forget (struct wy_run *r)
+wy_agent_run_free (struct wy_run *r)
 {
   struct wy_agent *a = r->agent;
 
@@ -93,14 +94,14 @@
   g_queue_unlink (r->phase == WY_PHASE_ENDED ? &a->ended : &a->open,
                   &r->list_link);
   drop_body (r);
-  a->retained_bytes -= RUN_SIZE_BYTES + r->out->len;
+  a->retained_bytes -= RUN_SIZE_BYTES + r->output->len;
   g_hash_table_remove (a->runs, r->id);
   g_byte_array_unref (r->body);
-  g_byte_array_unref (r->out);
+  g_byte_array_unref (r->output);
   XXH64_freeState (r->digest);
   g_ptr_array_unref (r->headers);
-  g_ptr_array_unref (r->answer_headers);
-  wy_tokens_clear (&r->tokens);
+  g_ptr_array_unref (r->response_headers);
+  wy_token_stream_clear (&r->tokens);
   if (r->segments)
     g_array_unref (r->segments);
   g_free (r->finish);
@@ -112,19 +113,19 @@
   g_free (r);
 }
 
-/* The request of R goes out now.  From here on its target may have seen it,
-   and nobody may say that it did not run.  */
+/* Record that the request of R is being sent.  From here on the target may
+   have received it, so "not run" can't be reported any more.  */
 void
-wy_agent_run_told (struct wy_run *r)
+wy_agent_run_sent (struct wy_run *r)
 {
   struct wy_agent *a = r->agent;
 
-  if (r->told)
+  if (r->sent)
     return;
-  r->told = true;
+  r->sent = true;
   r->ran = WY_RAN_UNKNOWN;
   if (r->non_idempotent)
-    wy_once_started (a->once, &r->ask);
+    wy_at_most_once_started (a->once, &r->at_most_once);
   g_free (r->target_inc);
   r->target_inc = g_strdup (a->target.incarnation);
   ++*a->n.started;
@@ -137,42 +138,42 @@
                   class_names[r->request_class]);
 }
 
-/* The target's answer begins.  */
+/* Store STATUS and HEADERS of the target's response.  */
 void
 wy_agent_run_head (struct wy_run *r, int status,
                    const struct wy_http_header_field *headers, size_t n)
 {
   r->status = status;
-  r->heard_ms = wy_agent_now_ms (r->agent);
+  r->last_received_ms = wy_agent_now_ms (r->agent);
   for (size_t i = 0; i < n && i < HEADERS_MAX; i++)
     {
-      g_ptr_array_add (r->answer_headers, g_strdup (headers[i].name));
-      g_ptr_array_add (r->answer_headers, g_strdup (headers[i].value));
+      g_ptr_array_add (r->response_headers, g_strdup (headers[i].name));
+      g_ptr_array_add (r->response_headers, g_strdup (headers[i].value));
     }
 }
 
-/* The output of R has grown; it had BEFORE bytes.  */
+/* Process the output appended to R after its first BEFORE bytes.  */
 void
-wy_agent_run_grew (struct wy_run *r, size_t before)
+wy_agent_run_output_grew (struct wy_run *r, size_t before)
 {
-  size_t n = r->out->len - before;
+  size_t n = r->output->len - before;
 
-  r->heard_ms = wy_agent_now_ms (r->agent);
+  r->last_received_ms = wy_agent_now_ms (r->agent);
   if (n == 0)
     return;
   r->agent->retained_bytes += n;
-  XXH64_update (r->digest, r->out->data + before, n);
-  wy_agent_pump (r);
+  XXH64_update (r->digest, r->output->data + before, n);
+  wy_agent_flush_run (r);
 }
 
 /* Append N bytes at P to the output of R.  */
 void
 wy_agent_run_output (struct wy_run *r, const void *p, size_t n)
 {
-  size_t before = r->out->len;
+  size_t before = r->output->len;
 
-  g_byte_array_append (r->out, p, (guint)n);
-  wy_agent_run_grew (r, before);
+  g_byte_array_append (r->output, p, (guint)n);
+  wy_agent_run_output_grew (r, before);
 }
 
 static json_t *
@@ -193,7 +194,7 @@
 }
 
 static void
-tell_end (const struct wy_run *r)
+trace_end (const struct wy_run *r)
 {
   char digest[17];
 
@@ -202,12 +203,12 @@
   wy_trace_event (r->agent->trace, "run.end",
                   "{s:s, s:s, s:s, s:I, s:s, s:I, s:o}", "req", r->id, "run",
                   r->run, "result", result_names[r->result], "bytes",
-                  (json_int_t)r->out->len, "digest", digest, "tokens",
+                  (json_int_t)r->output->len, "digest", digest, "tokens",
                   (json_int_t)r->n_tokens, "segments", segments_json (r));
 }
 
-/* R has ended with RESULT; RAN is what is proven of it.  Its call, if any, is
-   over.  */
+/* End R with RESULT.  RAN is what is proven about its execution.  Its call to
+   the target, if any, must have ended.  */
 void
 wy_agent_run_end (struct wy_run *r, enum wy_run_result result, enum wy_ran ran)
 {
@@ -225,46 +226,46 @@
   g_queue_push_tail_link (&a->ended, &r->list_link);
   ++*a->n.ended[result];
   if (r->non_idempotent && ran == WY_RAN_YES)
-    wy_once_ended (a->once, r->ask.id);
+    wy_at_most_once_completed (a->once, r->at_most_once.id);
   drop_body (r);
-  wy_tokens_clear (&r->tokens);
+  wy_token_stream_clear (&r->tokens);
   g_clear_pointer (&r->blob, g_free);
-  if (r->told)
-    tell_end (r);
-  wy_agent_pump (r);
+  if (r->sent)
+    trace_end (r);
+  wy_agent_flush_run (r);
   wy_agent_dispatch_soon (a);
 }
 
-/* R has not begun and won't: tell all that follow it, for good, and forget
-   it.  */
+/* Reject R, which has not started: send the rejection to all connections
+   attached to it, and free it.  */
 void
-wy_agent_run_refuse (struct wy_run *r, enum wy_refusal_reason reason,
+wy_agent_run_reject (struct wy_run *r, enum wy_refusal_reason reason,
                      uint32_t retry_after_ms)
 {
   struct wy_agent *a = r->agent;
   struct wy_frame f = { .kind = WY_FRAME_REFUSED };
 
   f.u.refused.id = wy_bytes_of (r->id);
-  f.u.refused.ran = r->ran_before ? WY_RAN_UNKNOWN : WY_RAN_NO;
+  f.u.refused.ran = r->may_have_run_before ? WY_RAN_UNKNOWN : WY_RAN_NO;
   f.u.refused.reason = reason;
   f.u.refused.retry_after_ms = retry_after_ms;
-  if (r->non_idempotent && !r->ran_before)
+  if (r->non_idempotent && !r->may_have_run_before)
     {
-      r->ask.now_ms = wy_clock_wall_ms (a->clock);
-      wy_once_denied (a->once, &r->ask);
+      r->at_most_once.now_ms = wy_clock_wall_ms (a->clock);
+      wy_at_most_once_reported_not_run (a->once, &r->at_most_once);
     }
   wy_queue_cancel (&a->queue, &r->item, wy_agent_now_ms (a));
   ++*a->n.refused[f.u.refused.ran];
   wy_trace_event (a->trace, "run.refused", "{s:s, s:s, s:s, s:s}", "req",
                   r->id, "target", a->s->name, "ran",
-                  r->ran_before ? "unknown" : "no", "reason",
+                  r->may_have_run_before ? "unknown" : "no", "reason",
                   wy_refusal_reason_name (reason));
   for (GList *l = r->attached.head; l; l = l->next)
     wy_conn_send (((struct wy_attachment *)l->data)->link->conn, &f);
-  wy_agent_run_forget (r);
+  wy_agent_run_free (r);
 }
 
-/* Fill F with how R stands.  */
+/* Fill F, an END or OUTCOME frame, with the outcome of R so far.  */
 void
 wy_agent_run_outcome (const struct wy_run *r, enum wy_frame_kind kind,
                       struct wy_frame *f)
@@ -275,7 +276,7 @@
   f->u.end.run = wy_bytes_of (r->run);
   f->u.end.result = r->result;
   f->u.end.ran = r->ran;
-  f->u.end.total_bytes = r->out->len;
+  f->u.end.total_bytes = r->output->len;
   f->u.end.digest = XXH64_digest (r->digest);
   f->u.end.tokens = r->n_tokens;
   f->u.end.finish = wy_bytes_of (r->finish);
@@ -285,7 +286,7 @@
   f->u.end.n_segments = r->segments->len;
 }
 
-/* An entry has the whole result of R.  */
+/* Handle an acknowledgement: an entry has the complete result of R.  */
 void
 wy_agent_run_acked (struct wy_run *r)
 {
@@ -293,13 +294,13 @@
     return;
   r->acked = true;
   if (!r->non_idempotent)
-    wy_agent_run_forget (r);
+    wy_agent_run_free (r);
 }
 
-/* Tell whether R has ended and nobody is owed its result: it was acknowledged,
-   or it is none, and whoever followed has been told.  */
+/* Whether R has ended and no entry needs its result any more: it was
+   acknowledged, or there is none and the attached entries were notified.  */
 bool
-wy_agent_run_settled (const struct wy_run *r)
+wy_agent_run_is_settled (const struct wy_run *r)
 {
   if (r->phase != WY_PHASE_ENDED)
     return false;
@@ -314,24 +315,24 @@
   return a->retained_bytes >= (size_t)a->s->retained_bytes;
 }
 
-/* Drop settled results, the oldest first, while there is no room for new work.
-   Returns whether there is room now.  */
+/* Discard results that no entry needs, oldest first, until there is room for
+   new work.  Returns whether there is room.  */
 bool
-wy_agent_make_room (struct wy_agent *a)
+wy_agent_evict_results (struct wy_agent *a)
 {
   GList *next;
 
   for (GList *l = a->ended.head; l && is_full (a); l = next)
     {
       next = l->next;
-      if (wy_agent_run_settled (l->data))
-        wy_agent_run_forget (l->data);
+      if (wy_agent_run_is_settled (l->data))
+        wy_agent_run_free (l->data);
     }
   return !is_full (a);
 }
 
-/* End idempotent runs that no entry follows any more.  Non-idempotent ones run
-   to their end: what they did must be known.  */
+/* Cancel idempotent runs to which no entry is attached.  Non-idempotent ones
+   run to completion: their outcome must be known.  */
 static void
 end_orphans (struct wy_agent *a, int64_t now_ms)
 {
@@ -343,16 +344,16 @@
 
       next = l->next;
       if (r->attached.length || r->non_idempotent
-          || now_ms - r->alone_ms < a->s->orphan_grace_ms)
+          || now_ms - r->detached_ms < a->s->orphan_grace_ms)
         continue;
-      wy_agent_cancel (r);
-      wy_agent_run_forget (r);
+      wy_agent_run_cancel (r);
+      wy_agent_run_free (r);
     }
 }
 
-/* Drop results that nobody asked for in time.  */
+/* Discard results that no entry fetched within retained_ms.  */
 static void
-drop_overdue (struct wy_agent *a, int64_t now_ms)
+drop_expired (struct wy_agent *a, int64_t now_ms)
 {
   int64_t limit_ms = now_ms - a->s->retained_ms;
   GList *next;
@@ -364,18 +365,18 @@
       next = l->next;
       if (r->ended_ms > limit_ms)
         return;
-      if (r->attached.length || r->alone_ms > limit_ms)
+      if (r->attached.length || r->detached_ms > limit_ms)
         continue;
-      if (!wy_agent_run_settled (r))
+      if (!wy_agent_run_is_settled (r))
         ++*a->n.dropped;
-      wy_agent_run_forget (r);
+      wy_agent_run_free (r);
     }
 }
 
-/* Let go of what nobody wants any more.  */
+/* Cancel orphaned runs and discard expired results.  */
 void
 wy_agent_runs_sweep (struct wy_agent *a, int64_t now_ms)
 {
   end_orphans (a, now_ms);
-  drop_overdue (a, now_ms);
+  drop_expired (a, now_ms);
 }
--- a/src/agent/run_model.c
+++ b/src/agent/run_model.c
@@ -1,7 +1,8 @@
-/* Runs at a model engine.
+/* Runs on a model engine.
 
-   The engine's event stream is passed on as it comes.  A stream that breaks
-   off is a crash: the engine died, or all that is known of it is lost.  */
+   The engine's event stream is forwarded as it arrives.  A stream that breaks
+   off counts as a crash: either the engine failed or its state of the run is
+   lost.  */
 #include "agent/run_model.h"
 
 #include <stdlib.h>
@@ -20,7 +21,7 @@
   STATUS_OK = 200
 };
 
-/* Tell whether the body of S is a JSON object, which an engine wants.  */
+/* Whether the body of S is a JSON object, as engines require.  */
 bool
 wy_agent_model_check (const struct wy_frame_submit *s)
 {
@@ -34,7 +35,7 @@
 static void
 on_sending (void *ctx)
 {
-  wy_agent_run_told (ctx);
+  wy_agent_run_sent (ctx);
 }
 
 static void
@@ -47,10 +48,10 @@
     wy_agent_run_head (r, status, headers, n);
 }
 
-/* The stream makes no sense any more.  What was passed on of it is true, the
-   rest isn't to be had.  */
+/* End R after a malformed event.  What was forwarded so far is valid; the rest
+   is lost.  */
 static void
-spoiled (struct wy_run *r, int err)
+fail_malformed (struct wy_run *r, int err)
 {
   wy_log (WY_LOG_WARN, "run.spoiled", "run=%s err=%d tokens=%u", r->run, err,
           r->tokens.n);
@@ -64,7 +65,7 @@
 on_data (void *ctx, const char *p, size_t n)
 {
   struct wy_run *r = ctx;
-  size_t before = r->out->len;
+  size_t before = r->output->len;
   int err;
 
   if (r->status != STATUS_OK)
@@ -72,19 +73,19 @@
       wy_agent_run_output (r, p, n);
       return;
     }
-  err = wy_tokens_feed (&r->tokens, p, n, r->out);
+  err = wy_token_stream_feed (&r->tokens, p, n, r->output);
   r->n_tokens = r->tokens.n;
   wy_queue_progress (&r->agent->queue, &r->item, r->n_tokens,
                      wy_agent_now_ms (r->agent));
-  wy_agent_run_grew (r, before);
+  wy_agent_run_output_grew (r, before);
   if (err)
-    spoiled (r, err);
+    fail_malformed (r, err);
 }
 
 static void
-take_segments (struct wy_run *r)
+set_segments (struct wy_run *r)
 {
-  const struct wy_tokens *t = &r->tokens;
+  const struct wy_token_stream *t = &r->tokens;
   bool same_engine = !g_strcmp0 (r->target_inc, r->agent->target.incarnation);
 
   r->finish = g_strdup (t->finish);
@@ -93,7 +94,8 @@
       r->segments = g_array_ref (t->segments);
       return;
     }
-  /* The versions of this sample can't be proven: it must not be used.  */
+  /* The weight versions of this sample aren't proven, so it must not be
+     used.  */
   ++*r->agent->n.unproven;
   wy_log (WY_LOG_WARN, "run.unproven", "run=%s engine=%s", r->run,
           same_engine ? "same" : "changed");
@@ -104,11 +106,11 @@
 {
   bool cancelled = !strcmp (r->tokens.finish, "cancelled");
 
-  take_segments (r);
+  set_segments (r);
   wy_agent_run_end (r, cancelled ? WY_RUN_CANCELLED : WY_RUN_DONE, WY_RAN_YES);
 }
 
-/* The engine refused the run, or the stream has ended.  */
+/* The engine rejected the run, or its event stream has ended.  */
 static void
 on_end (void *ctx, int err)
 {
@@ -117,7 +119,7 @@
   r->call = NULL;
   if (r->tokens.exported)
     {
-      /* Goes on when the queue says so, see wy_agent_model_import.  */
+      /* Resumed by the queue, see wy_agent_model_import.  */
       r->tokens.exported = false;
       return;
     }
@@ -125,20 +127,20 @@
     wy_agent_run_end (r, WY_RUN_FAILED, WY_RAN_UNKNOWN);
   else if (r->tokens.done)
     finish (r);
-  else if (err == WY_HTTP_ECONNECT && !r->told)
+  else if (err == WY_HTTP_ECONNECT && !r->sent)
     {
       struct wy_agent *a = r->agent;
 
-      wy_agent_run_refuse (r, WY_REFUSED_BUSY, WY_AGENT_RETRY_MS);
-      wy_agent_target_doubt (a);
+      wy_agent_run_reject (r, WY_REFUSED_BUSY, WY_AGENT_RETRY_MS);
+      wy_agent_target_recheck (a);
     }
   else
-    wy_agent_model_lost (r);
+    wy_agent_model_crashed (r);
 }
 
-/* The engine died while it ran R, or is gone for R.  */
+/* End R as crashed: the engine failed while it ran R, or lost its state.  */
 void
-wy_agent_model_lost (struct wy_run *r)
+wy_agent_model_crashed (struct wy_run *r)
 {
   struct wy_agent *a = r->agent;
 
@@ -146,11 +148,11 @@
     wy_http_call_cancel (r->call);
   r->call = NULL;
   wy_agent_run_end (r, WY_RUN_CRASHED, WY_RAN_UNKNOWN);
-  wy_agent_target_doubt (a);
+  wy_agent_target_recheck (a);
 }
 
 static void
-stream (struct wy_run *r, const char *path, json_t *body)
+start_stream (struct wy_run *r, const char *path, json_t *body)
 {
   const struct wy_agent_settings *s = r->agent->s;
   char *text = json_dumps (body, JSON_COMPACT);
@@ -169,28 +171,28 @@
                                     .on_end = on_end,
                                     .ctx = r };
 
-  r->heard_ms = wy_agent_now_ms (r->agent);
+  r->last_received_ms = wy_agent_now_ms (r->agent);
   r->call = wy_http_call_start (r->agent->client, &o);
   free (text);
   json_decref (body);
 }
 
-/* Hand R to the engine.  The run's identifier is the engine's request
-   identifier, so that a request that is sent again after a crash or a cancel
-   can't be taken for the one before.  */
+/* Send R to the engine.  The run identifier is used as the engine's request
+   identifier, so that a request sent again after a crash or a cancellation
+   isn't mistaken for the earlier run.  */
 void
 wy_agent_model_start (struct wy_run *r)
 {
   json_t *body
       = json_loadb ((const char *)r->body->data, r->body->len, 0, NULL);
 
-  wy_tokens_init (&r->tokens, r->run);
+  wy_token_stream_init (&r->tokens, r->run);
   json_object_set_new (body, "request_id", json_string (r->run));
   json_object_set_new (body, "run", json_string (r->run));
-  stream (r, "/v1/completions", body);
+  start_stream (r, "/v1/completions", body);
 }
 
-/* Let R stop generating; its KV memory stays.  */
+/* Pause R.  Its KV memory stays in the engine.  */
 void
 wy_agent_model_pause (struct wy_run *r)
 {
@@ -199,16 +201,16 @@
   wy_agent_control (r, "/control/pause");
 }
 
-/* Let R generate again.  */
+/* Resume R after a pause.  */
 void
 wy_agent_model_resume (struct wy_run *r)
 {
-  r->heard_ms = wy_agent_now_ms (r->agent);
+  r->last_received_ms = wy_agent_now_ms (r->agent);
   wy_trace_event (r->agent->trace, "run.resumed", "{s:s}", "run", r->run);
   wy_agent_control (r, "/control/resume");
 }
 
-/* Tell the engine that nobody wants R.  */
+/* Cancel R on the engine.  */
 void
 wy_agent_model_cancel (struct wy_run *r)
 {
@@ -218,48 +220,50 @@
 static void
 on_exported (struct wy_run *r, const char *blob)
 {
-  r->moving = false;
+  r->exporting = false;
   if (r->phase == WY_PHASE_ENDED)
     return;
   if (!blob)
     {
-      /* Ended in the same moment, or the engine is gone: its stream
-         tells.  A stream that ended by the export alone is lost.  */
+      /* R ended at the same moment or the engine has failed; its stream shows
+         which.  If the stream has already ended because of the export, R is
+         lost.  */
       if (!r->call)
-        wy_agent_model_lost (r);
+        wy_agent_model_crashed (r);
       return;
     }
   g_free (r->blob);
   r->blob = g_strdup (blob);
-  if (!r->start_after_move)
+  if (!r->import_after_export)
     return;
-  r->start_after_move = false;
+  r->import_after_export = false;
   wy_agent_model_import (r);
 }
 
-/* Take the KV memory of R out of the engine; it goes on by an import.  */
+/* Export R from the engine, which frees its KV memory.  It is resumed by
+   wy_agent_model_import.  */
 void
 wy_agent_model_export (struct wy_run *r)
 {
   ++*r->agent->n.moved;
   wy_trace_event (r->agent->trace, "run.paused", "{s:s}", "run", r->run);
-  r->moving = true;
+  r->exporting = true;
   wy_agent_control_export (r, on_exported);
 }
 
-/* Go on with R from its exported state, as soon as that is here.  */
+/* Resume R from its exported state, as soon as that has arrived.  */
 void
 wy_agent_model_import (struct wy_run *r)
 {
   json_t *body;
 
-  if (r->moving || !r->blob)
+  if (r->exporting || !r->blob)
     {
-      r->start_after_move = true;
+      r->import_after_export = true;
       return;
     }
   body = json_pack ("{s:s, s:s}", "blob", r->blob, "request_id", r->run);
   g_clear_pointer (&r->blob, g_free);
   wy_trace_event (r->agent->trace, "run.resumed", "{s:s}", "run", r->run);
-  stream (r, "/control/import", body);
+  start_stream (r, "/control/import", body);
 }
--- a/src/agent/run_model.h
+++ b/src/agent/run_model.h
@@ -1,4 +1,4 @@
-/* Runs at a model engine.  */
+/* Runs on a model engine.  */
 #ifndef WY_AGENT_RUN_MODEL_H
 #define WY_AGENT_RUN_MODEL_H
 
@@ -11,6 +11,6 @@
 void wy_agent_model_cancel (struct wy_run *r);
 void wy_agent_model_export (struct wy_run *r);
 void wy_agent_model_import (struct wy_run *r);
-void wy_agent_model_lost (struct wy_run *r);
+void wy_agent_model_crashed (struct wy_run *r);
 
 #endif
--- a/src/agent/run_service.c
+++ b/src/agent/run_service.c
@@ -1,5 +1,5 @@
-/* Runs at a plain service: method, path, headers and body go through as they
-   came, and so does the answer.  */
+/* Runs on a plain service: method, path, headers and body of the request and
+   the response are forwarded unchanged.  */
 #include "agent/run_service.h"
 
 #include <string.h>
@@ -16,25 +16,26 @@
   HEADERS_MAX = 128
 };
 
-/* Headers that concern one connection, or that are written anew here.  */
-static const char *const own_headers[]
+/* Headers that apply to one connection or are set by this hop.  */
+static const char *const connection_headers[]
     = { "connection",     "keep-alive", "te",   "trailer",
         "upgrade",        "expect",     "host", "transfer-encoding",
         "content-length", NULL };
 
 static bool
-is_own (const char *name)
+is_connection_header (const char *name)
 {
-  for (size_t i = 0; own_headers[i]; i++)
-    if (!g_ascii_strcasecmp (name, own_headers[i]))
+  for (size_t i = 0; connection_headers[i]; i++)
+    if (!g_ascii_strcasecmp (name, connection_headers[i]))
       return true;
   return false;
 }
 
-/* Text that stays on its line.  A line break in a value would let a caller
-   add headers, or a second request, of its own.  */
+/* Whether B contains no line break or other control character, and no space
+   unless SPACES.  A line break in a value would let a caller inject headers or
+   a second request.  */
 static bool
-is_line (struct wy_bytes b, bool spaces)
+is_single_line (struct wy_bytes b, bool spaces)
 {
   for (uint32_t i = 0; i < b.n; i++)
     {
@@ -57,17 +58,18 @@
   return b.n > 0;
 }
 
-/* Tell whether S can be written as an HTTP request.  */
+/* Whether S can be sent as a valid HTTP request.  */
 bool
 wy_agent_service_check (const struct wy_frame_submit *s)
 {
   if (!is_token (s->method) || s->method.n > METHOD_LIMIT_BYTES)
     return false;
-  if (s->path.n == 0 || s->path.p[0] != '/' || !is_line (s->path, false)
+  if (s->path.n == 0 || s->path.p[0] != '/' || !is_single_line (s->path, false)
       || s->path.n > PATH_LIMIT_BYTES || s->n_headers > HEADERS_MAX)
     return false;
   for (uint32_t i = 0; i < s->n_headers; i++)
-    if (!is_token (s->headers[i].name) || !is_line (s->headers[i].value, true))
+    if (!is_token (s->headers[i].name)
+        || !is_single_line (s->headers[i].value, true))
       return false;
   return true;
 }
@@ -75,7 +77,7 @@
 static void
 on_sending (void *ctx)
 {
-  wy_agent_run_told (ctx);
+  wy_agent_run_sent (ctx);
 }
 
 static void
@@ -91,9 +93,10 @@
   wy_agent_run_output (ctx, p, n);
 }
 
-/* The service is gone, or silent, in the middle of R: it may have run.  */
+/* End R as crashed: the service failed or stopped responding.  R may have
+   run.  */
 void
-wy_agent_service_lost (struct wy_run *r)
+wy_agent_service_crashed (struct wy_run *r)
 {
   struct wy_agent *a = r->agent;
 
@@ -101,7 +104,7 @@
     wy_http_call_cancel (r->call);
   r->call = NULL;
   wy_agent_run_end (r, WY_RUN_CRASHED, WY_RAN_UNKNOWN);
-  wy_agent_target_doubt (a);
+  wy_agent_target_recheck (a);
 }
 
 static void
@@ -114,16 +117,16 @@
   if (!err && r->status)
     wy_agent_run_end (
         r, r->status < SERVER_ERROR ? WY_RUN_DONE : WY_RUN_FAILED, WY_RAN_YES);
-  else if (err == WY_HTTP_ECONNECT && !r->told)
+  else if (err == WY_HTTP_ECONNECT && !r->sent)
     {
-      wy_agent_run_refuse (r, WY_REFUSED_BUSY, WY_AGENT_RETRY_MS);
-      wy_agent_target_doubt (a);
+      wy_agent_run_reject (r, WY_REFUSED_BUSY, WY_AGENT_RETRY_MS);
+      wy_agent_target_recheck (a);
     }
   else
-    wy_agent_service_lost (r);
+    wy_agent_service_crashed (r);
 }
 
-/* Hand R to the service.  */
+/* Send R to the service.  */
 void
 wy_agent_service_start (struct wy_run *r)
 {
@@ -146,13 +149,14 @@
     {
       const char *name = r->headers->pdata[i];
 
-      if (is_own (name) || !g_ascii_strcasecmp (name, "waxwing-request-id"))
+      if (is_connection_header (name)
+          || !g_ascii_strcasecmp (name, "waxwing-request-id"))
         continue;
       pairs[o.n_headers].name = name;
       pairs[o.n_headers++].value = r->headers->pdata[i + 1];
     }
   pairs[o.n_headers].name = "Waxwing-Request-Id";
   pairs[o.n_headers++].value = r->id;
-  r->heard_ms = wy_agent_now_ms (r->agent);
+  r->last_received_ms = wy_agent_now_ms (r->agent);
   r->call = wy_http_call_start (r->agent->client, &o);
 }
--- a/src/agent/settings.c
+++ b/src/agent/settings.c
@@ -1,4 +1,4 @@
-/* The table of an agent's settings, with the reason for each default.  */
+/* Table of an agent's settings, with the reasons for the defaults.  */
 #include "agent/settings.h"
 
 static const char *const log_levels[]
@@ -38,16 +38,16 @@
   TEXT (weights_url, "", "host:port of the weight store"),
   TEXT (key_1, NULL, "shared key, NUMBER:SECRET, proved to others"),
   TEXT (key_2, "", "second shared key, accepted as well"),
-  /* The same as of entries: four heartbeats fit into the silence limit.  */
+  /* Same as for entries: four heartbeats fit into the silence limit.  */
   NUMBER (heartbeat_ms, "250", 10, 60000, "ms",
           "time between two heartbeats to an entry"),
   NUMBER (silence_limit_ms, "1000", 50, 600000, "ms",
           "a connection silent for so long is closed"),
   NUMBER (handshake_timeout_ms, "1000", 50, 600000, "ms",
           "time an entry has to prove its key"),
-  /* An entry that takes less than it asked for is cut, and resumes.  Results
-     are sent in parts far below the limit, so only a peer that stopped
-     reading gets there.  */
+  /* An entry that reads too slowly is disconnected, and resumes.  Results are
+     sent in chunks far below the limit, so only a peer that has stopped
+     reading reaches it.  */
   NUMBER (send_limit_bytes, "8388608", 1048576, 1e9, "bytes",
           "unsent bytes held for one entry before it is cut"),
   NUMBER (concurrency, "0", 0, 4096, NULL,
@@ -56,13 +56,13 @@
           "the same while callers wait; 0: as the queue's own default"),
   NUMBER (kv_tokens, "0", 0, 4e9, "tokens",
           "KV memory of the engine; 0: what it reports"),
-  /* Results of a minute's outage of all entries at 1 MB a second.  */
+  /* Results of one minute at 1 MB/s while all entries are down.  */
   NUMBER (retained_bytes, "67108864", 65536, 1e11, "bytes",
           "results kept until acknowledged; new work is refused above"),
   NUMBER (retained_ms, "300000", 100, 86400000, "ms",
           "a result that nobody asked for is kept so long"),
-  /* Longer than an entry takes to dial again, shorter than what would be a
-     waste of the engine.  */
+  /* Longer than an entry takes to reconnect, and short enough not to waste
+     much engine time.  */
   NUMBER (orphan_grace_ms, "10000", 50, 3600000, "ms",
           "an idempotent request that no entry asks for ends after this"),
   NUMBER (drain_deadline_ms, "60000", 0, 3600000, "ms",
@@ -71,7 +71,7 @@
           "largest difference between the clocks of two instances"),
   NUMBER (cold_window_ms, "900000", 0, 86400000, "ms",
           "so long after its start keys without issue time are unknown"),
-  /* One hour of store outage, and a quarter more to learn of its end.  */
+  /* One hour of store outage, and 15 minutes to learn of its end.  */
   NUMBER (roster_trust_ms, "4500000", 1000, 86400000, "ms",
           "so long after it was confirmed the list of members is trusted"),
   NUMBER (remembered_ids, "131072", 16, 1e8, NULL,
--- a/src/agent/submit.c
+++ b/src/agent/submit.c
@@ -1,4 +1,5 @@
-/* Frames of entries about requests: admission, resume, cancel, outcome.  */
+/* Handles frames from entries about requests: submission, resume, cancellation
+   and outcome.  */
 #include "agent/submit.h"
 
 #include <string.h>
@@ -15,8 +16,8 @@
   HASH_SEED = 0
 };
 
-/* The answer to a sending that isn't kept.  */
-struct refusal
+/* Rejection of an attempt.  */
+struct rejection
 {
   enum wy_refusal_reason reason;
   enum wy_ran ran;
@@ -24,7 +25,7 @@
 };
 
 static void
-refuse (struct wy_link *l, struct wy_bytes id, const struct refusal *r)
+reject (struct wy_link *l, struct wy_bytes id, const struct rejection *r)
 {
   struct wy_agent *a = l->agent;
   static const char *const ran_names[] = { "no", "unknown", "yes" };
@@ -44,7 +45,7 @@
 }
 
 static void
-accept_run (struct wy_link *l, struct wy_run *r)
+send_accepted (struct wy_link *l, struct wy_run *r)
 {
   struct wy_frame f = { .kind = WY_FRAME_ACCEPTED };
 
@@ -53,15 +54,15 @@
   wy_conn_send (l->conn, &f);
 }
 
-/* Whether the service of S has its home here.  */
+/* Set the members of ATTEMPT that depend on the home of request ID.  */
 static void
 find_home (const struct wy_agent *a, const struct wy_frame_submit *s,
-           const char *id, struct wy_once_ask *ask)
+           const char *id, struct wy_at_most_once_attempt *attempt)
 {
   const struct wy_service_config *c
       = a->document ? wy_document_service (a->document, a->s->target_name)
                     : NULL;
-  int64_t issued_ms = s->issued_ms ? s->issued_ms : ask->now_ms;
+  int64_t issued_ms = s->issued_ms ? s->issued_ms : attempt->now_ms;
   const char *now;
   const char *before;
 
@@ -69,67 +70,70 @@
     return;
   now = wy_service_home (c, id, issued_ms);
   before = wy_service_previous_home (c, id);
-  ask->home = now && !strcmp (now, a->s->name);
-  ask->moved = before && (!now || strcmp (now, before) != 0);
-  ask->effective_ms = c->effective_ms;
+  attempt->is_home = now && !strcmp (now, a->s->name);
+  attempt->home_changed = before && (!now || strcmp (now, before) != 0);
+  attempt->effective_ms = c->effective_ms;
 }
 
 static void
-make_ask (const struct wy_agent *a, const struct wy_frame_submit *s,
-          struct wy_once_ask *ask)
+make_attempt (const struct wy_agent *a, const struct wy_frame_submit *s,
+              struct wy_at_most_once_attempt *attempt)
 {
   char *id = wy_bytes_dup (s->id);
 
-  memset (ask, 0, sizeof *ask);
-  ask->id = wy_hash64 (s->id.p, s->id.n, HASH_SEED);
-  ask->issued_ms = s->issued_ms;
-  ask->sent_ms = s->sent_ms;
-  ask->now_ms = wy_clock_wall_ms (a->clock);
-  ask->config_confirmed_ms = wy_config_feed_confirmed_ms (a->feed);
-  find_home (a, s, id, ask);
+  memset (attempt, 0, sizeof *attempt);
+  attempt->id = wy_hash64 (s->id.p, s->id.n, HASH_SEED);
+  attempt->issued_ms = s->issued_ms;
+  attempt->sent_ms = s->sent_ms;
+  attempt->now_ms = wy_clock_wall_ms (a->clock);
+  attempt->config_confirmed_ms = wy_config_feed_confirmed_ms (a->feed);
+  find_home (a, s, id, attempt);
   g_free (id);
 }
 
 static enum wy_refusal_reason
-reason_of (enum wy_once_verdict v)
+reason_of (enum wy_at_most_once_verdict v)
 {
   switch (v)
     {
-    case WY_ONCE_SEEN:
+    case WY_AT_MOST_ONCE_DUPLICATE:
       return WY_REFUSED_LOST;
-    case WY_ONCE_TOO_OLD:
+    case WY_AT_MOST_ONCE_TOO_OLD:
       return WY_REFUSED_TOO_OLD;
-    case WY_ONCE_TOO_NEW:
+    case WY_AT_MOST_ONCE_TOO_NEW:
       return WY_REFUSED_TOO_NEW;
-    case WY_ONCE_NOT_HOME:
+    case WY_AT_MOST_ONCE_NOT_HOME:
       return WY_REFUSED_NOT_HOME;
-    case WY_ONCE_NO_CONFIG:
+    case WY_AT_MOST_ONCE_NO_CONFIG:
       return WY_REFUSED_NO_CONFIG;
-    case WY_ONCE_RUN:
-    case WY_ONCE_AGAIN:
+    case WY_AT_MOST_ONCE_RUN:
+    case WY_AT_MOST_ONCE_DELAYED:
       break;
     }
   return WY_REFUSED_BUSY;
 }
 
-/* Judge a non-idempotent sending.  False when it is refused, as OUT says.  */
+/* Check the attempt to run a non-idempotent request.  Returns false if it is
+   rejected, with the reason in OUT.  */
 static bool
-may_run_once (struct wy_agent *a, const struct wy_once_ask *ask,
-              struct refusal *out)
+check_at_most_once (struct wy_agent *a,
+                    const struct wy_at_most_once_attempt *attempt,
+                    struct rejection *out)
 {
-  struct wy_once_answer v = wy_once_ask (a->once, ask);
+  struct wy_at_most_once_decision v = wy_at_most_once_check (a->once, attempt);
 
   out->ran = v.not_run ? WY_RAN_NO : WY_RAN_UNKNOWN;
-  if (v.verdict == WY_ONCE_RUN)
+  if (v.verdict == WY_AT_MOST_ONCE_RUN)
     return true;
   out->reason = reason_of (v.verdict);
-  if (v.verdict == WY_ONCE_SEEN && wy_once_has_ended (a->once, ask->id))
+  if (v.verdict == WY_AT_MOST_ONCE_DUPLICATE
+      && wy_at_most_once_has_completed (a->once, attempt->id))
     out->ran = WY_RAN_YES;
-  if (v.verdict == WY_ONCE_AGAIN)
-    /* From then on a sending is known to be a later one.  */
+  if (v.verdict == WY_AT_MOST_ONCE_DELAYED)
+    /* An attempt sent after this time is known to be a later one.  */
     out->retry_after_ms = 2 * (uint32_t)a->s->clock_skew_ms;
   if (v.not_run)
-    wy_once_denied (a->once, ask);
+    wy_at_most_once_reported_not_run (a->once, attempt);
   return false;
 }
 
@@ -140,10 +144,10 @@
          && s->is_model == (a->s->target_kind == WY_TARGET_MODEL);
 }
 
-/* What keeps a request that may run from being queued; 0: nothing.  It has
-   not run.  */
+/* Return the reason to reject a request before it is queued, or 0.  It has not
+   run.  */
 static enum wy_refusal_reason
-obstacle (struct wy_agent *a, const struct wy_frame_submit *s)
+reject_reason (struct wy_agent *a, const struct wy_frame_submit *s)
 {
   if (!is_served (a, s))
     return WY_REFUSED_UNKNOWN_NAME;
@@ -156,101 +160,102 @@
   if (s->is_model
       && (!a->target.version || s->min_version > a->target.version))
     return WY_REFUSED_VERSION;
-  if (!wy_agent_make_room (a))
+  if (!wy_agent_evict_results (a))
     return WY_REFUSED_FULL;
   return 0;
 }
 
-/* A sending of a request that is known here.  True when nothing more is to be
-   done for it.  */
+/* Handle an attempt of a request whose run R is known.  Returns true if
+   nothing is left to do.  */
 static bool
-known (struct wy_link *l, struct wy_run *r, const struct wy_frame_submit *s,
-       struct refusal *no)
+join_run (struct wy_link *l, struct wy_run *r, const struct wy_frame_submit *s,
+          struct rejection *rejection)
 {
-  struct refusal reused = { WY_REFUSED_BAD_REQUEST, WY_RAN_UNKNOWN, 0 };
+  struct rejection reused = { WY_REFUSED_BAD_REQUEST, WY_RAN_UNKNOWN, 0 };
 
   if (s->fingerprint != r->fingerprint)
     {
-      refuse (l, s->id, &reused);
+      reject (l, s->id, &reused);
       return true;
     }
-  /* An idempotent run that came to nothing may be tried here again.  */
+  /* An idempotent run without a usable result may be retried here.  */
   if (r->phase == WY_PHASE_ENDED && !r->non_idempotent
       && r->result != WY_RUN_DONE && s->attempt > r->attempt)
     {
-      if (r->told || r->ran_before)
-        no->ran = WY_RAN_UNKNOWN;
-      wy_agent_run_forget (r);
+      if (r->sent || r->may_have_run_before)
+        rejection->ran = WY_RAN_UNKNOWN;
+      wy_agent_run_free (r);
       return false;
     }
   ++*l->agent->n.attached;
-  accept_run (l, r);
+  send_accepted (l, r);
   wy_agent_attach (r, l, 0);
   return true;
 }
 
-/* Take in a request.  */
+/* Handle a SUBMIT frame.  */
 void
 wy_agent_submit (struct wy_link *l, const struct wy_frame_submit *s)
 {
   struct wy_agent *a = l->agent;
   struct wy_run *r = wy_agent_run_find (a, s->id);
-  struct refusal no = { 0, WY_RAN_NO, WY_AGENT_RETRY_MS };
-  struct wy_once_ask ask;
+  struct rejection rejection = { 0, WY_RAN_NO, WY_AGENT_RETRY_MS };
+  struct wy_at_most_once_attempt attempt;
 
   ++*a->n.submitted;
-  if (r && known (l, r, s, &no))
+  if (r && join_run (l, r, s, &rejection))
     return;
-  make_ask (a, s, &ask);
-  if (s->non_idempotent && !may_run_once (a, &ask, &no))
+  make_attempt (a, s, &attempt);
+  if (s->non_idempotent && !check_at_most_once (a, &attempt, &rejection))
     {
-      refuse (l, s->id, &no);
+      reject (l, s->id, &rejection);
       return;
     }
-  no.reason = obstacle (a, s);
-  if (no.reason)
+  rejection.reason = reject_reason (a, s);
+  if (rejection.reason)
     {
-      if (s->non_idempotent && no.ran == WY_RAN_NO)
-        wy_once_denied (a->once, &ask);
-      refuse (l, s->id, &no);
+      if (s->non_idempotent && rejection.ran == WY_RAN_NO)
+        wy_at_most_once_reported_not_run (a->once, &attempt);
+      reject (l, s->id, &rejection);
       return;
     }
   r = wy_agent_run_new (a, s);
-  r->ask = ask;
-  r->ran_before = no.ran != WY_RAN_NO;
-  accept_run (l, r);
+  r->at_most_once = attempt;
+  r->may_have_run_before = rejection.ran != WY_RAN_NO;
+  send_accepted (l, r);
   wy_agent_attach (r, l, 0);
-  wy_agent_offer (r, s);
+  wy_agent_enqueue (r, s);
 }
 
-/* Let an entry follow a run from an offset on.  What isn't known here may
-   have been: an earlier incarnation, or a result that was dropped.  */
+/* Handle a RESUME frame: attach the entry to the run from an offset on.  An
+   unknown run may have been accepted by an earlier incarnation, or its result
+   may have been discarded.  */
 void
 wy_agent_resume (struct wy_link *l, const struct wy_frame_resume *f)
 {
   struct wy_agent *a = l->agent;
   struct wy_run *r = wy_agent_run_find (a, f->id);
-  struct refusal lost = { WY_REFUSED_LOST, WY_RAN_UNKNOWN, 0 };
+  struct rejection lost = { WY_REFUSED_LOST, WY_RAN_UNKNOWN, 0 };
 
-  if (!r || f->offset_bytes > r->out->len
+  if (!r || f->offset_bytes > r->output->len
       || (f->run.n && !wy_bytes_equal (f->run, r->run)))
     {
       if (!r
-          && wy_once_has_ended (a->once,
-                                wy_hash64 (f->id.p, f->id.n, HASH_SEED)))
+          && wy_at_most_once_has_completed (
+              a->once, wy_hash64 (f->id.p, f->id.n, HASH_SEED)))
         lost.ran = WY_RAN_YES;
-      refuse (l, f->id, &lost);
+      reject (l, f->id, &lost);
       return;
     }
   ++*a->n.resumed;
-  accept_run (l, r);
+  send_accepted (l, r);
   wy_agent_attach (r, l, f->offset_bytes);
 }
 
-/* An entry wants a request no more.  One that another entry still follows
-   goes on.  */
+/* Handle a CANCEL frame.  A run to which another entry is attached
+   continues.  */
 void
-wy_agent_cancelled (struct wy_link *l, const struct wy_frame_resume *f)
+wy_agent_cancel (struct wy_link *l, const struct wy_frame_resume *f)
 {
   struct wy_run *r = wy_agent_run_find (l->agent, f->id);
 
@@ -259,10 +264,10 @@
   for (GList *i = r->attached.head; i; i = i->next)
     if (((struct wy_attachment *)i->data)->link != l)
       return;
-  wy_agent_cancel (r);
+  wy_agent_run_cancel (r);
 }
 
-/* Tell what became of a request.  */
+/* Handle a QUERY frame: send the outcome of the request.  */
 void
 wy_agent_query (struct wy_link *l, const struct wy_frame_resume *f)
 {
@@ -276,8 +281,9 @@
   else
     {
       out.u.end.id = f->id;
-      out.u.end.ran
-          = wy_once_has_ended (a->once, id) ? WY_RAN_YES : WY_RAN_UNKNOWN;
+      out.u.end.ran = wy_at_most_once_has_completed (a->once, id)
+                          ? WY_RAN_YES
+                          : WY_RAN_UNKNOWN;
     }
   wy_conn_send (l->conn, &out);
 }
--- a/src/agent/submit.h
+++ b/src/agent/submit.h
@@ -1,4 +1,4 @@
-/* Frames of entries about requests.  */
+/* Handles frames from entries about requests.  */
 #ifndef WY_AGENT_SUBMIT_H
 #define WY_AGENT_SUBMIT_H
 
@@ -6,7 +6,7 @@
 
 void wy_agent_submit (struct wy_link *l, const struct wy_frame_submit *s);
 void wy_agent_resume (struct wy_link *l, const struct wy_frame_resume *f);
-void wy_agent_cancelled (struct wy_link *l, const struct wy_frame_resume *f);
+void wy_agent_cancel (struct wy_link *l, const struct wy_frame_resume *f);
 void wy_agent_query (struct wy_link *l, const struct wy_frame_resume *f);
 
 #endif
--- a/src/agent/target.c
+++ b/src/agent/target.c
@@ -1,17 +1,18 @@
-/* The target beside the agent: whether it is up, and what it reports.
+/* Tracks the state of the target: whether it is up, and what it reports.
 
    An engine that restarts comes up with old weights, at the same address and
-   within a second.  Nothing is handed to a target that broke a connection
-   until it has been asked anew, and a changed incarnation is told and its
-   version read before the queue goes on.  */
+   within a second.  So nothing is sent to a target after a connection to it
+   broke until it has responded to a poll, and when its incarnation has
+   changed, this is announced and the weight version is read before the queue
+   continues.  */
 #include "agent/target.h"
 
 #include <string.h>
 
 #include <jansson.h>
 
-#include "agent/prefix_cache.h"
 #include "agent/dispatch.h"
+#include "agent/prefix_cache.h"
 #include "agent/probe.h"
 #include "agent/run.h"
 #include "agent/run_model.h"
@@ -22,15 +23,16 @@
 enum
 {
   POLL_TIMEOUT_MS = 2000,
-  /* Polls in a row without an answer before the target counts as down.  One
-     that was merely slow isn't worth losing its queue for.  */
+  /* Consecutive failed polls before the target counts as down.  A target that
+     is merely slow shouldn't lose its queue.  */
   FAILURES_MAX = 3,
   STATUS_OK = 200
 };
 
-/* VERSION is in force at the target, and STAGED lies ready.  */
+/* Record the weight version in force on the target, and the staged one.  */
 void
-wy_agent_target_version (struct wy_agent *a, int64_t version, int64_t staged)
+wy_agent_target_set_version (struct wy_agent *a, int64_t version,
+                             int64_t staged)
 {
   struct wy_target *t = &a->target;
 
@@ -45,7 +47,7 @@
 }
 
 static void
-up (struct wy_agent *a, const char *incarnation)
+set_up (struct wy_agent *a, const char *incarnation)
 {
   struct wy_target *t = &a->target;
   bool changed = g_strcmp0 (t->incarnation, incarnation) != 0;
@@ -68,7 +70,8 @@
   *a->n.target_up = 1;
   wy_log (WY_LOG_INFO, "target.up", "target=%s incarnation=%s", a->s->name,
           incarnation);
-  /* Told of a leaving target it would read as the end of the leaving.  */
+  /* While the target is leaving, this event would mean that it has stopped
+     leaving.  */
   if (!a->leaving)
     wy_trace_event (a->trace, "target.up", "{s:s, s:s}", "target", a->s->name,
                     "target_inc", incarnation);
@@ -76,7 +79,7 @@
 }
 
 static void
-down (struct wy_agent *a)
+set_down (struct wy_agent *a)
 {
   struct wy_target *t = &a->target;
 
@@ -90,7 +93,7 @@
     }
   t->state = WY_TARGET_DOWN;
   *a->n.target_up = 0;
-  wy_agent_refuse_waiting (a, WY_REFUSED_BUSY, true);
+  wy_agent_reject_waiting (a, WY_REFUSED_BUSY, true);
 }
 
 static int64_t
@@ -100,10 +103,10 @@
 }
 
 static bool
-take_load (struct wy_agent *a, const struct wy_http_response *answer)
+read_load (struct wy_agent *a, const struct wy_http_response *response)
 {
   struct wy_target *t = &a->target;
-  json_t *body = json_loadb (answer->body, answer->size_bytes, 0, NULL);
+  json_t *body = json_loadb (response->body, response->size_bytes, 0, NULL);
   const char *incarnation
       = json_string_value (json_object_get (body, "incarnation"));
 
@@ -115,42 +118,42 @@
       t->running = (uint32_t)number (body, "running");
       if (!a->s->kv_tokens && t->kv_total > 0 && t->kv_total <= UINT32_MAX)
         a->queue.o.kv_tokens_max = (uint32_t)t->kv_total;
-      up (a, incarnation);
-      /* Load reports lag.  One from before an order was carried out names the
-         version before; taken for true, the target would seem to fall back,
-         and be left out of placement or swapped again.  */
+      set_up (a, incarnation);
+      /* Load reports are delayed.  One from before the last order names the
+         old version; if it were used, the target would seem to have gone back,
+         and would be omitted from placement or swapped again.  */
       if (t->as_of_ms >= t->ordered_ms)
-        wy_agent_target_version (a, number (body, "version"),
-                                 number (body, "staged"));
+        wy_agent_target_set_version (a, number (body, "version"),
+                                     number (body, "staged"));
     }
   json_decref (body);
   return incarnation != NULL;
 }
 
 static void
-polled (struct wy_agent *a, bool ok, bool refused)
+poll_done (struct wy_agent *a, bool ok, bool refused)
 {
   struct wy_target *t = &a->target;
 
   t->polling = false;
   if (!ok && (refused || ++t->failures >= FAILURES_MAX))
-    down (a);
+    set_down (a);
   if (ok)
-    wy_agent_cache_poll (a);
+    wy_agent_prefix_cache_poll (a);
 }
 
 static void
-on_load (void *ctx, const struct wy_http_response *answer)
+on_load (void *ctx, const struct wy_http_response *response)
 {
   struct wy_agent *a = ctx;
-  bool ok
-      = !answer->err && answer->status == STATUS_OK && take_load (a, answer);
+  bool ok = !response->err && response->status == STATUS_OK
+            && read_load (a, response);
 
-  polled (a, ok, answer->err == WY_HTTP_ECONNECT);
+  poll_done (a, ok, response->err == WY_HTTP_ECONNECT);
 }
 
-/* A plain service tells no incarnation; each time it comes up counts as a new
-   one.  */
+/* A plain service reports no incarnation; each time it comes up counts as a
+   new one.  */
 static void
 on_probed (void *ctx, bool ok)
 {
@@ -164,10 +167,10 @@
         t->starts++;
       incarnation
           = g_strdup_printf ("up-%" G_GUINT64_FORMAT, (guint64)t->starts);
-      up (a, incarnation);
+      set_up (a, incarnation);
       g_free (incarnation);
     }
-  polled (a, ok, true);
+  poll_done (a, ok, true);
 }
 
 static void
@@ -196,11 +199,11 @@
   poll_target (t->data);
 }
 
-/* A connection to the target broke or couldn't be had: hand nothing to it
-   until it has answered.  A poll that is under way may have been answered by
-   the one that died, so the next one decides.  */
+/* Poll the target after a connection to it failed.  Nothing is sent to it
+   until it has responded.  A poll in progress may have been answered by the
+   failed incarnation, so the next one decides.  */
 void
-wy_agent_target_doubt (struct wy_agent *a)
+wy_agent_target_recheck (struct wy_agent *a)
 {
   if (a->target.state != WY_TARGET_UP)
     return;
@@ -210,7 +213,7 @@
     poll_target (a);
 }
 
-/* Begin to watch the target.  */
+/* Start polling the target.  */
 void
 wy_agent_target_start (struct wy_agent *a)
 {
@@ -219,7 +222,7 @@
   uv_timer_start (&a->poll_timer, on_poll, 0, (uint64_t)a->s->target_poll_ms);
 }
 
-/* Watch it no more.  */
+/* Stop polling the target.  */
 void
 wy_agent_target_stop (struct wy_agent *a)
 {
@@ -230,13 +233,15 @@
 is_silent (const struct wy_run *r, int64_t now_ms)
 {
   return r->phase == WY_PHASE_RUNNING && r->item.state == WY_QUEUE_ITEM_RUNNING
-         && r->call && now_ms - r->heard_ms >= r->agent->s->target_silence_ms;
+         && r->call
+         && now_ms - r->last_received_ms >= r->agent->s->target_silence_ms;
 }
 
-/* End the runs that brought nothing for too long.  Their connections are
-   open, but something between or in the target has lost track of them.  */
+/* End runs whose target has sent nothing for target_silence_ms.  Their
+   connections are open, but the target or something on the path has lost their
+   state.  */
 void
-wy_agent_target_silent (struct wy_agent *a, int64_t now_ms)
+wy_agent_target_end_silent (struct wy_agent *a, int64_t now_ms)
 {
   GList *next;
 
@@ -248,8 +253,8 @@
       if (!is_silent (r, now_ms))
         continue;
       if (r->is_model)
-        wy_agent_model_lost (r);
+        wy_agent_model_crashed (r);
       else
-        wy_agent_service_lost (r);
+        wy_agent_service_crashed (r);
     }
 }
--- a/src/agent/token_stream.c
+++ b/src/agent/token_stream.c
@@ -1,11 +1,10 @@
 /* Event stream of a model run.
 
-   The events are passed on byte by byte; on the way their tokens are counted
-   and the weight versions collected from the tokens themselves.  The engine's
-   own account in the last event is only compared with that: where the two
-   differ, the sample's versions aren't proven.  A token of another run, left
-   out or repeated would put foreign text into a caller's answer; it ends the
-   run.  */
+   The events are forwarded unchanged.  Their tokens are counted and the weight
+   versions are collected from the tokens.  The engine's summary in the last
+   event is only compared with these: if they differ, the versions of the
+   sample aren't proven.  A token of another run, or one that is missing or
+   repeated, would corrupt the response to the caller, so it ends the run.  */
 #include "agent/token_stream.h"
 
 #include <string.h>
@@ -14,13 +13,13 @@
 
 enum
 {
-  /* Of one event; a token has a few bytes.  */
+  /* Limit of one event; a token has a few bytes.  */
   EVENT_LIMIT_BYTES = 1 << 20
 };
 
-/* Prepare T for the tokens of RUN, which is kept.  */
+/* Initialize T for the tokens of RUN, which is not copied.  */
 void
-wy_tokens_init (struct wy_tokens *t, const char *run)
+wy_token_stream_init (struct wy_token_stream *t, const char *run)
 {
   memset (t, 0, sizeof *t);
   t->run = run;
@@ -28,9 +27,9 @@
   t->segments = g_array_new (FALSE, FALSE, sizeof (struct wy_segment));
 }
 
-/* Free what T holds.  */
+/* Free the members of T.  */
 void
-wy_tokens_clear (struct wy_tokens *t)
+wy_token_stream_clear (struct wy_token_stream *t)
 {
   if (!t->partial)
     return;
@@ -41,7 +40,7 @@
 }
 
 static void
-add_token (struct wy_tokens *t, int64_t version)
+add_token (struct wy_token_stream *t, int64_t version)
 {
   struct wy_segment s = { version, t->n, t->n + 1 };
   struct wy_segment *last
@@ -57,7 +56,7 @@
 }
 
 static bool
-same_segments (const struct wy_tokens *t, const json_t *list)
+same_segments (const struct wy_token_stream *t, const json_t *list)
 {
   json_t *g;
   size_t i;
@@ -78,12 +77,12 @@
 }
 
 static int
-take_last (struct wy_tokens *t, const json_t *event)
+read_last_event (struct wy_token_stream *t, const json_t *event)
 {
   const char *finish = json_string_value (json_object_get (event, "finish"));
 
   if (!finish)
-    return WY_TOKENS_EEVENT;
+    return WY_TOKEN_STREAM_EEVENT;
   if (!strcmp (finish, "exported"))
     {
       t->exported = true;
@@ -98,21 +97,21 @@
 }
 
 static int
-take_token (struct wy_tokens *t, const json_t *event)
+read_token (struct wy_token_stream *t, const json_t *event)
 {
   const json_t *i = json_object_get (event, "i");
   const json_t *version = json_object_get (event, "version");
 
   if (!json_is_integer (i) || !json_is_integer (version))
-    return WY_TOKENS_EEVENT;
+    return WY_TOKEN_STREAM_EEVENT;
   if (json_integer_value (i) != t->n)
-    return WY_TOKENS_ESEQUENCE;
+    return WY_TOKEN_STREAM_ESEQUENCE;
   add_token (t, json_integer_value (version));
   return 0;
 }
 
 static int
-take_event (struct wy_tokens *t, const char *p, size_t n)
+read_event (struct wy_token_stream *t, const char *p, size_t n)
 {
   static const char prefix[] = "data: ";
   size_t skip = sizeof prefix - 1;
@@ -121,25 +120,27 @@
   int err;
 
   if (n < skip || memcmp (p, prefix, skip) != 0)
-    return WY_TOKENS_EEVENT;
+    return WY_TOKEN_STREAM_EEVENT;
   event = json_loadb (p + skip, n - skip, 0, NULL);
   run = json_string_value (json_object_get (event, "run"));
   if (!run)
-    err = WY_TOKENS_EEVENT;
+    err = WY_TOKEN_STREAM_EEVENT;
   else if (strcmp (run, t->run) != 0)
-    err = WY_TOKENS_ERUN;
+    err = WY_TOKEN_STREAM_ERUN;
   else if (json_is_true (json_object_get (event, "done")))
-    err = take_last (t, event);
+    err = read_last_event (t, event);
   else
-    err = take_token (t, event);
+    err = read_token (t, event);
   json_decref (event);
   return err;
 }
 
-/* Take in N bytes at P and append the events that are whole to OUT.  Returns
-   0 or what is wrong; OUT then has the events before it.  */
+/* Parse N bytes at P and append the complete events to OUT.  Returns 0 or an
+   enum wy_token_stream_error; OUT then contains the events before the invalid
+   one.  */
 int
-wy_tokens_feed (struct wy_tokens *t, const char *p, size_t n, GByteArray *out)
+wy_token_stream_feed (struct wy_token_stream *t, const char *p, size_t n,
+                      GByteArray *out)
 {
   size_t off = 0;
   int err = 0;
@@ -154,13 +155,13 @@
       if (!end)
         break;
       size = (size_t)(end - start);
-      err = take_event (t, start, size);
+      err = read_event (t, start, size);
       if (!err && !t->exported)
         g_byte_array_append (out, (const guint8 *)start, (guint)size + 2);
       off += size + 2;
     }
   g_string_erase (t->partial, 0, (gssize)off);
   if (!err && t->partial->len > EVENT_LIMIT_BYTES)
-    err = WY_TOKENS_ETOOLONG;
+    err = WY_TOKEN_STREAM_ETOOLONG;
   return err;
 }
--- a/src/agent/weight_relay.c
+++ b/src/agent/weight_relay.c
@@ -1,10 +1,9 @@
 /* Relay of weights.
 
-   The weight store is rate-limited, so a version is fetched from it by few
-   agents and by the others from those.  The engine reads through its agent,
-   which keeps the parts that went by, up to a limit, for the engine's own
-   repeats and for other agents.  A part that was dropped is fetched
-   again.  */
+   The weight store is rate-limited, so only a few agents fetch a version from
+   it and the others fetch it from those.  The engine reads weights through its
+   agent, which caches parts, up to weights_cache_bytes, for repeated reads of
+   the engine and for other agents.  An evicted part is fetched again.  */
 #include "agent/weight_relay.h"
 
 #include <stdio.h>
@@ -38,22 +37,22 @@
   uint16_t port;
 };
 
-struct wy_weights
+struct wy_weight_relay
 {
   struct wy_agent *agent;
   struct wy_http_server *server;
   struct address store;
-  GHashTable *sources; /* struct address, by "MODEL/VERSION" */
-  GHashTable *parts;   /* struct part, by url */
-  GQueue order;        /* oldest first */
+  GHashTable *sources; /* struct address by "MODEL/VERSION" */
+  GHashTable *parts;   /* struct part by url */
+  GQueue order;        /* struct part, oldest first */
   size_t size_bytes;
-  GHashTable *fetches; /* struct fetch, by url */
+  GHashTable *fetches; /* struct fetch by url */
 };
 
-/* One call upstream, and those who wait for it.  */
+/* One call to the source, and the requests that wait for it.  */
 struct fetch
 {
-  struct wy_weights *weights;
+  struct wy_weight_relay *relay;
   char *url;
   GPtrArray *waiting; /* struct wy_http_exchange */
 };
@@ -67,9 +66,9 @@
   g_free (x);
 }
 
-/* Split HOST:PORT.  */
+/* Parse HOST:PORT into OUT.  */
 static bool
-split (const char *text, struct address *out)
+parse_address (const char *text, struct address *out)
 {
   const char *colon = strrchr (text, ':');
   char *end;
@@ -86,14 +85,15 @@
 }
 
 static void
-keep (struct wy_weights *w, const char *url, const struct wy_http_response *a)
+cache_part (struct wy_weight_relay *w, const char *url,
+            const struct wy_http_response *response)
 {
   struct part *p;
   size_t limit = (size_t)w->agent->s->weights_cache_bytes;
 
-  if (a->size_bytes > limit || g_hash_table_contains (w->parts, url))
+  if (response->size_bytes > limit || g_hash_table_contains (w->parts, url))
     return;
-  while (w->order.head && w->size_bytes + a->size_bytes > limit)
+  while (w->order.head && w->size_bytes + response->size_bytes > limit)
     {
       p = w->order.head->data;
       g_queue_unlink (&w->order, &p->link);
@@ -105,29 +105,30 @@
     }
   p = g_new0 (struct part, 1);
   p->url = g_strdup (url);
-  p->bytes = g_string_new_len (a->body, (gssize)a->size_bytes);
+  p->bytes = g_string_new_len (response->body, (gssize)response->size_bytes);
   p->link.data = p;
   g_hash_table_insert (w->parts, p->url, p);
   g_queue_push_tail_link (&w->order, &p->link);
-  w->size_bytes += a->size_bytes;
+  w->size_bytes += response->size_bytes;
 }
 
 static void
-on_fetched (void *ctx, const struct wy_http_response *a)
+on_fetched (void *ctx, const struct wy_http_response *response)
 {
   struct fetch *f = ctx;
-  struct wy_weights *w = f->weights;
-  int status = a->err ? STATUS_BAD_GATEWAY : a->status;
+  struct wy_weight_relay *w = f->relay;
+  int status = response->err ? STATUS_BAD_GATEWAY : response->status;
 
   g_hash_table_remove (w->fetches, f->url);
   if (status == STATUS_OK)
-    keep (w, f->url, a);
+    cache_part (w, f->url, response);
   for (guint i = 0; i < f->waiting->len; i++)
     {
       wy_http_on_abort (f->waiting->pdata[i], NULL, NULL);
       wy_http_respond (f->waiting->pdata[i], status,
-                       "application/octet-stream", a->err ? "" : a->body,
-                       a->err ? 0 : a->size_bytes);
+                       "application/octet-stream",
+                       response->err ? "" : response->body,
+                       response->err ? 0 : response->size_bytes);
     }
   g_ptr_array_free (f->waiting, TRUE);
   g_free (f->url);
@@ -135,15 +136,15 @@
 }
 
 static void
-on_gone (struct wy_http_exchange *ex, void *ctx)
+on_abort (struct wy_http_exchange *ex, void *ctx)
 {
   g_ptr_array_remove (((struct fetch *)ctx)->waiting, ex);
 }
 
-/* Where URL is fetched from: the source of the order that named its version,
-   or the store.  */
+/* Return where URL is fetched from: the source given in the order for its
+   version, or the weight store.  */
 static const struct address *
-source_of (const struct wy_weights *w, const char *url)
+source_of (const struct wy_weight_relay *w, const char *url)
 {
   const char *name = url + strlen (PREFIX);
   const char *slash = strchr (name, '/');
@@ -156,7 +157,7 @@
 }
 
 static void
-fetch (struct wy_weights *w, const char *url, struct wy_http_exchange *ex)
+fetch (struct wy_weight_relay *w, const char *url, struct wy_http_exchange *ex)
 {
   struct fetch *f = g_hash_table_lookup (w->fetches, url);
   const struct address *from = source_of (w, url);
@@ -169,20 +170,20 @@
   if (!f)
     {
       f = g_new0 (struct fetch, 1);
-      f->weights = w;
+      f->relay = w;
       f->url = g_strdup (url);
       f->waiting = g_ptr_array_new ();
       g_hash_table_insert (w->fetches, f->url, f);
       wy_http_fetch (w->agent->client, &o, on_fetched, f);
     }
   g_ptr_array_add (f->waiting, ex);
-  wy_http_on_abort (ex, on_gone, f);
+  wy_http_on_abort (ex, on_abort, f);
 }
 
 static void
 on_request (struct wy_http_exchange *ex, void *ctx)
 {
-  struct wy_weights *w = ctx;
+  struct wy_weight_relay *w = ctx;
   const char *query = wy_http_query (ex);
   char *url = g_strconcat (wy_http_path (ex), *query ? "?" : "", query, NULL);
   const struct part *p = g_hash_table_lookup (w->parts, url);
@@ -198,11 +199,11 @@
   g_free (url);
 }
 
-/* Open the port that relays weights.  */
+/* Open the port of the relay.  Returns 0 or a negative error code.  */
 int
-wy_agent_weights_start (struct wy_agent *a)
+wy_agent_weight_relay_start (struct wy_agent *a)
 {
-  struct wy_weights *w = g_new0 (struct wy_weights, 1);
+  struct wy_weight_relay *w = g_new0 (struct wy_weight_relay, 1);
   struct wy_http_server_options o = { .loop = a->loop,
                                       .host = a->s->host,
                                       .port = (uint16_t)a->s->weights_port,
@@ -212,36 +213,37 @@
                                       .ctx = w };
 
   w->agent = a;
-  a->weights = w;
+  a->weight_relay = w;
   w->sources
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, address_free);
   w->parts = g_hash_table_new (g_str_hash, g_str_equal);
   w->fetches = g_hash_table_new (g_str_hash, g_str_equal);
   g_queue_init (&w->order);
-  if (*a->s->weights_url && !split (a->s->weights_url, &w->store))
+  if (*a->s->weights_url && !parse_address (a->s->weights_url, &w->store))
     return WY_AGENT_EADDRESS;
   return wy_http_server_new (&w->server, &o) ? WY_AGENT_ELISTEN : 0;
 }
 
-/* The port that relays weights.  */
+/* Return the port of the relay.  */
 uint16_t
 wy_agent_weights_port (const struct wy_agent *a)
 {
-  return wy_http_server_port (a->weights->server);
+  return wy_http_server_port (a->weight_relay->server);
 }
 
-/* Where the engine fetches the version of O from: this relay, which passes
-   on from the order's source; NULL when neither an order nor the settings
-   name one.  Freed by the caller.  */
+/* Return the address from which the engine fetches the version of O: this
+   relay, which fetches it from the source given in O or from the store.  NULL
+   if neither is known.  Must be freed by the caller.  */
 char *
-wy_agent_weights_source (struct wy_agent *a, const struct wy_frame_order *o)
+wy_agent_weight_relay_source (struct wy_agent *a,
+                              const struct wy_frame_order *o)
 {
-  struct wy_weights *w = a->weights;
+  struct wy_weight_relay *w = a->weight_relay;
   struct address *x = g_new0 (struct address, 1);
   char *source = wy_bytes_dup (o->source);
   char *model;
 
-  if (o->kind == WY_ORDER_STAGE && split (source, x))
+  if (o->kind == WY_ORDER_STAGE && parse_address (source, x))
     {
       model = wy_bytes_dup (o->model);
       g_hash_table_replace (
--- a/src/agent/weight_relay.h
+++ b/src/agent/weight_relay.h
@@ -4,8 +4,8 @@
 
 #include "agent/state.h"
 
-int wy_agent_weights_start (struct wy_agent *a);
-char *wy_agent_weights_source (struct wy_agent *a,
-                               const struct wy_frame_order *o);
+int wy_agent_weight_relay_start (struct wy_agent *a);
+char *wy_agent_weight_relay_source (struct wy_agent *a,
+                                    const struct wy_frame_order *o);
 
 #endif
--- a/src/inner/conn.c
+++ b/src/inner/conn.c
@@ -1,8 +1,7 @@
-/* One connection between two processes.
+/* A connection between two processes.
 
-   Frames that are sent are gathered and handed to the socket once an
-   iteration of the loop, so that a burst of small ones costs one system
-   call.  */
+   Outgoing frames are buffered and written to the socket once per iteration of
+   the event loop, so that a burst of small frames costs one system call.  */
 #include "inner/conn.h"
 
 #include <string.h>
@@ -11,12 +10,12 @@
 
 enum
 {
-  /* A peer that has not proved its key may only send what a handshake
-     needs, so that it can't make us hold megabytes.  */
+  /* A peer that hasn't authenticated may only send what a handshake needs, so
+     that it can't occupy megabytes of memory.  */
   HANDSHAKE_FRAME_LIMIT_BYTES = 2048,
   READ_SIZE_BYTES = 65536,
-  /* Buffers above this are given back when they are empty.  */
-  KEEP_SIZE_BYTES = 65536
+  /* Larger buffers are freed when they are empty.  */
+  BUFFER_KEEP_BYTES = 65536
 };
 
 struct write
@@ -34,7 +33,7 @@
   if (--c->handles_open)
     return;
   if (c->listener)
-    wy_listener_forget (c);
+    wy_listener_conn_closed (c);
   if (c->events.on_closed)
     c->events.on_closed (c->events.ctx, c, c->err);
   g_byte_array_unref (c->in);
@@ -46,7 +45,7 @@
   g_free (c);
 }
 
-/* Close C with ERR.  on_closed comes later, from the loop.  */
+/* Close C with ERR.  on_closed is called later, from the event loop.  */
 void
 wy_conn_fail (struct wy_conn *c, int err)
 {
@@ -60,10 +59,10 @@
 }
 
 static void
-tell_drained (struct wy_conn *c)
+notify_writable (struct wy_conn *c)
 {
-  if (c->state == WY_CONN_READY && c->events.on_drained)
-    c->events.on_drained (c->events.ctx, c);
+  if (c->state == WY_CONN_READY && c->events.on_writable)
+    c->events.on_writable (c->events.ctx, c);
 }
 
 static void
@@ -78,10 +77,10 @@
   if (status)
     wy_conn_fail (c, WY_INNER_ECLOSED);
   else
-    tell_drained (c);
+    notify_writable (c);
 }
 
-/* Hand the rest of the gathered bytes, from SENT on, to a write request.  */
+/* Pass the output buffer from offset SENT on to a write request.  */
 static void
 write_rest (struct wy_conn *c, size_t sent)
 {
@@ -120,7 +119,7 @@
     }
   if (n == (int)c->out->len)
     {
-      if (c->out->len > KEEP_SIZE_BYTES)
+      if (c->out->len > BUFFER_KEEP_BYTES)
         {
           g_byte_array_unref (c->out);
           c->out = g_byte_array_new ();
@@ -139,14 +138,14 @@
   uv_prepare_stop (p);
   flush (c);
   if (c->writing_bytes == 0)
-    tell_drained (c);
+    notify_writable (c);
 }
 
-/* Gather F for sending.  A peer that reads too slowly, or not at all, would
-   have us hold all that is meant for it; past the limit it is cut, and what
-   it still needs it resumes on a new connection.  */
+/* Append F to the output buffer.  A peer that reads too slowly or not at all
+   would let the buffer grow without limit, so the connection is closed when
+   send_limit_bytes is exceeded.  The peer resumes on a new connection.  */
 void
-wy_conn_put (struct wy_conn *c, const struct wy_frame *f)
+wy_conn_enqueue (struct wy_conn *c, const struct wy_frame *f)
 {
   const struct wy_inner_identity *id = c->identity;
   struct wy_frame stamped = *f;
@@ -160,7 +159,7 @@
 }
 
 static void
-take_frame (struct wy_conn *c, const struct wy_frame *f)
+handle_frame (struct wy_conn *c, const struct wy_frame *f)
 {
   int err;
 
@@ -185,7 +184,7 @@
           wy_conn_fail (c, WY_INNER_EMALFORMED);
           return;
         }
-      wy_heartbeat_answered (c, f->u.ping.seq);
+      wy_heartbeat_on_pong (c, f->u.ping.seq);
     }
   if (f->kind == WY_FRAME_PING)
     wy_heartbeat_send (c, WY_FRAME_PONG, f->u.ping.seq);
@@ -193,7 +192,7 @@
     c->events.on_frame (c->events.ctx, c, f);
 }
 
-/* Drop the first N bytes of the input.  */
+/* Remove the first N bytes of the input buffer.  */
 static void
 consume (struct wy_conn *c, size_t n)
 {
@@ -202,7 +201,7 @@
       g_byte_array_remove_range (c->in, 0, (guint)n);
       return;
     }
-  if (c->in->len > KEEP_SIZE_BYTES)
+  if (c->in->len > BUFFER_KEEP_BYTES)
     {
       g_byte_array_unref (c->in);
       c->in = g_byte_array_new ();
@@ -211,7 +210,7 @@
 }
 
 static void
-take_input (struct wy_conn *c)
+handle_input (struct wy_conn *c)
 {
   size_t off = 0;
 
@@ -229,7 +228,7 @@
           return;
         }
       off += (size_t)n;
-      take_frame (c, &f);
+      handle_frame (c, &f);
     }
   consume (c, off);
   if (c->state != WY_CONN_READY && c->in->len > HANDSHAKE_FRAME_LIMIT_BYTES)
@@ -239,8 +238,8 @@
 static void
 on_alloc (uv_handle_t *h, size_t suggested, uv_buf_t *buf)
 {
-  /* One loop on one thread, and the bytes are copied out before the next
-     read: one buffer serves all connections.  */
+  /* All connections share one buffer: there is one event loop on one thread,
+     and the bytes are copied before the next read.  */
   static char shared[READ_SIZE_BYTES];
 
   *buf = uv_buf_init (shared, sizeof shared);
@@ -259,10 +258,10 @@
       return;
     }
   g_byte_array_append (c->in, (const guint8 *)buf->base, (guint)n);
-  take_input (c);
+  handle_input (c);
 }
 
-/* Set up C, whose memory is zeroed, in STATE.  */
+/* Initialize C, which is zeroed, in STATE.  */
 void
 wy_conn_init (struct wy_conn *c, const struct wy_inner_identity *identity,
               enum wy_conn_state state)
@@ -282,7 +281,7 @@
   wy_heartbeat_start (c);
 }
 
-/* The socket of C is open: read from it.  */
+/* Start reading from the socket of C, which is open.  */
 void
 wy_conn_start_reading (struct wy_conn *c)
 {
@@ -308,9 +307,9 @@
     wy_handshake_hello (c);
 }
 
-/* Connect to PORT of HOST, an IP number, and prove the key of IDENTITY, which
-   must outlive the connection.  A failure is told by on_closed, never before
-   this returns.  */
+/* Connect to PORT of HOST, an IPv4 address, and authenticate with the key of
+   IDENTITY, which must outlive the connection.  Failures are reported by
+   on_closed, never before this returns.  */
 struct wy_conn *
 wy_conn_dial (const struct wy_inner_identity *identity, const char *host,
               uint16_t port, const struct wy_conn_events *events)
@@ -328,21 +327,21 @@
   return c;
 }
 
-/* Send F.  Returns 0, which says nothing of its arrival, WY_INNER_ECLOSED
-   when C isn't ready or no more, or WY_INNER_EBACKLOG when C is closed for
-   the bytes that wait.  */
+/* Send F.  Returns 0, which doesn't imply that it arrives, WY_INNER_ECLOSED if
+   C isn't ready or is closed, or WY_INNER_EBACKLOG if C was closed because of
+   its unsent bytes.  */
 int
 wy_conn_send (struct wy_conn *c, const struct wy_frame *f)
 {
   if (c->state != WY_CONN_READY)
     return WY_INNER_ECLOSED;
-  wy_conn_put (c, f);
-  wy_heartbeat_probe (c);
+  wy_conn_enqueue (c, f);
+  wy_heartbeat_on_send (c);
   return c->state == WY_CONN_READY ? 0 : WY_INNER_EBACKLOG;
 }
 
-/* Close C after a try to send what is gathered.  on_closed comes later, from
-   the loop, with 0.  */
+/* Close C after an attempt to write the buffered output.  on_closed is called
+   later, from the event loop, with 0.  */
 void
 wy_conn_close (struct wy_conn *c)
 {
--- a/src/inner/conn.h
+++ b/src/inner/conn.h
@@ -1,5 +1,5 @@
-/* Connections between the processes of the system: framed, authenticated,
-   with heartbeats both ways.  */
+/* Connections between the processes of the system: framed, authenticated, with
+   heartbeats in both directions.  */
 #ifndef WY_INNER_CONN_H
 #define WY_INNER_CONN_H
 
@@ -14,15 +14,15 @@
 struct wy_listener;
 struct wy_trace;
 
-/* One shared key.  Two may be valid at once, so that keys can be changed
-   without a cut; the first is used to prove, all are accepted.  */
+/* A shared key.  Two may be valid at once, so that keys can be rotated without
+   an interruption; the first is used to authenticate, all are accepted.  */
 struct wy_inner_key
 {
   uint32_t number;
   const char *secret;
 };
 
-/* Who this process is, and the limits of its connections.  */
+/* Identity of this process, and the limits of its connections.  */
 struct wy_inner_identity
 {
   uv_loop_t *loop;
@@ -33,34 +33,36 @@
   const struct wy_inner_key *keys;
   size_t n_keys;
   uint32_t handshake_timeout_ms;
-  uint32_t heartbeat_ms;     /* between two PINGs */
-  uint32_t silence_limit_ms; /* nothing received for so long: closed */
-  size_t send_limit_bytes;   /* unsent bytes held before the peer is cut */
-  /* Stamps of the timeline, carried by each frame, so that what a frame
-     causes sorts after what caused the frame; may be NULL.  */
+  uint32_t heartbeat_ms;     /* interval between PINGs */
+  uint32_t silence_limit_ms; /* a PING unanswered for longer: closed */
+  size_t send_limit_bytes;   /* more unsent bytes: closed */
+  /* Timestamps of the timeline, carried by every frame, so that effects of a
+     frame sort after its cause; may be NULL.  */
   uint64_t (*timestamp) (struct wy_trace *t);
-  void (*observe) (struct wy_trace *t, uint64_t stamp);
+  void (*observe) (struct wy_trace *t, uint64_t timestamp);
   struct wy_trace *trace;
 };
 
 struct wy_conn_events
 {
-  /* The peer proved its key.  The strings live as long as the connection. */
+  /* The peer has authenticated.  The strings are valid as long as the
+     connection exists.  */
   void (*on_ready) (void *ctx, struct wy_conn *c, const char *process,
                     const char *incarnation, const char *availability_zone);
-  /* A frame other than those of the handshake; valid during the call.  PING
-     is answered by the connection itself with what fill_pong gives, but is
-     still passed on, since it carries revision and stamp.  */
+  /* A frame that isn't part of the handshake; valid during the call.  The
+     connection itself answers a PING with a PONG filled by fill_ping, but
+     still passes it on, since it carries the configuration revision and a
+     timestamp.  */
   void (*on_frame) (void *ctx, struct wy_conn *c, const struct wy_frame *f);
-  /* Comes once, also when the connection never got ready; C is freed after
+  /* Called once, even if the connection never became ready; C is freed after
      it returns.  */
   void (*on_closed) (void *ctx, struct wy_conn *c, int err);
-  /* Bytes that waited have gone to the socket; may be NULL.  */
-  void (*on_drained) (void *ctx, struct wy_conn *c);
-  /* Tells whether something is awaited on the connection; while not, its
-     heartbeat slows down.  NULL: always.  */
+  /* Buffered output was written to the socket; may be NULL.  */
+  void (*on_writable) (void *ctx, struct wy_conn *c);
+  /* Whether a response is expected on the connection; if not, its heartbeat
+     slows down.  NULL: always.  */
   bool (*is_busy) (void *ctx, struct wy_conn *c);
-  /* Fill in what the next PING or PONG tells; may be NULL.  */
+  /* Fill in the payload of the next PING or PONG; may be NULL.  */
   void (*fill_ping) (void *ctx, struct wy_conn *c, struct wy_frame_ping *p);
   void *ctx;
 };
@@ -69,9 +71,9 @@
 {
   const struct wy_inner_identity *identity; /* must outlive the listener */
   const char *host;
-  uint16_t port; /* 0: any */
+  uint16_t port; /* 0: any free port */
   /* Called for each accepted connection, before the handshake; returns the
-     events of the connection.  */
+     event handlers of the connection.  */
   struct wy_conn_events (*on_accept) (void *ctx, struct wy_conn *c);
   void *ctx;
 };
--- a/src/inner/frame.h
+++ b/src/inner/frame.h
@@ -1,5 +1,5 @@
-/* Frames between the processes of the system: a length of four bytes, high
-   byte first, then one msgpack array.  */
+/* Frames exchanged by the processes of the system: a length of four bytes,
+   big-endian, followed by one msgpack array.  */
 #ifndef WY_INNER_FRAME_H
 #define WY_INNER_FRAME_H
 
@@ -21,11 +21,11 @@
   WY_INNER_EMALFORMED = -203,
   WY_INNER_EAUTH = -204,
   WY_INNER_ECLOSED = -205,
-  WY_INNER_ESILENT = -206,
-  WY_INNER_EPROTOCOL = -207, /* the peer speaks another version */
+  WY_INNER_ETIMEDOUT = -206,
+  WY_INNER_EPROTOCOL = -207, /* the peer uses another protocol version */
   WY_INNER_ECONNECT = -208,
   WY_INNER_EBIND = -209,
-  WY_INNER_EBACKLOG = -210 /* the peer takes too little of what is sent */
+  WY_INNER_EBACKLOG = -210 /* the peer reads too slowly */
 };
 
 enum wy_frame_kind
@@ -53,7 +53,7 @@
   WY_FRAME_LEAVING
 };
 
-/* What is known of whether a request ran.  */
+/* What is known about the execution of a request.  */
 enum wy_ran
 {
   WY_RAN_NO,      /* proven not to have run */
@@ -69,25 +69,25 @@
 
 enum wy_refusal_reason
 {
-  WY_REFUSED_BUSY = 1, /* cannot meet the deadline */
-  WY_REFUSED_LEAVING,  /* takes no new work */
+  WY_REFUSED_BUSY = 1, /* can't meet the deadline, or the target is down */
+  WY_REFUSED_LEAVING,  /* accepts no new work */
   WY_REFUSED_SUSPECT,  /* crashed too many targets */
-  WY_REFUSED_NOT_HOME, /* key belongs to another target */
-  WY_REFUSED_TOO_OLD,  /* issued before this incarnation may vouch */
-  WY_REFUSED_TOO_NEW,  /* issue time ahead of the clock */
+  WY_REFUSED_NOT_HOME, /* another target is the home of the key */
+  WY_REFUSED_TOO_OLD,  /* may have run before this incarnation */
+  WY_REFUSED_TOO_NEW,  /* issue time is in the future */
   WY_REFUSED_UNKNOWN_NAME,
   WY_REFUSED_BAD_REQUEST,
-  WY_REFUSED_FULL,      /* retained results fill the memory */
-  WY_REFUSED_NO_CONFIG, /* configuration not known or too old */
+  WY_REFUSED_FULL,      /* memory is full of retained results */
+  WY_REFUSED_NO_CONFIG, /* configuration unknown or too old */
   WY_REFUSED_VERSION,   /* weight version not served here */
-  WY_REFUSED_LOST       /* nothing known here of the request */
+  WY_REFUSED_LOST       /* the request is unknown here */
 };
 
 enum wy_run_result
 {
   WY_RUN_DONE = 1,
-  WY_RUN_FAILED,  /* the target answered with an error */
-  WY_RUN_CRASHED, /* the target died while it ran */
+  WY_RUN_FAILED,  /* the target responded with an error */
+  WY_RUN_CRASHED, /* the target failed during the run */
   WY_RUN_CANCELLED,
   WY_RUN_TIMED_OUT
 };
@@ -98,10 +98,10 @@
   WY_ORDER_ACTIVATE,
   WY_ORDER_DRAIN,
   WY_ORDER_UNDRAIN,
-  WY_ORDER_UNBLOCK /* lift the block of a fingerprint */
+  WY_ORDER_UNBLOCK /* remove the block of a fingerprint */
 };
 
-/* Bytes inside a decoded frame; not owned, no NUL.  */
+/* Bytes inside a decoded frame; not owned, not NUL-terminated.  */
 struct wy_bytes
 {
   const char *p;
@@ -114,7 +114,7 @@
   struct wy_bytes value;
 };
 
-/* Tokens FROM up to but not including TO came from VERSION.  */
+/* Tokens FROM up to, but not including, TO were generated with VERSION.  */
 struct wy_segment
 {
   int64_t version;
@@ -141,7 +141,7 @@
   struct wy_bytes availability_zone;
 };
 
-/* A target's load as its agent knows it.  */
+/* Load of a target as known to its agent.  */
 struct wy_target_load
 {
   uint32_t running;
@@ -149,25 +149,25 @@
   uint32_t queued_rollout;
   int64_t kv_used_tokens;
   int64_t kv_total_tokens;
-  uint32_t drain_milli_per_s; /* requests finished per 1000 s */
-  int64_t version;            /* weight version in force; 0: none */
+  uint32_t completed_milli_per_s; /* requests completed per 1000 s */
+  int64_t version;                /* weight version in force; 0: none */
   int64_t staged_version;
   bool leaving;
   bool target_up;
-  uint32_t age_ms;          /* of the target's own report */
-  uint32_t running_rollout; /* of running */
-  uint32_t streams_max;     /* that run at once */
-  uint32_t caller_wait_ms;  /* expected, of a caller that arrives now */
-  uint32_t us_per_token;    /* at the present number of streams; 0: none */
-  uint32_t weights_port;    /* of the agent, for relays of weights */
+  uint32_t age_ms;          /* of the target's load report */
+  uint32_t running_rollout; /* included in running */
+  uint32_t streams_max;     /* limit of concurrent streams */
+  uint32_t caller_wait_ms;  /* expected wait of a caller that arrives now */
+  uint32_t us_per_token;    /* at the current number of streams; 0: unknown */
+  uint32_t weights_port;    /* port of the agent's weight relay */
 };
 
 struct wy_frame_ping /* PING and PONG */
 {
   uint64_t seq;
-  uint64_t timestamp; /* of the timeline */
+  uint64_t timestamp; /* of the sender's timeline */
   int64_t config_revision;
-  int64_t config_confirmed_ms; /* wall time the store last confirmed it */
+  int64_t config_confirmed_ms; /* wall-clock time of the last confirmation */
   bool has_load;
   struct wy_target_load load;
   const uint64_t *prefixes; /* hashes of cached prompt prefixes */
@@ -181,12 +181,12 @@
   bool is_model;
   enum wy_request_class request_class;
   bool non_idempotent;
-  int64_t issued_ms;    /* wall time in the key; 0: none */
-  int64_t sent_ms;      /* wall time of this sending; 0: not told */
-  uint32_t deadline_ms; /* from now; 0: none */
+  int64_t issued_ms;    /* wall-clock time in the key; 0: none */
+  int64_t sent_ms;      /* wall-clock time of this attempt; 0: unknown */
+  uint32_t deadline_ms; /* time left; 0: no deadline */
   uint32_t attempt;
   uint64_t fingerprint;
-  bool suspect; /* run alone */
+  bool suspect; /* must run alone */
   uint64_t prefix;
   uint32_t prompt_tokens;
   uint32_t max_tokens;
@@ -220,7 +220,7 @@
 struct wy_frame_head
 {
   struct wy_bytes id;
-  struct wy_bytes run; /* identifier of this execution */
+  struct wy_bytes run; /* identifier of this run */
   uint32_t status;
   const struct wy_header_pair *headers;
   uint32_t n_headers;
@@ -241,7 +241,7 @@
   enum wy_run_result result; /* 0 in an OUTCOME: not ended */
   enum wy_ran ran;
   uint64_t total_bytes;
-  uint64_t digest; /* XXH64 of the whole body */
+  uint64_t digest; /* XXH64 of the complete body */
   uint32_t tokens;
   struct wy_bytes finish; /* "stop", "length" */
   const struct wy_segment *segments;
@@ -251,12 +251,12 @@
 struct wy_frame_order
 {
   struct wy_bytes order;
-  struct wy_bytes lease; /* whose fencing number it is */
+  struct wy_bytes lease; /* lease that fence belongs to; empty: none */
   int64_t fence;
   enum wy_order_kind kind;
   struct wy_bytes model;
   int64_t version;
-  struct wy_bytes source; /* "host:port" to fetch from, empty: the store */
+  struct wy_bytes source; /* "host:port" to fetch from; empty: weight store */
   uint64_t fingerprint;
 };
 
@@ -264,10 +264,10 @@
 enum wy_order_result
 {
   WY_ORDER_OK = 0,
-  WY_ORDER_EFENCE = -221,   /* a higher fencing number is known */
-  WY_ORDER_ECONFIRM = -222, /* none is known yet: check the lease, repeat */
-  WY_ORDER_ETARGET = -223,  /* the target failed or refused it */
-  WY_ORDER_EAWAY = -224,    /* the target can't be reached */
+  WY_ORDER_EFENCE = -221,       /* a higher fencing token is known */
+  WY_ORDER_ECONFIRM = -222,     /* no token known: check the lease, repeat */
+  WY_ORDER_ETARGET = -223,      /* the target failed or rejected it */
+  WY_ORDER_EUNREACHABLE = -224, /* the target is unreachable */
   WY_ORDER_EINVALID = -225
 };
 
@@ -286,7 +286,7 @@
   struct wy_bytes json;
 };
 
-/* A frame.  Which member of u counts is told by kind.  */
+/* A frame.  The member of u is selected by kind.  */
 struct wy_frame
 {
   enum wy_frame_kind kind;
@@ -310,7 +310,7 @@
 
 void wy_frame_encode (const struct wy_frame *f, GByteArray *out);
 
-/* Holds the memory that a decoded frame points into.  */
+/* Memory that a decoded frame points into.  */
 struct wy_frame_arena;
 struct wy_frame_arena *wy_frame_arena_new (void);
 void wy_frame_arena_free (struct wy_frame_arena *a);
--- a/src/inner/frame_fields.c
+++ b/src/inner/frame_fields.c
@@ -1,16 +1,17 @@
-/* Fields of a frame, counted, packed or read by the same call.
+/* Fields of a frame; each function counts, packs or reads one field, depending
+   on the mode of the codec.
 
-   A value that is read but doesn't fit marks the walk as bad and reads as
-   zero; the caller looks once, at the end.  */
+   A value that can't be read sets FAILED and reads as zero, so the caller
+   checks for errors once, at the end.  */
 #include "inner/frame_fields.h"
 
 #include <string.h>
 
 enum
 {
-  /* Items of one list.  A decoded list takes a multiple of its bytes on the
-     wire; the limits keep a hostile frame from costing more memory than an
-     honest one.  */
+  /* Maximum items of a list.  A decoded list takes a multiple of its size on
+     the wire; the limits keep the memory for a malicious frame below that for
+     a valid one.  */
   HEADERS_MAX = 256,
   SEGMENTS_MAX = 4096,
   PREFIXES_MAX = 4096,
@@ -18,47 +19,47 @@
   SEGMENT_FIELDS = 3
 };
 
-/* The next object to read, or NULL when there is none.  */
+/* Return the next object to read, or NULL if there is none.  */
 static const msgpack_object *
-take (struct wy_walk *w)
+next_object (struct wy_field_codec *c)
 {
-  if (w->bad || w->left == 0)
+  if (c->failed || c->left == 0)
     {
-      w->bad = true;
+      c->failed = true;
       return NULL;
     }
-  w->left--;
-  return w->at++;
+  c->left--;
+  return c->at++;
 }
 
-/* An unsigned number.  */
+/* An unsigned 64-bit integer.  */
 void
-wy_walk_u64 (struct wy_walk *w, uint64_t *v)
+wy_field_u64 (struct wy_field_codec *c, uint64_t *v)
 {
   const msgpack_object *o;
 
-  if (w->mode == WY_WALK_COUNT)
-    w->n++;
-  else if (w->mode == WY_WALK_PACK)
-    msgpack_pack_uint64 (w->packer, *v);
-  else if ((o = take (w)))
+  if (c->mode == WY_FIELD_COUNT)
+    c->n++;
+  else if (c->mode == WY_FIELD_PACK)
+    msgpack_pack_uint64 (c->packer, *v);
+  else if ((o = next_object (c)))
     {
-      w->bad = o->type != MSGPACK_OBJECT_POSITIVE_INTEGER;
-      *v = w->bad ? 0 : o->via.u64;
+      c->failed = o->type != MSGPACK_OBJECT_POSITIVE_INTEGER;
+      *v = c->failed ? 0 : o->via.u64;
     }
 }
 
-/* A signed number.  */
+/* A signed 64-bit integer.  */
 void
-wy_walk_i64 (struct wy_walk *w, int64_t *v)
+wy_field_i64 (struct wy_field_codec *c, int64_t *v)
 {
   const msgpack_object *o;
 
-  if (w->mode == WY_WALK_COUNT)
-    w->n++;
-  else if (w->mode == WY_WALK_PACK)
-    msgpack_pack_int64 (w->packer, *v);
-  else if ((o = take (w)))
+  if (c->mode == WY_FIELD_COUNT)
+    c->n++;
+  else if (c->mode == WY_FIELD_PACK)
+    msgpack_pack_int64 (c->packer, *v);
+  else if ((o = next_object (c)))
     {
       if (o->type == MSGPACK_OBJECT_NEGATIVE_INTEGER)
         *v = o->via.i64;
@@ -66,112 +67,113 @@
                && o->via.u64 <= INT64_MAX)
         *v = (int64_t)o->via.u64;
       else
-        w->bad = true;
+        c->failed = true;
     }
 }
 
-/* An unsigned number of 32 bits.  */
+/* An unsigned 32-bit integer.  */
 void
-wy_walk_u32 (struct wy_walk *w, uint32_t *v)
+wy_field_u32 (struct wy_field_codec *c, uint32_t *v)
 {
-  uint64_t wide = w->mode == WY_WALK_PACK ? *v : 0;
+  uint64_t wide = c->mode == WY_FIELD_PACK ? *v : 0;
 
-  wy_walk_u64 (w, &wide);
-  if (w->mode != WY_WALK_READ)
+  wy_field_u64 (c, &wide);
+  if (c->mode != WY_FIELD_READ)
     return;
-  w->bad |= wide > UINT32_MAX;
+  c->failed |= wide > UINT32_MAX;
   *v = (uint32_t)wide;
 }
 
-/* A signed number of 32 bits.  */
+/* A signed 32-bit integer.  */
 void
-wy_walk_i32 (struct wy_walk *w, int32_t *v)
+wy_field_i32 (struct wy_field_codec *c, int32_t *v)
 {
-  int64_t wide = w->mode == WY_WALK_PACK ? *v : 0;
+  int64_t wide = c->mode == WY_FIELD_PACK ? *v : 0;
 
-  wy_walk_i64 (w, &wide);
-  if (w->mode != WY_WALK_READ)
+  wy_field_i64 (c, &wide);
+  if (c->mode != WY_FIELD_READ)
     return;
-  w->bad |= wide > INT32_MAX || wide < INT32_MIN;
+  c->failed |= wide > INT32_MAX || wide < INT32_MIN;
   *v = (int32_t)wide;
 }
 
-/* A truth value.  */
+/* A boolean.  */
 void
-wy_walk_bool (struct wy_walk *w, bool *v)
+wy_field_bool (struct wy_field_codec *c, bool *v)
 {
   const msgpack_object *o;
 
-  if (w->mode == WY_WALK_COUNT)
-    w->n++;
-  else if (w->mode == WY_WALK_PACK)
-    *v ? msgpack_pack_true (w->packer) : msgpack_pack_false (w->packer);
-  else if ((o = take (w)))
+  if (c->mode == WY_FIELD_COUNT)
+    c->n++;
+  else if (c->mode == WY_FIELD_PACK)
+    *v ? msgpack_pack_true (c->packer) : msgpack_pack_false (c->packer);
+  else if ((o = next_object (c)))
     {
-      w->bad = o->type != MSGPACK_OBJECT_BOOLEAN;
-      *v = !w->bad && o->via.boolean;
+      c->failed = o->type != MSGPACK_OBJECT_BOOLEAN;
+      *v = !c->failed && o->via.boolean;
     }
 }
 
-/* A value of an enumeration from LOW to HIGH, through V.  */
+/* An enum value V from LOW to HIGH.  Returns V, or the value read.  */
 uint32_t
-wy_walk_choice (struct wy_walk *w, uint32_t v, uint32_t low, uint32_t high)
+wy_field_enum (struct wy_field_codec *c, uint32_t v, uint32_t low,
+               uint32_t high)
 {
-  wy_walk_u32 (w, &v);
-  if (w->mode == WY_WALK_READ)
-    w->bad |= v < low || v > high;
+  wy_field_u32 (c, &v);
+  if (c->mode == WY_FIELD_READ)
+    c->failed |= v < low || v > high;
   return v;
 }
 
-/* Any bytes.  */
+/* A byte string.  */
 void
-wy_walk_bytes (struct wy_walk *w, struct wy_bytes *b)
+wy_field_bytes (struct wy_field_codec *c, struct wy_bytes *b)
 {
   const msgpack_object *o;
 
-  if (w->mode == WY_WALK_COUNT)
-    w->n++;
-  else if (w->mode == WY_WALK_PACK)
+  if (c->mode == WY_FIELD_COUNT)
+    c->n++;
+  else if (c->mode == WY_FIELD_PACK)
     {
-      msgpack_pack_bin (w->packer, b->n);
-      msgpack_pack_bin_body (w->packer, b->n ? b->p : "", b->n);
+      msgpack_pack_bin (c->packer, b->n);
+      msgpack_pack_bin_body (c->packer, b->n ? b->p : "", b->n);
     }
-  else if ((o = take (w)))
+  else if ((o = next_object (c)))
     {
-      w->bad = o->type != MSGPACK_OBJECT_BIN;
-      b->p = w->bad ? "" : o->via.bin.ptr;
-      b->n = w->bad ? 0 : o->via.bin.size;
+      c->failed = o->type != MSGPACK_OBJECT_BIN;
+      b->p = c->failed ? "" : o->via.bin.ptr;
+      b->n = c->failed ? 0 : o->via.bin.size;
     }
 }
 
-/* An identifier or name.  They are copied into tables and timelines, so a
-   long one is refused here.  */
+/* An identifier or name.  Names are copied into tables and timelines, so one
+   that is too long or contains a NUL is rejected here.  */
 void
-wy_walk_name (struct wy_walk *w, struct wy_bytes *b)
+wy_field_name (struct wy_field_codec *c, struct wy_bytes *b)
 {
-  wy_walk_bytes (w, b);
-  if (w->mode == WY_WALK_READ)
-    w->bad |= b->n > WY_NAME_SIZE_LIMIT_BYTES
-              || (b->n && memchr (b->p, '\0', b->n));
+  wy_field_bytes (c, b);
+  if (c->mode == WY_FIELD_READ)
+    c->failed |= b->n > WY_NAME_SIZE_LIMIT_BYTES
+                 || (b->n && memchr (b->p, '\0', b->n));
 }
 
-/* Begin a list of N items of FIELDS values each.  When reading, stores the
-   number of items in N, returns memory for them of ITEM_SIZE bytes each and
-   leaves W at the first value; the caller puts back INNER with
-   end_list.  */
+/* Read the header of a list whose items have FIELDS values each.  Stores the
+   number of items in N, at most N_MAX, and returns memory for them, ITEM_SIZE
+   bytes each.  INNER is set to read the values of the list; C continues after
+   it.  */
 static void *
-read_list (struct wy_walk *w, struct wy_walk *inner, uint32_t *n,
+read_list (struct wy_field_codec *c, struct wy_field_codec *inner, uint32_t *n,
            uint32_t fields, uint32_t n_max, size_t item_size)
 {
-  const msgpack_object *o = take (w);
+  const msgpack_object *o = next_object (c);
   void *items;
 
   *n = 0;
-  *inner = *w;
+  *inner = *c;
   if (!o || o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size % fields
       || o->via.array.size / fields > n_max)
     {
-      w->bad = true;
+      c->failed = true;
       return NULL;
     }
   inner->at = o->via.array.ptr;
@@ -179,10 +181,10 @@
   if (o->via.array.size == 0)
     return NULL;
   items
-      = msgpack_zone_malloc (w->zone, o->via.array.size / fields * item_size);
+      = msgpack_zone_malloc (c->zone, o->via.array.size / fields * item_size);
   if (!items)
     {
-      w->bad = true;
+      c->failed = true;
       return NULL;
     }
   *n = o->via.array.size / fields;
@@ -191,98 +193,99 @@
 
 /* A list of HTTP headers.  */
 void
-wy_walk_headers (struct wy_walk *w, const struct wy_header_pair **pairs,
-                 uint32_t *n)
+wy_field_headers (struct wy_field_codec *c,
+                  const struct wy_header_pair **pairs, uint32_t *n)
 {
   struct wy_header_pair *read;
-  struct wy_walk inner;
+  struct wy_field_codec inner;
 
-  if (w->mode == WY_WALK_COUNT)
+  if (c->mode == WY_FIELD_COUNT)
     {
-      w->n++;
+      c->n++;
       return;
     }
-  if (w->mode == WY_WALK_PACK)
+  if (c->mode == WY_FIELD_PACK)
     {
-      msgpack_pack_array (w->packer, (size_t)*n * HEADER_FIELDS);
+      msgpack_pack_array (c->packer, (size_t)*n * HEADER_FIELDS);
       for (uint32_t i = 0; i < *n; i++)
         {
           struct wy_header_pair pair = (*pairs)[i];
-          wy_walk_bytes (w, &pair.name);
-          wy_walk_bytes (w, &pair.value);
+          wy_field_bytes (c, &pair.name);
+          wy_field_bytes (c, &pair.value);
         }
       return;
     }
-  read = read_list (w, &inner, n, HEADER_FIELDS, HEADERS_MAX, sizeof *read);
+  read = read_list (c, &inner, n, HEADER_FIELDS, HEADERS_MAX, sizeof *read);
   for (uint32_t i = 0; i < *n; i++)
     {
-      wy_walk_bytes (&inner, &read[i].name);
-      wy_walk_bytes (&inner, &read[i].value);
+      wy_field_bytes (&inner, &read[i].name);
+      wy_field_bytes (&inner, &read[i].value);
     }
-  w->bad |= inner.bad;
+  c->failed |= inner.failed;
   *pairs = read;
 }
 
 static void
-walk_segment (struct wy_walk *w, struct wy_segment *s)
+segment_fields (struct wy_field_codec *c, struct wy_segment *s)
 {
-  wy_walk_i64 (w, &s->version);
-  wy_walk_u32 (w, &s->from);
-  wy_walk_u32 (w, &s->to);
+  wy_field_i64 (c, &s->version);
+  wy_field_u32 (c, &s->from);
+  wy_field_u32 (c, &s->to);
 }
 
 /* A list of segments of weight versions.  */
 void
-wy_walk_segments (struct wy_walk *w, const struct wy_segment **segments,
-                  uint32_t *n)
+wy_field_segments (struct wy_field_codec *c,
+                   const struct wy_segment **segments, uint32_t *n)
 {
   struct wy_segment *read;
-  struct wy_walk inner;
+  struct wy_field_codec inner;
 
-  if (w->mode == WY_WALK_COUNT)
+  if (c->mode == WY_FIELD_COUNT)
     {
-      w->n++;
+      c->n++;
       return;
     }
-  if (w->mode == WY_WALK_PACK)
+  if (c->mode == WY_FIELD_PACK)
     {
-      msgpack_pack_array (w->packer, (size_t)*n * SEGMENT_FIELDS);
+      msgpack_pack_array (c->packer, (size_t)*n * SEGMENT_FIELDS);
       for (uint32_t i = 0; i < *n; i++)
         {
           struct wy_segment s = (*segments)[i];
-          walk_segment (w, &s);
+          segment_fields (c, &s);
         }
       return;
     }
-  read = read_list (w, &inner, n, SEGMENT_FIELDS, SEGMENTS_MAX, sizeof *read);
+  read = read_list (c, &inner, n, SEGMENT_FIELDS, SEGMENTS_MAX, sizeof *read);
   for (uint32_t i = 0; i < *n; i++)
-    walk_segment (&inner, &read[i]);
-  w->bad |= inner.bad;
+    segment_fields (&inner, &read[i]);
+  c->failed |= inner.failed;
   *segments = read;
 }
 
 /* A list of hashes of prompt prefixes.  */
 void
-wy_walk_prefixes (struct wy_walk *w, const uint64_t **prefixes, uint32_t *n)
+wy_field_prefixes (struct wy_field_codec *c, const uint64_t **prefixes,
+                   uint32_t *n)
 {
   uint64_t *read;
-  struct wy_walk inner;
+  struct wy_field_codec inner;
 
-  if (w->mode == WY_WALK_COUNT)
+  if (c->mode == WY_FIELD_COUNT)
     {
-      w->n++;
+      c->n++;
       return;
     }
-  if (w->mode == WY_WALK_PACK)
+  if (c->mode == WY_FIELD_PACK)
     {
-      msgpack_pack_array (w->packer, *n);
+      msgpack_pack_array (c->packer, *n);
       for (uint32_t i = 0; i < *n; i++)
-        msgpack_pack_uint64 (w->packer, (*prefixes)[i]);
+        msgpack_pack_uint64 (c->packer, (*prefixes)[i]);
       return;
     }
-  read = read_list (w, &inner, n, 1, PREFIXES_MAX, sizeof *read);
+  read = read_list (c, &inner, n, 1, PREFIXES_MAX, sizeof *read);
   for (uint32_t i = 0; i < *n; i++)
-    wy_walk_u64 (&inner, &read[i]);
-  w->bad |= inner.bad;
+    wy_field_u64 (&inner, &read[i]);
+  c->failed |= inner.failed;
   *prefixes = read;
 }
--- a/src/inner/frame_scan.c
+++ b/src/inner/frame_scan.c
@@ -1,18 +1,18 @@
-/* Check of the shape of a frame before it is unpacked.
+/* Validates the structure of a frame before it is unpacked.
 
-   msgpack-c allocates an array by the length the header claims, before it
-   has seen the items: nine hostile bytes could ask for gigabytes.  This walk
-   over the type bytes admits only what our frames are made of, integers,
-   booleans and byte strings in one array with one level of lists, whose
-   claimed lengths the bytes at hand can hold.  */
+   msgpack-c allocates an array by the length that its header claims, before
+   reading the elements, so nine bytes could make it allocate gigabytes.  This
+   scan accepts only what frames consist of: integers, booleans and byte
+   strings in one array with one level of lists, whose claimed lengths fit into
+   the available bytes.  */
 #include "inner/frame_scan.h"
 
 #include <stdint.h>
 
 enum
 {
-  /* Of all levels together; the longest honest frame is an END with its
-     list of segments full.  */
+  /* Elements of all levels together; the longest valid frame is an END with a
+     full list of segments.  */
   OBJECTS_MAX = 16384,
   DEPTH_MAX = 2,
 
@@ -40,11 +40,11 @@
 struct scan
 {
   const uint8_t *p;
-  size_t n; /* left */
+  size_t n; /* bytes left */
   uint32_t objects;
 };
 
-/* Step over N bytes.  */
+/* Skip N bytes.  */
 static bool
 skip (struct scan *s, uint64_t n)
 {
@@ -55,7 +55,7 @@
   return true;
 }
 
-/* Read a length of SIZE bytes, high byte first.  */
+/* Read a big-endian length of SIZE bytes.  */
 static bool
 read_length (struct scan *s, size_t size, uint32_t *out)
 {
@@ -77,7 +77,7 @@
   return read_length (s, length_size, &n) && skip (s, n);
 }
 
-/* Step over one value that is no array; TYPE is already read.  */
+/* Skip a value that isn't an array; its TYPE has been read.  */
 static bool
 skip_scalar (struct scan *s, uint8_t type)
 {
@@ -111,8 +111,8 @@
     }
 }
 
-/* Read the length of an array whose TYPE is already read.  False when TYPE
-   is none.  */
+/* Read the length of an array whose TYPE has been read.  Returns false if TYPE
+   isn't an array or the length is truncated.  */
 static bool
 array_length (struct scan *s, uint8_t type, uint32_t *out)
 {
@@ -126,7 +126,7 @@
   return type == TYPE_ARRAY32 && read_length (s, 4, out);
 }
 
-/* Tell whether the N bytes at P are one array that may be unpacked.  */
+/* Whether the N bytes at P are one array that can be unpacked.  */
 bool
 wy_frame_scan (const char *p, size_t n)
 {
--- a/src/inner/frame_scan.h
+++ b/src/inner/frame_scan.h
@@ -1,4 +1,4 @@
-/* Check of the shape of a frame before it is unpacked.  */
+/* Validates the structure of a frame before it is unpacked.  */
 #ifndef WY_INNER_FRAME_SCAN_H
 #define WY_INNER_FRAME_SCAN_H
 
--- a/src/inner/frame_util.c
+++ b/src/inner/frame_util.c
@@ -1,9 +1,9 @@
-/* Small helpers of the inner protocol.  */
+/* Helpers for the fields of frames, and names of their constants.  */
 #include <string.h>
 
 #include "inner/frame.h"
 
-/* The bytes of TEXT without its NUL; empty for NULL.  */
+/* Return the bytes of TEXT without its NUL; none if TEXT is NULL.  */
 struct wy_bytes
 wy_bytes_of (const char *text)
 {
@@ -13,7 +13,7 @@
   return b;
 }
 
-/* A copy of B, followed by a NUL; freed with g_free.  */
+/* Return a NUL-terminated copy of B.  Must be freed with g_free.  */
 char *
 wy_bytes_dup (struct wy_bytes b)
 {
@@ -25,14 +25,14 @@
   return copy;
 }
 
-/* Tell whether B is exactly TEXT.  */
+/* Whether B equals TEXT.  */
 bool
 wy_bytes_equal (struct wy_bytes b, const char *text)
 {
   return strlen (text) == b.n && (b.n == 0 || !memcmp (b.p, text, b.n));
 }
 
-/* A short stable name for R, for timelines.  */
+/* Return the name of R in timelines.  */
 const char *
 wy_refusal_reason_name (enum wy_refusal_reason r)
 {
@@ -66,34 +66,34 @@
   return "unknown";
 }
 
-/* Text for an error of the package.  */
+/* Return a description of ERR, an enum wy_inner_error or 0.  */
 const char *
 wy_inner_strerror (int err)
 {
   switch (err)
     {
     case 0:
-      return "closed on this side";
+      return "closed locally";
     case WY_INNER_ETRUNCATED:
       return "frame truncated";
     case WY_INNER_ETOOBIG:
-      return "frame too big";
+      return "frame too large";
     case WY_INNER_EMALFORMED:
       return "frame malformed";
     case WY_INNER_EAUTH:
-      return "key not proved";
+      return "authentication failed";
     case WY_INNER_ECLOSED:
       return "closed by the peer";
-    case WY_INNER_ESILENT:
-      return "peer silent";
+    case WY_INNER_ETIMEDOUT:
+      return "peer timed out";
     case WY_INNER_EPROTOCOL:
-      return "other protocol version";
+      return "unsupported protocol version";
     case WY_INNER_ECONNECT:
       return "cannot connect";
     case WY_INNER_EBIND:
       return "cannot listen";
     case WY_INNER_EBACKLOG:
-      return "peer takes too little";
+      return "peer reads too slowly";
     default:
       return "unknown error";
     }
--- a/src/inner/handshake.c
+++ b/src/inner/handshake.c
@@ -1,13 +1,14 @@
-/* Proof of a shared key, both ways, before anything else is spoken.
-
-   The dialer sends HELLO with a fresh nonce; the listener answers CHALLENGE
-   with its own nonce and a MAC; the dialer proves itself with PROOF; WELCOME
-   ends it.  A MAC covers both nonces, both processes with their incarnations
-   and availability zones, the protocol version and the role of the prover.
-   A recorded handshake is worth nothing against a fresh nonce, a MAC can't be
-   sent back to the side that made it, and a proof made for one process isn't
-   good for another.  The bytes that follow aren't encrypted or signed: the
-   network between the instances is trusted not to alter them.  */
+/* Mutual authentication with a shared key.
+
+   The dialer sends HELLO with a new nonce; the listener replies with
+   CHALLENGE, which contains its own nonce and a MAC; the dialer authenticates
+   with PROOF; WELCOME completes the handshake.  A MAC covers both nonces, both
+   processes with their incarnations and availability zones, the protocol
+   version and the role of its sender.  So a recorded handshake can't be
+   replayed, a MAC can't be reflected to its sender, and a MAC made for one
+   process isn't valid for another.  The frames that follow are neither
+   encrypted nor signed: the network between the instances is trusted not to
+   alter them.  */
 #include <string.h>
 
 #include <openssl/crypto.h>
@@ -17,12 +18,12 @@
 
 #include "inner/conn_state.h"
 
-/* Roles of the prover.  */
+/* Roles of the sender of a MAC.  */
 static const char role_listener[] = "listener";
 static const char role_dialer[] = "dialer";
 
-/* Who stands at one end.  */
-struct party
+/* Identity of one end of the connection.  */
+struct endpoint
 {
   struct wy_bytes process;
   struct wy_bytes incarnation;
@@ -40,7 +41,7 @@
 }
 
 static void
-add_party (GByteArray *text, const struct party *p)
+add_endpoint (GByteArray *text, const struct endpoint *p)
 {
   add (text, p->process.p, p->process.n);
   add (text, p->incarnation.p, p->incarnation.n);
@@ -48,11 +49,11 @@
   add (text, p->nonce, WY_NONCE_SIZE_BYTES);
 }
 
-/* MAC of ROLE with SECRET.  Each field is preceded by its length, so that no
-   two handshakes share a text.  */
+/* Compute the MAC of ROLE with SECRET.  Each field is preceded by its length,
+   so that different fields never yield the same text.  */
 static void
-make_mac (const char *secret, const char *role, const struct party *dialer,
-          const struct party *listener, uint8_t out[WY_MAC_SIZE_BYTES])
+make_mac (const char *secret, const char *role, const struct endpoint *dialer,
+          const struct endpoint *listener, uint8_t out[WY_MAC_SIZE_BYTES])
 {
   GByteArray *text = g_byte_array_new ();
   uint32_t protocol = GUINT32_TO_BE (WY_INNER_PROTOCOL);
@@ -60,29 +61,30 @@
 
   add (text, role, (uint32_t)strlen (role));
   add (text, &protocol, sizeof protocol);
-  add_party (text, dialer);
-  add_party (text, listener);
+  add_endpoint (text, dialer);
+  add_endpoint (text, listener);
   if (!HMAC (EVP_sha256 (), secret, (int)strlen (secret), text->data,
              text->len, out, &n))
     g_error ("HMAC failed");
   g_byte_array_unref (text);
 }
 
-static struct party
-own_party (const struct wy_conn *c)
+static struct endpoint
+own_endpoint (const struct wy_conn *c)
 {
-  struct party p = { wy_bytes_of (c->identity->process),
-                     wy_bytes_of (c->identity->incarnation),
-                     wy_bytes_of (c->identity->availability_zone), c->nonce };
+  struct endpoint p
+      = { wy_bytes_of (c->identity->process),
+          wy_bytes_of (c->identity->incarnation),
+          wy_bytes_of (c->identity->availability_zone), c->nonce };
 
   return p;
 }
 
-static struct party
-peer_party (const struct wy_conn *c)
+static struct endpoint
+peer_endpoint (const struct wy_conn *c)
 {
-  struct party p = { wy_bytes_of (c->process), wy_bytes_of (c->incarnation),
-                     wy_bytes_of (c->availability_zone), c->peer_nonce };
+  struct endpoint p = { wy_bytes_of (c->process), wy_bytes_of (c->incarnation),
+                        wy_bytes_of (c->availability_zone), c->peer_nonce };
 
   return p;
 }
@@ -91,8 +93,8 @@
 mac_of (const struct wy_conn *c, const char *secret, const char *role,
         uint8_t out[WY_MAC_SIZE_BYTES])
 {
-  struct party own = own_party (c);
-  struct party peer = peer_party (c);
+  struct endpoint own = own_endpoint (c);
+  struct endpoint peer = peer_endpoint (c);
   bool dialer = c->listener == NULL;
 
   make_mac (secret, role, dialer ? &own : &peer, dialer ? &peer : &own, out);
@@ -107,7 +109,7 @@
   return NULL;
 }
 
-/* Check the proof P of the peer in ROLE.  */
+/* Check the MAC in P, sent by the peer in ROLE.  */
 static int
 check (const struct wy_conn *c, const struct wy_frame_proof *p,
        const char *role)
@@ -135,13 +137,13 @@
   f.u.proof.process = wy_bytes_of (id->process);
   f.u.proof.incarnation = wy_bytes_of (id->incarnation);
   f.u.proof.availability_zone = wy_bytes_of (id->availability_zone);
-  wy_conn_put (c, &f);
+  wy_conn_enqueue (c, &f);
 }
 
 static int
-learn_peer (struct wy_conn *c, struct wy_bytes process,
-            struct wy_bytes incarnation, struct wy_bytes availability_zone,
-            struct wy_bytes nonce)
+set_peer (struct wy_conn *c, struct wy_bytes process,
+          struct wy_bytes incarnation, struct wy_bytes availability_zone,
+          struct wy_bytes nonce)
 {
   if (nonce.n != sizeof c->peer_nonce || process.n == 0 || incarnation.n == 0)
     return WY_INNER_EMALFORMED;
@@ -153,27 +155,27 @@
 }
 
 static void
-draw_nonce (struct wy_conn *c)
+make_nonce (struct wy_conn *c)
 {
   if (RAND_bytes (c->nonce, sizeof c->nonce) != 1)
-    g_error ("no randomness");
+    g_error ("RAND_bytes failed");
 }
 
-/* Open the handshake, as the dialer.  */
+/* Start the handshake as the dialer.  */
 void
 wy_handshake_hello (struct wy_conn *c)
 {
   const struct wy_inner_identity *id = c->identity;
   struct wy_frame f = { .kind = WY_FRAME_HELLO };
 
-  draw_nonce (c);
+  make_nonce (c);
   f.u.hello.process = wy_bytes_of (id->process);
   f.u.hello.incarnation = wy_bytes_of (id->incarnation);
   f.u.hello.availability_zone = wy_bytes_of (id->availability_zone);
   f.u.hello.nonce = (struct wy_bytes){ (char *)c->nonce, sizeof c->nonce };
   f.u.hello.protocol = WY_INNER_PROTOCOL;
   c->state = WY_CONN_CHALLENGE;
-  wy_conn_put (c, &f);
+  wy_conn_enqueue (c, &f);
 }
 
 static int
@@ -183,11 +185,11 @@
 
   if (h->protocol != WY_INNER_PROTOCOL)
     return WY_INNER_EPROTOCOL;
-  err = learn_peer (c, h->process, h->incarnation, h->availability_zone,
-                    h->nonce);
+  err = set_peer (c, h->process, h->incarnation, h->availability_zone,
+                  h->nonce);
   if (err)
     return err;
-  draw_nonce (c);
+  make_nonce (c);
   c->state = WY_CONN_PROOF;
   send_proof (c, WY_FRAME_CHALLENGE, role_listener);
   return 0;
@@ -196,8 +198,8 @@
 static int
 on_challenge (struct wy_conn *c, const struct wy_frame_proof *p)
 {
-  int err = learn_peer (c, p->process, p->incarnation, p->availability_zone,
-                        p->nonce);
+  int err = set_peer (c, p->process, p->incarnation, p->availability_zone,
+                      p->nonce);
 
   if (!err)
     err = check (c, p, role_listener);
@@ -221,14 +223,14 @@
   f.u.hello.incarnation = wy_bytes_of (id->incarnation);
   f.u.hello.availability_zone = wy_bytes_of (id->availability_zone);
   f.u.hello.protocol = WY_INNER_PROTOCOL;
-  wy_conn_put (c, &f);
-  wy_listener_proved (c);
+  wy_conn_enqueue (c, &f);
+  wy_listener_conn_authenticated (c);
   wy_conn_become_ready (c);
   return 0;
 }
 
-/* Take the next frame of the handshake.  Returns 0 or the error to close
-   with.  */
+/* Handle the next frame of the handshake.  Returns 0 or the error to close the
+   connection with.  */
 int
 wy_handshake_frame (struct wy_conn *c, const struct wy_frame *f)
 {
--- a/src/inner/listener.c
+++ b/src/inner/listener.c
@@ -1,14 +1,14 @@
-/* Listening socket of the inner protocol.  */
+/* Listening socket for connections from other processes.  */
 #include "inner/conn.h"
 #include "inner/conn_state.h"
 
 enum
 {
   LISTEN_BACKLOG = 512,
-  /* Connections whose peers have not proved a key.  Each costs a few
-     kilobytes until its handshake times out; a flood of them is cut here and
-     those that are ready live on.  */
-  UNPROVED_MAX = 256
+  /* Limit of connections whose peers haven't authenticated.  Each costs a few
+     kilobytes until its handshake times out.  Above the limit new connections
+     are closed; established ones aren't affected.  */
+  UNAUTHENTICATED_MAX = 256
 };
 
 struct wy_listener
@@ -16,9 +16,9 @@
   uv_tcp_t tcp; /* must stay first */
   struct wy_listener_options o;
   uint16_t port;
-  uint32_t unproved;
-  uint32_t conns; /* that refer to this */
-  bool closed;    /* the socket is */
+  uint32_t unauthenticated;
+  uint32_t conns; /* connections that refer to this listener */
+  bool closed;    /* the socket is closed */
 };
 
 static void
@@ -28,24 +28,24 @@
     g_free (l);
 }
 
-/* C is gone.  */
+/* Remove C, which is closed, from its listener.  */
 void
-wy_listener_forget (struct wy_conn *c)
+wy_listener_conn_closed (struct wy_conn *c)
 {
   struct wy_listener *l = c->listener;
 
-  if (!c->proved)
-    l->unproved--;
+  if (!c->authenticated)
+    l->unauthenticated--;
   l->conns--;
   free_if_unused (l);
 }
 
-/* The peer of C has proved its key.  */
+/* Record that the peer of C has authenticated.  */
 void
-wy_listener_proved (struct wy_conn *c)
+wy_listener_conn_authenticated (struct wy_conn *c)
 {
-  c->proved = true;
-  c->listener->unproved--;
+  c->authenticated = true;
+  c->listener->unauthenticated--;
 }
 
 static void
@@ -60,8 +60,9 @@
   wy_conn_init (c, l->o.identity, WY_CONN_HELLO);
   c->listener = l;
   l->conns++;
-  l->unproved++;
-  if (uv_accept (s, (uv_stream_t *)&c->tcp) || l->unproved > UNPROVED_MAX)
+  l->unauthenticated++;
+  if (uv_accept (s, (uv_stream_t *)&c->tcp)
+      || l->unauthenticated > UNAUTHENTICATED_MAX)
     {
       wy_conn_fail (c, WY_INNER_ECLOSED);
       return;
@@ -70,7 +71,7 @@
   wy_conn_start_reading (c);
 }
 
-/* Listen as O says and store the listener in OUT.  Returns 0 or
+/* Listen as described by O and store the listener in OUT.  Returns 0 or
    WY_INNER_EBIND.  */
 int
 wy_listener_new (struct wy_listener **out, const struct wy_listener_options *o)
@@ -95,7 +96,7 @@
   return 0;
 }
 
-/* The port L listens on.  */
+/* Return the port that L listens on.  */
 uint16_t
 wy_listener_port (const struct wy_listener *l)
 {
@@ -111,8 +112,8 @@
   free_if_unused (l);
 }
 
-/* Stop listening.  Open connections live on; L is freed after the last of
-   them.  */
+/* Stop listening.  Open connections continue; L is freed after the last of
+   them is closed.  */
 void
 wy_listener_close (struct wy_listener *l)
 {
--- a/tests/test_agent_engine.c
+++ b/tests/test_agent_engine.c
@@ -1,4 +1,4 @@
-/* An agent beside the stand-in engine, a process of its own.  */
+/* An agent with the stand-in engine, which runs as a separate process.  */
 #include <criterion/criterion.h>
 #include <signal.h>
 #include <string.h>
@@ -22,7 +22,7 @@
 }
 
 static bool
-first_begun (struct world *w)
+first_has_output (struct world *w)
 {
   return w->entry[0].body->len > 0;
 }
@@ -39,7 +39,7 @@
   return !w->entry[0].load.target_up;
 }
 
-/* Start an engine with MORE settings, and an agent beside it.  */
+/* Start an engine with the additional settings MORE, and an agent for it.  */
 static void
 start (struct world *w, struct wy_proc *p, const char *more)
 {
@@ -60,7 +60,7 @@
 }
 
 static void
-check_whole (const struct peer *p)
+check_complete (const struct peer *p)
 {
   cr_assert_eq (p->end.result, WY_RUN_DONE);
   cr_assert_not (p->gap);
@@ -83,10 +83,10 @@
   return s;
 }
 
-/* A rollout holds nearly all KV memory when a caller comes that needs it too.
-   Its state is taken out of the engine, the caller is served, and the rollout
-   goes on where it was: one run, no token lost or doubled.  */
-Test (agent_engine, rollout_is_moved_out_for_a_caller)
+/* A rollout uses nearly all KV memory when a caller's request needs it.  The
+   rollout is exported from the engine, the request runs, and the rollout
+   resumes where it stopped: one run, no token lost or repeated.  */
+Test (agent_engine, rollout_is_exported_for_a_caller)
 {
   struct world w;
   struct wy_proc engine;
@@ -98,18 +98,18 @@
          "kv_total: 400\ntokens_median: 2000\ntokens_sigma: 0.0\n"
          "token_base_us: 2000\n");
   agent_world_send_submit (&w, 0, &rollout);
-  agent_world_until (&w, first_begun);
+  agent_world_until (&w, first_has_output);
   caller.max_tokens = 150;
   caller.predicted_tokens = 150;
   caller.body = wy_bytes_of ("{\"model\":\"pattern\",\"prompt\":\"short\","
                              "\"max_tokens\":150}");
   agent_world_send_submit (&w, 1, &caller);
   agent_world_until (&w, second_ended);
-  check_whole (&w.entry[1]);
+  check_complete (&w.entry[1]);
   cr_assert_eq (w.entry[1].end.tokens, 150);
   cr_assert_eq (w.entry[0].ends, 0);
   agent_world_until (&w, first_ended);
-  check_whole (&w.entry[0]);
+  check_complete (&w.entry[0]);
   cr_assert_eq (w.entry[0].end.tokens, 300);
   cr_assert_geq (json_array_size (agent_world_events (&w, "run.resumed")), 1);
   cr_assert_eq (json_array_size (agent_world_events (&w, "run.start")), 2);
@@ -118,9 +118,9 @@
   stop (&engine);
 }
 
-/* New weights come into force in the middle of an answer.  Its segments name
+/* New weights are activated while a response is generated.  Its segments name
    both versions.  */
-Test (agent_engine, swap_in_the_middle_of_an_answer)
+Test (agent_engine, weight_swap_during_a_response)
 {
   struct world w;
   struct wy_proc engine;
@@ -130,7 +130,7 @@
          "tokens_median: 2000\ntokens_sigma: 0.0\ntoken_base_us: 2000\n"
          "activate_ms: 10\nload_lag_ms: 20\n");
   agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, first_begun);
+  agent_world_until (&w, first_has_output);
   for (int i = 0; i < 2; i++)
     {
       agent_world_order (&w, 1, "o", WY_ORDER_STAGE, 3, 2);
@@ -139,16 +139,17 @@
   agent_world_order (&w, 1, "o", WY_ORDER_ACTIVATE, 3, 2);
   agent_world_until (&w, new_version);
   agent_world_until (&w, first_ended);
-  check_whole (&w.entry[0]);
+  check_complete (&w.entry[0]);
   cr_assert_eq (w.entry[0].end.n_segments, 2);
   cr_assert_eq (w.entry[0].segments[0].version, 1);
   cr_assert_eq (w.entry[0].segments[1].version, 2);
   stop (&engine);
 }
 
-/* A request kills each engine that runs it.  The run is told as crashed, and
-   the target as down, while the agent and its other connections live.  */
-Test (agent_engine, request_that_kills_its_engine)
+/* A request that crashes every engine that runs it.  The run is reported as
+   crashed and the target as down; the agent and its other connections stay
+   up.  */
+Test (agent_engine, request_that_crashes_its_engine)
 {
   struct world w;
   struct wy_proc engine;
@@ -203,7 +204,8 @@
   return p.text;
 }
 
-/* What operators see of a target that is up, and of one that left.  */
+/* Health checks and metrics of a target that is up, and after it was
+   drained.  */
 Test (agent_engine, health_and_metrics)
 {
   struct world w;
--- a/tests/test_agent_model.c
+++ b/tests/test_agent_model.c
@@ -1,4 +1,4 @@
-/* An agent beside a model engine: runs, resumes, crashes, pauses.  */
+/* An agent with a model engine: runs, resumes, crashes, pauses.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -32,7 +32,7 @@
 }
 
 static bool
-some_body (struct world *w)
+first_has_output (struct world *w)
 {
   return w->entry[0].body->len > 0;
 }
@@ -50,7 +50,7 @@
 }
 
 static void
-check_whole (const struct peer *p)
+check_complete (const struct peer *p)
 {
   cr_assert_eq (p->end.result, WY_RUN_DONE);
   cr_assert_eq (p->end.ran, WY_RAN_YES);
@@ -59,7 +59,7 @@
   cr_assert_eq (p->end.digest, wy_hash64 (p->body->data, p->body->len, 0));
 }
 
-Test (agent_model, answer_with_its_versions)
+Test (agent_model, response_with_its_versions)
 {
   struct world w;
   struct wy_frame_submit s = agent_world_submit_model ("r1");
@@ -74,7 +74,7 @@
   agent_world_tokens (&w, 0, 5);
   agent_world_finish (&w, 0);
   agent_world_until (&w, first_ended);
-  check_whole (&w.entry[0]);
+  check_complete (&w.entry[0]);
   cr_assert_eq (w.entry[0].status, 200);
   cr_assert_eq (w.entry[0].end.tokens, 15);
   cr_assert_eq (w.entry[0].end.n_segments, 2);
@@ -88,9 +88,9 @@
   cr_assert_eq (json_array_size (agent_world_events (&w, "run.end")), 1);
 }
 
-/* The connection to the entry is lost in the middle of an answer.  The entry
-   dials anew and asks from where it was; the caller sees one answer, whole
-   and from one run.  */
+/* The connection to the entry is lost during a response.  The entry reconnects
+   and resumes at its offset; the caller receives one complete response of one
+   run.  */
 Test (agent_model, resume_at_the_offset)
 {
   struct world w;
@@ -102,7 +102,7 @@
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
   agent_world_tokens (&w, 0, 10);
-  agent_world_until (&w, some_body);
+  agent_world_until (&w, first_has_output);
   agent_world_cut (&w, 0);
   agent_world_tokens (&w, 0, 10);
   agent_world_dial (&w, 0);
@@ -112,14 +112,14 @@
   agent_world_tokens (&w, 0, 10);
   agent_world_finish (&w, 0);
   agent_world_until (&w, first_ended);
-  check_whole (&w.entry[0]);
+  check_complete (&w.entry[0]);
   cr_assert_eq (w.entry[0].end.tokens, 30);
   cr_assert_eq (w.n_calls, 1);
 }
 
-/* The same request comes by two entries while it runs.  It runs once, and
-   both get the whole of it.  */
-Test (agent_model, second_sending_joins_the_run)
+/* The same request arrives through two entries while it runs.  It runs once,
+   and both receive the complete response.  */
+Test (agent_model, second_attempt_joins_the_run)
 {
   struct world w;
   struct wy_frame_submit s = agent_world_submit_model ("r1");
@@ -129,21 +129,21 @@
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
   agent_world_tokens (&w, 0, 10);
-  agent_world_until (&w, some_body);
+  agent_world_until (&w, first_has_output);
   agent_world_send_submit (&w, 1, &s);
   agent_world_tokens (&w, 0, 10);
   agent_world_finish (&w, 0);
   agent_world_until (&w, first_ended);
   agent_world_until (&w, second_ended);
-  check_whole (&w.entry[0]);
-  check_whole (&w.entry[1]);
+  check_complete (&w.entry[0]);
+  check_complete (&w.entry[1]);
   cr_assert_eq (w.n_calls, 1);
   cr_assert_eq (w.entry[1].accepted, 1);
 }
 
-/* The engine dies in the middle of a stream.  The entry is told that the run
-   crashed, and may run the request again; the broken part is of no use.  */
-Test (agent_model, engine_dies_in_the_middle)
+/* The engine fails during a stream.  The entry is told that the run crashed,
+   and may run the request again; the partial response is discarded.  */
+Test (agent_model, engine_fails_during_a_stream)
 {
   struct world w;
   struct wy_frame_submit s = agent_world_submit_model ("r1");
@@ -153,7 +153,7 @@
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
   agent_world_tokens (&w, 0, 10);
-  agent_world_until (&w, some_body);
+  agent_world_until (&w, first_has_output);
   w.incarnation = "engine-b";
   w.version = 3;
   wy_http_stream_abort (w.calls[0].ex);
@@ -161,8 +161,8 @@
   cr_assert_eq (w.entry[0].end.result, WY_RUN_CRASHED);
   cr_assert_eq (w.entry[0].end.ran, WY_RAN_UNKNOWN);
   cr_assert_eq (w.entry[0].end.n_segments, 0);
-  /* The entry goes elsewhere and owes no word about it: a stop later on is
-     not held up and cuts nothing.  */
+  /* The entry retries elsewhere and doesn't acknowledge this run.  A later
+     stop must not wait for it or count it as aborted.  */
   wy_agent_stop (w.agent);
   agent_world_until (&w, has_stopped);
   cr_assert_eq (w.cut, 0);
@@ -174,10 +174,9 @@
   return w->entry[0].load.version == 3;
 }
 
-/* An engine restarts between two looks of the agent, with the weights it was
-   built with.  A sample that was under way by then, and whose connection
-   still lived, names no versions, so that it is not used; entries learn of
-   the old version.  */
+/* An engine restarts between two polls of the agent, with its initial weights.
+   A sample in progress whose connection is still open gets no weight versions,
+   so that it isn't used; entries are told the old version.  */
 Test (agent_model, engine_restarts_with_old_weights)
 {
   struct world w;
@@ -201,8 +200,8 @@
   cr_assert_eq (json_array_size (versions), 2);
 }
 
-/* An engine mixes two streams up: a token of another run arrives.  The run
-   ends there, before the foreign text goes on to the caller.  */
+/* An engine confuses two streams, and a token of another run arrives.  The run
+   ends before that text reaches the caller.  */
 Test (agent_model, token_of_another_run)
 {
   struct world w;
@@ -222,9 +221,9 @@
                                 w.entry[0].body->len, "foreign"));
 }
 
-/* A target that can't be reached takes no work.  The refusal says "not run",
-   which is proven, and the entry goes elsewhere at once.  */
-Test (agent_model, target_away)
+/* An unreachable target accepts no work.  The rejection says "not run", which
+   is proven, so the entry retries elsewhere at once.  */
+Test (agent_model, target_unreachable)
 {
   struct world w;
   struct wy_frame_submit s = agent_world_submit_model ("r1");
@@ -253,9 +252,9 @@
   return strstr (w->controls->str, "/control/resume") != NULL;
 }
 
-/* A rollout fills the target when a caller comes.  The rollout stands still
-   until the caller is served, and then ends whole.  */
-Test (agent_model, rollout_gives_way_to_a_caller)
+/* A rollout uses the target's only stream when a caller's request arrives.
+   The rollout is paused until the request has run, and then completes.  */
+Test (agent_model, rollout_is_paused_for_a_caller)
 {
   struct world w;
   struct wy_frame_submit rollout = agent_world_submit_model ("sample");
@@ -276,12 +275,12 @@
   agent_world_tokens (&w, 1, 4);
   agent_world_finish (&w, 1);
   agent_world_until (&w, second_ended);
-  check_whole (&w.entry[1]);
+  check_complete (&w.entry[1]);
   agent_world_until (&w, was_resumed);
   agent_world_tokens (&w, 0, 3);
   agent_world_finish (&w, 0);
   agent_world_until (&w, first_ended);
-  check_whole (&w.entry[0]);
+  check_complete (&w.entry[0]);
   cr_assert_eq (w.entry[0].end.tokens, 6);
   cr_assert_eq (json_array_size (agent_world_events (&w, "run.paused")), 1);
   cr_assert_eq (json_array_size (agent_world_events (&w, "run.resumed")), 1);
@@ -293,10 +292,10 @@
   return strstr (w->controls->str, "/control/cancel") != NULL;
 }
 
-/* The entry of a caller dies and nobody asks for the answer any more.  After
-   a grace the engine is told to stop, so that it works for those who still
-   wait.  */
-Test (agent_model, abandoned_run_is_cancelled)
+/* The entry of a caller fails and nobody fetches the response.  After
+   orphan_grace_ms the run is cancelled on the engine, to free it for
+   others.  */
+Test (agent_model, orphaned_run_is_cancelled)
 {
   struct world w;
   struct wy_frame_submit s = agent_world_submit_model ("r1");
@@ -306,14 +305,14 @@
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
   agent_world_tokens (&w, 0, 1);
-  agent_world_until (&w, some_body);
+  agent_world_until (&w, first_has_output);
   agent_world_cut (&w, 0);
   agent_world_until (&w, was_cancelled);
   cr_assert_eq (json_array_size (agent_world_events (&w, "run.end")), 1);
 }
 
-/* A stream stops bringing tokens though its connection is open: something has
-   lost track of it.  It counts as crashed.  */
+/* A stream sends no more tokens though its connection is open, because its
+   state was lost somewhere.  The run counts as crashed.  */
 Test (agent_model, silent_stream_counts_as_crashed)
 {
   struct world w;
@@ -329,7 +328,7 @@
   cr_assert_eq (w.entry[0].end.result, WY_RUN_CRASHED);
 }
 
-/* A rollout is to generate with a version that this engine hasn't yet.  */
+/* A rollout requires a weight version that this engine doesn't have yet.  */
 Test (agent_model, version_not_served)
 {
   struct world w;
--- a/tests/test_agent_orders.c
+++ b/tests/test_agent_orders.c
@@ -1,4 +1,4 @@
-/* Orders to the target, and leaving.  */
+/* Orders to the target, draining, stopping, and the weight relay.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -38,13 +38,13 @@
 }
 
 static bool
-three_answers (struct world *w)
+three_results (struct world *w)
 {
   return w->entry[0].ordered == 3;
 }
 
 static bool
-both_told (struct world *w)
+both_notified (struct world *w)
 {
   return w->entry[0].leaving > 0 && w->entry[1].leaving > 0;
 }
@@ -56,7 +56,7 @@
 }
 
 static bool
-comes_back (struct world *w)
+is_undrained (struct world *w)
 {
   return !w->entry[0].load.leaving;
 }
@@ -72,7 +72,7 @@
   return w->entry[i].order.result;
 }
 
-/* Give an order, once more when the agent wants it confirmed.  */
+/* Send an order, and repeat it if the agent requests a confirmation.  */
 static int32_t
 order_confirmed (struct world *w, uint32_t i, enum wy_order_kind kind,
                  int64_t fence, int64_t version)
@@ -100,10 +100,10 @@
                 2);
 }
 
-/* Load reports lag, so for a while after a swap they name the version before.
-   Taken for true, the target would seem to fall back to old weights, and its
-   version would flip for everybody who reads the status.  */
-Test (agent_orders, late_load_report_after_a_swap)
+/* Load reports are delayed, so for some time after a swap they name the old
+   version.  If the agent used them, the target would seem to go back to old
+   weights, and its version would alternate in the status.  */
+Test (agent_orders, delayed_load_report_after_a_swap)
 {
   struct world w;
 
@@ -114,14 +114,14 @@
   cr_assert_eq (order (&w, 0, WY_ORDER_ACTIVATE, 5, 8), WY_ORDER_OK);
   agent_world_for_ms (&w, 400);
   cr_assert_eq (order (&w, 0, WY_ORDER_STAGE, 5, 9), WY_ORDER_OK);
-  /* The version it started with, and the one it was swapped to.  */
+  /* The version it started with, and the one after the swap.  */
   cr_assert_eq (json_array_size (agent_world_events (&w, "target.version")),
                 2);
 }
 
-/* The holder of a rollout's lease is paused; another takes over.  The first
-   one wakes up and goes on giving orders.  This engine takes orders from
-   anyone, so its agent refuses them.  */
+/* The holder of a rollout's lease is paused and another process takes the
+   lease.  The first one continues and sends orders.  This engine accepts
+   orders from anyone, so its agent must reject them.  */
 Test (agent_orders, holder_that_lost_its_lease)
 {
   struct world w;
@@ -135,11 +135,10 @@
   cr_assert_eq (w.entry[0].order.highest_fence, 6);
 }
 
-/* The agent restarted and knows no fencing number any more when orders come
-   that a paused holder sent in one go.  They are sent back, however many
-   there are; only one that was given after the answer came through is
-   taken.  */
-Test (agent_orders, memory_of_the_fence_is_lost)
+/* The agent has restarted and knows no fencing token when several orders
+   arrive that a paused holder sent together.  All of them are sent back; only
+   one sent after that reply arrived is executed.  */
+Test (agent_orders, fencing_token_unknown_after_restart)
 {
   struct world w;
 
@@ -149,15 +148,15 @@
   agent_world_for_ms (&w, 50);
   for (int i = 0; i < 3; i++)
     agent_world_order (&w, 0, "o", WY_ORDER_STAGE, 5, 8);
-  agent_world_until (&w, three_answers);
+  agent_world_until (&w, three_results);
   cr_assert_eq (w.entry[0].order.result, WY_ORDER_ECONFIRM);
   cr_assert_eq (w.staged, 0);
   agent_world_for_ms (&w, 100);
   cr_assert_eq (order (&w, 0, WY_ORDER_STAGE, 5, 8), WY_ORDER_OK);
 }
 
-/* The engine itself knows a higher number than its agent.  */
-Test (agent_orders, engine_knows_better)
+/* The engine knows a higher fencing token than its agent.  */
+Test (agent_orders, engine_knows_a_higher_token)
 {
   struct world w;
 
@@ -172,8 +171,8 @@
 }
 
 /* The engine can't load the new weights.  The old version stays in force, and
-   the answer names it.  */
-Test (agent_orders, swap_that_fails)
+   the result names it.  */
+Test (agent_orders, failed_swap)
 {
   struct world w;
 
@@ -185,10 +184,10 @@
   cr_assert_eq (w.entry[0].order.version, 7);
 }
 
-/* An agent leaves.  All entries hear of it from itself, not from the lagging
-   list; what runs ends whole; what comes now is refused as not run; the end
-   comes when the last answer was acknowledged.  */
-Test (agent_orders, graceful_stop_cuts_nothing)
+/* An agent stops.  It notifies all entries itself, since the instance list is
+   delayed; runs in progress complete; new requests are rejected as not run;
+   the agent ends when the last result was acknowledged.  */
+Test (agent_orders, graceful_stop_aborts_nothing)
 {
   struct world w;
   struct wy_frame_submit s = agent_world_submit_model ("r1");
@@ -200,7 +199,7 @@
   agent_world_until (&w, one_call);
   agent_world_tokens (&w, 0, 3);
   wy_agent_stop (w.agent);
-  agent_world_until (&w, both_told);
+  agent_world_until (&w, both_notified);
   agent_world_send_submit (&w, 0, &late);
   agent_world_until (&w, first_refused);
   cr_assert_eq (w.entry[0].reason, WY_REFUSED_LEAVING);
@@ -212,16 +211,16 @@
   agent_world_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_DONE);
   agent_world_for_ms (&w, 150);
-  cr_assert_not (w.stopped, "the answer isn't acknowledged");
+  cr_assert_not (w.stopped, "the result isn't acknowledged");
   agent_world_send (&w, 0, WY_FRAME_ACK, "r1", w.entry[0].end_run, 0);
   agent_world_until (&w, has_stopped);
   cr_assert_eq (w.cut, 0);
   cr_assert_eq (w.n_calls, 1);
 }
 
-/* An operator loses patience and ends the agent at once.  It says how many
-   requests that cuts off.  */
-Test (agent_orders, second_signal_says_what_it_cut)
+/* An operator ends the agent immediately during a graceful stop.  It reports
+   how many requests are aborted.  */
+Test (agent_orders, immediate_stop_reports_aborted_requests)
 {
   struct world w;
   struct wy_frame_submit s = agent_world_submit_model ("r1");
@@ -231,15 +230,15 @@
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
   wy_agent_stop (w.agent);
-  agent_world_until (&w, both_told);
+  agent_world_until (&w, both_notified);
   cr_assert_eq (wy_agent_stop_now (w.agent), 1);
   cr_assert_eq (w.cut, 1);
 }
 
-/* Work that still waits when its target is drained goes back at once, proven
-   not to have run, and can be placed elsewhere.  Then the target is taken
-   back.  */
-Test (agent_orders, drain_and_back)
+/* Requests that are waiting when the target is drained are rejected at once,
+   proven not to have run, and can run elsewhere.  Then the target is
+   undrained.  */
+Test (agent_orders, drain_and_undrain)
 {
   struct world w;
   struct wy_frame_submit running = agent_world_submit_model ("r1");
@@ -256,9 +255,9 @@
   agent_world_until (&w, first_refused);
   cr_assert_eq (w.entry[0].reason, WY_REFUSED_LEAVING);
   cr_assert_eq (w.entry[0].refused_ran, WY_RAN_NO);
-  agent_world_until (&w, both_told);
+  agent_world_until (&w, both_notified);
   cr_assert_eq (order (&w, 1, WY_ORDER_UNDRAIN, 0, 0), WY_ORDER_OK);
-  agent_world_until (&w, comes_back);
+  agent_world_until (&w, is_undrained);
   agent_world_tokens (&w, 0, 1);
   agent_world_finish (&w, 0);
   agent_world_send_submit (&w, 0, &waiting);
@@ -266,9 +265,9 @@
   agent_world_until (&w, one_call);
 }
 
-/* Two keys under which an agent may not have told apart a delayed sending: an
-   entry that dialled anew has given its old connection up, so what still
-   comes by it is not read.  */
+/* An entry that reconnects has given up its old connection.  The agent must
+   close it: a SUBMIT delayed there could run after the entry had reported "not
+   run".  */
 Test (agent_orders, older_connection_of_an_entry_is_closed)
 {
   struct world w;
@@ -314,7 +313,7 @@
 }
 
 /* Many agents stage a version at once and the weight store is rate-limited.
-   Parts that one agent has fetched go on to others from its memory.  */
+   Parts that an agent has fetched are served to others from its cache.  */
 Test (agent_orders, weights_are_relayed)
 {
   struct world w;
