--- a/tests/test_agent_service.c
+++ b/tests/test_agent_service.c
@@ -1,4 +1,4 @@
-/* An agent beside a plain service whose calls may not be repeated.  */
+/* An agent with a plain service whose requests may be non-idempotent.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -43,8 +43,8 @@
   return w->entry[0].config_revision == 1;
 }
 
-/* Start, with the target as the only member, and wait until keys issued now
-   are past what this incarnation can't tell.  */
+/* Start with the target as the only member, and wait until keys issued now are
+   newer than the start of this incarnation by more than the clock skew.  */
 static void
 start (struct world *w)
 {
@@ -56,14 +56,14 @@
 }
 
 static void
-answer (struct world *w, uint32_t call, int status, const char *text)
+respond (struct world *w, uint32_t call, int status, const char *text)
 {
   wy_http_on_abort (w->calls[call].ex, NULL, NULL);
   wy_http_respond (w->calls[call].ex, status, "application/json", text,
                    strlen (text));
 }
 
-Test (agent_service, request_and_answer_go_through)
+Test (agent_service, request_and_response_are_forwarded)
 {
   struct world w;
   struct wy_frame_submit s;
@@ -75,7 +75,7 @@
   cr_assert_str_eq (w.calls[0].path, "/filings");
   cr_assert_str_eq (w.calls[0].body, "{\"key\":\"k\"}");
   cr_assert_str_eq (w.calls[0].request, "portal:k1");
-  answer (&w, 0, 201, "{\"serial\":1}");
+  respond (&w, 0, 201, "{\"serial\":1}");
   agent_world_until (&w, first_ended);
   cr_assert_eq (w.entry[0].status, 201);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_DONE);
@@ -83,9 +83,9 @@
   cr_assert_eq (w.entry[0].body->len, 12);
 }
 
-/* The entry dies after it handed a filing over.  The caller sends the filing
-   again through another entry, twice: while it runs and after it ended.  It
-   runs once, and the caller gets the answer of that run.  */
+/* The entry fails after it submitted a filing.  The caller sends the filing
+   again through another entry, twice: while it runs and after it has ended.
+   It runs once, and the caller receives the response of that run.  */
 Test (agent_service, sent_again_through_another_entry)
 {
   struct world w;
@@ -97,10 +97,10 @@
   agent_world_until (&w, one_call);
   agent_world_cut (&w, 0);
   agent_world_for_ms (&w, 2 * (uint32_t)w.s.orphan_grace_ms);
-  cr_assert_not (w.calls[0].gone, "a filing runs to its end");
+  cr_assert_not (w.calls[0].gone, "a filing runs to completion");
   agent_world_send_submit (&w, 1, &s);
   agent_world_for_ms (&w, 20);
-  answer (&w, 0, 200, "{\"serial\":1}");
+  respond (&w, 0, 200, "{\"serial\":1}");
   agent_world_until (&w, second_ended);
   agent_world_send (&w, 1, WY_FRAME_ACK, "portal:k1", w.entry[1].end_run, 0);
   agent_world_dial (&w, 0);
@@ -112,10 +112,10 @@
   cr_assert_eq (w.entry[0].end.digest, w.entry[1].end.digest);
 }
 
-/* The service dies in the middle of a filing.  Whether it was recorded nobody
-   knows, and nobody may try: the answer is "unknown", now and when the caller
+/* The service fails during a filing.  Whether it was recorded is unknown, and
+   it must not run again: the outcome is "unknown", now and when the caller
    sends it again.  */
-Test (agent_service, service_dies_in_a_filing)
+Test (agent_service, service_fails_during_a_filing)
 {
   struct world w;
   struct wy_frame_submit s;
@@ -135,25 +135,26 @@
   cr_assert_eq (w.n_calls, 1);
 }
 
-/* What a fresh incarnation of the agent says of keys it can't know.  */
+/* The response of a new incarnation of the agent to a key it has no memory
+   of.  */
 struct key_case
 {
   const char *what;
-  int64_t issued_after_ms; /* from now; INT64_MIN: not told */
-  bool mine;
+  int64_t issued_after_ms; /* from now; INT64_MIN: no issue time */
+  bool is_home;
   enum wy_refusal_reason reason;
   enum wy_ran ran;
 };
 
-/* The agent has restarted, and with its memory went what it had run.  A key
-   from before may have run: it isn't run again, and isn't said not to have.
-   One from the far future is no key that can be vouched for.  */
+/* The agent has restarted and lost its memory of keys.  A key from before may
+   have run: it isn't run again, and isn't reported as not run.  A key from the
+   far future is rejected.  */
 Test (agent_service, keys_that_are_not_run)
 {
   const struct key_case table[] = {
-    { "from before the start", -60000, true, WY_REFUSED_TOO_OLD,
+    { "issued before the start", -60000, true, WY_REFUSED_TOO_OLD,
       WY_RAN_UNKNOWN },
-    { "from the future", 60000, true, WY_REFUSED_TOO_NEW, WY_RAN_NO },
+    { "issued in the future", 60000, true, WY_REFUSED_TOO_NEW, WY_RAN_NO },
     { "without issue time", INT64_MIN, true, WY_REFUSED_TOO_OLD,
       WY_RAN_UNKNOWN },
     { "of another member", 0, false, WY_REFUSED_NOT_HOME, WY_RAN_UNKNOWN },
@@ -165,7 +166,7 @@
       struct wy_frame_submit s;
 
       start (&w);
-      if (!table[i].mine)
+      if (!table[i].is_home)
         {
           agent_world_config (&w, 0, 2, "\"t-2\"");
           agent_world_for_ms (&w, 4 * (uint32_t)w.s.clock_skew_ms);
@@ -183,8 +184,8 @@
     }
 }
 
-/* No entry has told the agent who the members are yet.  It can't know whether
-   the filing is its own to run.  */
+/* No entry has sent the agent the member list yet, so it can't know whether it
+   is the home of the filing.  */
 Test (agent_service, no_configuration_yet)
 {
   struct world w;
@@ -200,8 +201,8 @@
   cr_assert_eq (w.entry[0].refused_ran, WY_RAN_UNKNOWN);
 }
 
-/* An entry that slept comes back with an old configuration.  The agent keeps
-   the newer one and tells it.  */
+/* An entry that was paused sends an old configuration.  The agent keeps the
+   newer one and sends it to the entry.  */
 Test (agent_service, configuration_never_goes_back)
 {
   struct world w;
@@ -217,8 +218,8 @@
                 2);
 }
 
-/* Results that no entry has fetched yet fill the memory.  New work is refused
-   before it runs, rather than a result dropped that somebody waits for.  */
+/* Results that no entry has fetched fill the memory.  New work is rejected
+   before it runs; no result that somebody waits for is discarded.  */
 Test (agent_service, results_fill_the_memory)
 {
   struct world w;
@@ -230,7 +231,7 @@
   s = agent_world_submit_service (&w, "r1", false);
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
-  answer (&w, 0, 200, large);
+  respond (&w, 0, 200, large);
   agent_world_until (&w, first_ended);
   s = agent_world_submit_service (&w, "r2", false);
   agent_world_send_submit (&w, 1, &s);
@@ -244,7 +245,8 @@
   agent_world_until (&w, one_call);
 }
 
-/* File KEY by entry 0, with an answer of N bytes that is acknowledged.  */
+/* Submit KEY through entry 0, with a response of N bytes, and acknowledge
+   it.  */
 static void
 file_and_acknowledge (struct world *w, const char *key, size_t n)
 {
@@ -256,16 +258,16 @@
   g_byte_array_set_size (w->entry[0].body, 0);
   agent_world_send_submit (w, 0, &s);
   agent_world_until (w, one_call);
-  answer (w, 0, 200, text);
+  respond (w, 0, 200, text);
   agent_world_until (w, first_ended);
   agent_world_send (w, 0, WY_FRAME_ACK, key, w->entry[0].end_run, 0);
   g_free (text);
 }
 
-/* Callers send filings again whose answers they lost on the last stretch.
-   Answers that entries have taken are kept for that, the latest longest.  Of
-   one that had to go it is still known that it ran.  */
-Test (agent_service, oldest_answers_go_first)
+/* Callers send a filing again if its response was lost between entry and
+   caller.  Acknowledged results are retained for that, the latest longest.  If
+   a result was discarded, it is still known that the filing ran.  */
+Test (agent_service, oldest_results_are_discarded_first)
 {
   struct world w;
   struct wy_frame_submit s;
@@ -290,12 +292,12 @@
 }
 
 static bool
-told_outcome (struct world *w)
+outcome_received (struct world *w)
 {
   return w->entry[1].outcomes > 0;
 }
 
-/* A caller whose answer was lost asks what became of its filing.  */
+/* A caller whose response was lost queries the outcome of its filing.  */
 Test (agent_service, outcome_by_identifier)
 {
   struct world w;
@@ -305,21 +307,21 @@
   s = agent_world_submit_service (&w, "portal:k1", true);
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
-  answer (&w, 0, 200, "{}");
+  respond (&w, 0, 200, "{}");
   agent_world_until (&w, first_ended);
   agent_world_send (&w, 1, WY_FRAME_QUERY, "portal:k1", "", 0);
-  agent_world_until (&w, told_outcome);
+  agent_world_until (&w, outcome_received);
   cr_assert_eq (w.entry[1].outcome.result, WY_RUN_DONE);
   cr_assert_eq (w.entry[1].outcome.ran, WY_RAN_YES);
   w.entry[1].outcomes = 0;
   agent_world_send (&w, 1, WY_FRAME_QUERY, "portal:never", "", 0);
-  agent_world_until (&w, told_outcome);
+  agent_world_until (&w, outcome_received);
   cr_assert_eq (w.entry[1].outcome.ran, WY_RAN_UNKNOWN);
 }
 
-/* A header or path with a line break would smuggle a second request to the
+/* A header or path with a line break would inject a second request to the
    service.  */
-Test (agent_service, line_breaks_are_refused)
+Test (agent_service, line_breaks_are_rejected)
 {
   struct world w;
   struct wy_frame_submit s;
@@ -340,9 +342,9 @@
   cr_assert_eq (w.n_calls, 0);
 }
 
-/* An answer much larger than what a connection may hold unsent, followed from
-   the beginning by a second entry after it is complete.  */
-Test (agent_service, large_answer_is_replayed)
+/* A response much larger than the limit of unsent bytes is fetched from the
+   beginning by a second entry after it is complete.  */
+Test (agent_service, large_response_is_replayed)
 {
   struct world w;
   struct wy_frame_submit s;
@@ -352,7 +354,7 @@
   s = agent_world_submit_service (&w, "portal:k1", true);
   agent_world_send_submit (&w, 0, &s);
   agent_world_until (&w, one_call);
-  answer (&w, 0, 200, large);
+  respond (&w, 0, 200, large);
   agent_world_until (&w, first_ended);
   agent_world_send_submit (&w, 1, &s);
   agent_world_until (&w, second_ended);
--- a/tests/test_at_most_once.c
+++ b/tests/test_at_most_once.c
@@ -1,8 +1,8 @@
-/* At most once, and "not run" that is true, over random schedules: callers
-   whose clocks may be wrong send the same key through several entries, which
-   know different revisions; messages are delayed and lost; agents crash and
-   come back with another clock and no memory; members change; the store is
-   down for long.  All in virtual time.  */
+/* Checks that no request runs twice and that "not run" is only reported if
+   true, with random schedules in virtual time: callers with wrong clocks send
+   the same key through several entries, which know different revisions;
+   messages are delayed, lost and duplicated; agents crash and restart with
+   another clock and no memory; members change; the store is down for long.  */
 #include <criterion/criterion.h>
 #include <stdio.h>
 #include <string.h>
@@ -21,12 +21,13 @@
   REVISIONS_MAX = 40,
   STEPS = 1500,
   SCHEDULES = 2000,
-  /* Each clock is off by at most half of what the agents are told.  */
+  /* Each clock is off by at most half of the clock skew configured in the
+     agents.  */
   OFF_MS = 25,
   SKEW_MS = 2 * OFF_MS,
   TRUST_MS = 1500,
   COLD_MS = 1200,
-  WILD_MS = 4000
+  CALLER_OFF_MS = 4000
 };
 
 struct revision
@@ -37,16 +38,16 @@
 struct process /* entry or agent */
 {
   int64_t off_ms;
-  int revision; /* index, -1: none */
+  int revision; /* index; -1: none */
   int64_t confirmed_ms;
   bool up;
-  struct wy_once *once; /* of agents */
+  struct wy_at_most_once *once; /* agents only */
 };
 
 struct key
 {
   char id[16];
-  int64_t issued_ms; /* 0: not told */
+  int64_t issued_ms; /* 0: none */
   uint32_t runs;
   int64_t ran_ms; /* true time */
   bool denied;
@@ -65,7 +66,7 @@
 {
   struct wy_rng rng;
   int64_t now_ms;
-  int64_t skew_ms; /* as the agents are told */
+  int64_t skew_ms; /* as configured in the agents */
   uint32_t ids_max;
   bool store_down;
   struct revision revisions[REVISIONS_MAX];
@@ -76,11 +77,11 @@
   int n_keys;
   struct message messages[MESSAGES_MAX];
   int n_messages;
-  uint32_t verdicts[WY_ONCE_NO_CONFIG + 1];
+  uint32_t verdicts[WY_AT_MOST_ONCE_NO_CONFIG + 1];
   uint32_t executed;
   uint32_t denials;
   uint32_t twice;
-  uint32_t untrue;
+  uint32_t false_denials;
 };
 
 static const char *const names[AGENTS] = { "p-1", "p-2", "p-3", "p-4" };
@@ -119,7 +120,8 @@
   return list;
 }
 
-/* An operator changes the members, by the rules of src/config/roster.c.  */
+/* An operator changes the members, following the rules of
+   src/config/roster.c.  */
 static void
 change_members (struct sim *s)
 {
@@ -141,24 +143,24 @@
 static void
 start_agent (struct sim *s, struct process *p)
 {
-  struct wy_once_options o = { .clock_skew_ms = (uint32_t)s->skew_ms,
-                               .cold_window_ms = COLD_MS,
-                               .roster_trust_ms = TRUST_MS,
-                               .ids_max = s->ids_max };
+  struct wy_at_most_once_options o = { .clock_skew_ms = (uint32_t)s->skew_ms,
+                                       .cold_window_ms = COLD_MS,
+                                       .roster_trust_ms = TRUST_MS,
+                                       .ids_max = s->ids_max };
 
   p->off_ms = draw_off (s);
   p->revision = -1;
   p->confirmed_ms = 0;
   p->up = true;
   o.now_ms = clock_of (s, p);
-  p->once = wy_once_new (&o);
+  p->once = wy_at_most_once_new (&o);
 }
 
 static void
 crash_agent (struct process *p)
 {
   p->up = false;
-  wy_once_free (p->once);
+  wy_at_most_once_free (p->once);
   p->once = NULL;
 }
 
@@ -171,12 +173,12 @@
   entry->confirmed_ms = clock_of (s, entry);
 }
 
-/* An entry's heartbeat brings its configuration to an agent.  */
+/* The heartbeat of an entry carries its configuration to an agent.  */
 static void
 push_config (struct sim *s, const struct process *entry, struct process *agent)
 {
   const struct wy_service_config *c;
-  struct wy_once_members m = { 0 };
+  struct wy_at_most_once_members m = { 0 };
 
   if (!agent->up || entry->revision < 0 || entry->revision < agent->revision)
     return;
@@ -187,7 +189,7 @@
       m.effective_ms = c->effective_ms;
       for (guint i = 0; i < c->members->len; i++)
         m.digest = wy_hash64 (c->members->pdata[i], 3, m.digest);
-      wy_once_learn (agent->once, &m, clock_of (s, agent));
+      wy_at_most_once_set_members (agent->once, &m, clock_of (s, agent));
       agent->revision = entry->revision;
       agent->confirmed_ms = entry->confirmed_ms;
     }
@@ -213,7 +215,7 @@
   m->agent = 0;
   while (strcmp (names[m->agent], home) != 0)
     m->agent++;
-  /* Now and then an entry is plainly wrong.  */
+  /* Sometimes an entry selects a wrong agent.  */
   if (below (s, 20) == 0)
     m->agent = (int)below (s, AGENTS);
   m->sent_ms = s->now_ms;
@@ -233,9 +235,10 @@
   switch (below (s, 5))
     {
     case 0: /* the caller's clock is wrong */
-      k->issued_ms = s->now_ms + (int64_t)below (s, 2 * WILD_MS) - WILD_MS;
+      k->issued_ms
+          = s->now_ms + (int64_t)below (s, 2 * CALLER_OFF_MS) - CALLER_OFF_MS;
       break;
-    case 1: /* no time in the key */
+    case 1: /* no issue time in the key */
       break;
     default:
       k->issued_ms = s->now_ms + draw_off (s);
@@ -248,7 +251,7 @@
 {
   s->denials++;
   if (k->runs)
-    s->untrue++;
+    s->false_denials++;
   k->denied = true;
   k->denied_ms = s->now_ms;
 }
@@ -257,25 +260,26 @@
 execute (struct sim *s, struct key *k, const struct message *m)
 {
   s->executed++;
-  /* Keys without an issue time are only promised for the cold window.  */
+  /* Keys without an issue time are only guaranteed for the cold window.  */
   if (k->runs
       && (k->issued_ms || s->now_ms - k->ran_ms < COLD_MS - 2 * OFF_MS))
     s->twice++;
   if (k->denied && m->sent_ms < k->denied_ms)
-    s->untrue++;
+    s->false_denials++;
   k->runs++;
   k->ran_ms = s->now_ms;
 }
 
-static struct wy_once_ask
-ask_of (const struct sim *s, const struct process *p, const struct key *k,
-        const struct message *m)
+static struct wy_at_most_once_attempt
+attempt_of (const struct sim *s, const struct process *p, const struct key *k,
+            const struct message *m)
 {
-  struct wy_once_ask a = { .id = wy_hash64 (k->id, strlen (k->id), 0),
-                           .issued_ms = k->issued_ms,
-                           .sent_ms = m->stamp_ms,
-                           .now_ms = clock_of (s, p),
-                           .config_confirmed_ms = p->confirmed_ms };
+  struct wy_at_most_once_attempt a
+      = { .id = wy_hash64 (k->id, strlen (k->id), 0),
+          .issued_ms = k->issued_ms,
+          .sent_ms = m->stamp_ms,
+          .now_ms = clock_of (s, p),
+          .config_confirmed_ms = p->confirmed_ms };
   const struct wy_service_config *c;
   const char *home;
   const char *before;
@@ -285,8 +289,8 @@
   c = &s->revisions[p->revision].service;
   home = wy_service_home (c, k->id, a.issued_ms ? a.issued_ms : a.now_ms);
   before = wy_service_previous_home (c, k->id);
-  a.home = home && !strcmp (home, names[m->agent]);
-  a.moved = home && before && strcmp (home, before) != 0;
+  a.is_home = home && !strcmp (home, names[m->agent]);
+  a.home_changed = home && before && strcmp (home, before) != 0;
   a.effective_ms = c->effective_ms;
   return a;
 }
@@ -297,39 +301,39 @@
   struct message m;
   struct process *p;
   struct key *k;
-  struct wy_once_ask a;
-  struct wy_once_answer v;
+  struct wy_at_most_once_attempt a;
+  struct wy_at_most_once_decision v;
   uint32_t i;
 
   if (s->n_messages == 0)
     return;
   i = below (s, (uint32_t)s->n_messages);
   m = s->messages[i];
-  /* Lost, or stays under way as a copy that comes late.  */
+  /* Removed from transit, or also kept as a copy that arrives late.  */
   if (below (s, 8))
     s->messages[i] = s->messages[--s->n_messages];
   p = &s->agents[m.agent];
   if (!p->up || below (s, 10) == 0)
     return;
   k = &s->keys[m.key];
-  a = ask_of (s, p, k, &m);
-  v = wy_once_ask (p->once, &a);
+  a = attempt_of (s, p, k, &m);
+  v = wy_at_most_once_check (p->once, &a);
   s->verdicts[v.verdict]++;
-  /* What may run is often refused for the load.  */
-  if (v.verdict == WY_ONCE_RUN && below (s, 4))
+  /* A request that may run is often rejected because of load.  */
+  if (v.verdict == WY_AT_MOST_ONCE_RUN && below (s, 4))
     {
-      wy_once_started (p->once, &a);
+      wy_at_most_once_started (p->once, &a);
       execute (s, k, &m);
     }
   else if (v.not_run)
     {
-      wy_once_denied (p->once, &a);
+      wy_at_most_once_reported_not_run (p->once, &a);
       deny (s, k);
     }
 }
 
 static void
-fail_or_mend (struct sim *s)
+crash_or_restart (struct sim *s)
 {
   struct process *p = &s->agents[below (s, AGENTS)];
 
@@ -357,7 +361,7 @@
   else if (what < 78)
     read_store (s, &s->entries[below (s, ENTRIES)]);
   else if (what < 81)
-    fail_or_mend (s);
+    crash_or_restart (s);
   else if (what < 83)
     change_members (s);
   else if (what < 84)
@@ -367,13 +371,13 @@
 }
 
 static void
-run_schedule (struct sim *s, uint64_t seed, int64_t told_skew_ms,
+run_schedule (struct sim *s, uint64_t seed, int64_t configured_skew_ms,
               uint32_t ids_max)
 {
   memset (s, 0, sizeof *s);
   wy_rng_seed (&s->rng, seed);
   s->now_ms = 1000000;
-  s->skew_ms = told_skew_ms;
+  s->skew_ms = configured_skew_ms;
   s->ids_max = ids_max;
   change_members (s);
   for (int i = 0; i < AGENTS; i++)
@@ -386,7 +390,7 @@
   for (int i = 0; i < STEPS; i++)
     step (s);
   for (int i = 0; i < AGENTS; i++)
-    wy_once_free (s->agents[i].once);
+    wy_at_most_once_free (s->agents[i].once);
   for (int i = 0; i < s->n_revisions; i++)
     {
       g_ptr_array_unref (s->revisions[i].service.members);
@@ -394,14 +398,13 @@
     }
 }
 
-/* A filing is sent again by its caller, through another entry, while agents
-   restart and members change.  Were it to run twice, a reading would be
-   recorded twice; were "not run" said of one that ran, the caller would file
-   it anew.  */
-Test (once, no_key_runs_twice_and_every_no_is_true)
+/* A filing is sent again through another entry while agents restart and
+   members change.  If it ran twice, it would be recorded twice; if "not run"
+   were reported for one that ran, the caller would file it again.  */
+Test (at_most_once, no_key_runs_twice_and_not_run_is_true)
 {
   static struct sim s;
-  uint32_t verdicts[WY_ONCE_NO_CONFIG + 1] = { 0 };
+  uint32_t verdicts[WY_AT_MOST_ONCE_NO_CONFIG + 1] = { 0 };
   uint32_t executed = 0;
   uint32_t denials = 0;
 
@@ -409,22 +412,22 @@
     {
       run_schedule (&s, seed, SKEW_MS, 0);
       cr_assert_eq (s.twice, 0, "seed %llu", (unsigned long long)seed);
-      cr_assert_eq (s.untrue, 0, "seed %llu", (unsigned long long)seed);
+      cr_assert_eq (s.false_denials, 0, "seed %llu", (unsigned long long)seed);
       executed += s.executed;
       denials += s.denials;
-      for (int v = 0; v <= WY_ONCE_NO_CONFIG; v++)
+      for (int v = 0; v <= WY_AT_MOST_ONCE_NO_CONFIG; v++)
         verdicts[v] += s.verdicts[v];
     }
-  /* The schedules must get everywhere, or they show nothing.  */
-  for (int v = 0; v <= WY_ONCE_NO_CONFIG; v++)
+  /* The schedules must reach every verdict, or they prove nothing.  */
+  for (int v = 0; v <= WY_AT_MOST_ONCE_NO_CONFIG; v++)
     cr_expect_gt (verdicts[v], SCHEDULES / 10, "verdict %d", v);
   cr_expect_gt (executed, SCHEDULES * 10);
   cr_expect_gt (denials, SCHEDULES);
 }
 
-/* The same with a memory far too small for what passes: what was evicted is
-   shut out by time.  */
-Test (once, small_memory)
+/* The same with a memory that is far too small: requests whose records were
+   evicted are rejected by time.  */
+Test (at_most_once, small_memory)
 {
   static struct sim s;
   uint32_t executed = 0;
@@ -433,16 +436,15 @@
     {
       run_schedule (&s, seed, SKEW_MS, 3);
       cr_assert_eq (s.twice, 0, "seed %llu", (unsigned long long)seed);
-      cr_assert_eq (s.untrue, 0, "seed %llu", (unsigned long long)seed);
+      cr_assert_eq (s.false_denials, 0, "seed %llu", (unsigned long long)seed);
       executed += s.executed;
     }
   cr_expect_gt (executed, SCHEDULES / 4);
 }
 
-/* The promise rests on the bound of the clocks.  Clocks that differ by more
-   than the agents are told must break it, or the schedules are too tame to
-   show anything.  */
-Test (once, clocks_beyond_the_bound_are_found)
+/* The guarantee depends on the bound of the clock skew.  Clocks that differ by
+   more must break it, or the schedules are too weak to prove anything.  */
+Test (at_most_once, larger_clock_skew_is_detected)
 {
   static struct sim s;
   uint32_t broken = 0;
@@ -450,7 +452,7 @@
   for (uint64_t seed = 1; seed <= SCHEDULES; seed++)
     {
       run_schedule (&s, seed, 1, 0);
-      broken += s.twice + s.untrue;
+      broken += s.twice + s.false_denials;
     }
   cr_assert_gt (broken, 0);
 }
--- a/tests/test_conn.c
+++ b/tests/test_conn.c
@@ -1,4 +1,4 @@
-/* Connections between processes: keys, handshakes and hostile peers.  */
+/* Connections between processes: keys, handshakes and malicious peers.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -11,7 +11,7 @@
 static const struct wy_inner_key keys_new[] = { { 2, "new secret" } };
 static const struct wy_inner_key keys_wrong[] = { { 1, "guess" } };
 
-Test (conn, both_ends_know_each_other)
+Test (conn, both_ends_are_authenticated)
 {
   struct world w;
   struct wy_frame f = { .kind = WY_FRAME_LEAVING };
@@ -37,14 +37,14 @@
   size_t n_a;
   const struct wy_inner_key *b;
   size_t n_b;
-  int err; /* of the end that refuses, 0: gets ready */
+  int err; /* of the rejecting end; 0: becomes ready */
 };
 
-/* Keys are changed without a cut in three steps: the new one is added
-   everywhere behind the old one, then moved before it, then the old one is
-   taken away; at each step neighbours of the step before and after get on.  A
-   step left out is refused.  A process with a wrong or unknown
-   key gets nowhere, and the other end tells why in its log.  */
+/* Keys are rotated without an interruption in three steps: the new key is
+   added everywhere after the old one, then moved before it, then the old one
+   is removed.  Processes one step apart can connect; processes two steps apart
+   are rejected.  A process with an unknown key or a wrong secret is rejected,
+   and the other end logs the reason.  */
 Test (conn, keys)
 {
   const struct key_case table[] = {
@@ -78,10 +78,9 @@
     }
 }
 
-/* Someone who can reach the port, but has no key, sends what it likes.  The
-   connection is closed with a reason that can be counted, and the one that
-   was there before goes on.  */
-Test (conn, hostile_peers_harm_nobody_else)
+/* A peer without a key sends arbitrary bytes.  Its connection is closed with a
+   specific error, and an existing connection stays open.  */
+Test (conn, malicious_peer_affects_no_other_connection)
 {
   const struct
   {
@@ -90,8 +89,8 @@
     size_t n;
     int err;
   } table[] = {
-    { "silent from the start", { 0 }, 0, WY_INNER_ESILENT },
-    { "half a length", { 0, 0 }, 2, WY_INNER_ESILENT },
+    { "silent from the start", { 0 }, 0, WY_INNER_ETIMEDOUT },
+    { "incomplete length", { 0, 0 }, 2, WY_INNER_ETIMEDOUT },
     { "web browser", "GET / HT", 8, WY_INNER_ETOOBIG },
     { "garbage", { 0, 0, 0, 2, 0xc1, 0xc1 }, 6, WY_INNER_EMALFORMED },
     { "no HELLO first", { 0, 0, 0, 3, 0x92, 21, 0 }, 7, WY_INNER_EAUTH },
@@ -101,22 +100,22 @@
     {
       struct world w;
       struct raw r;
-      struct wy_conn *good;
+      struct wy_conn *established;
 
       conn_world_init (&w);
       conn_dial (&w, 0);
       conn_run_until (&w, conn_both_ready);
-      good = w.a.conn;
+      established = w.a.conn;
       conn_raw_dial (&w, &r, table[i].bytes, table[i].n);
       conn_run_until (&w, conn_b_closed);
       cr_expect_eq (w.b.err, table[i].err, "%s", table[i].what);
-      cr_expect (w.a.closed == 0 && wy_conn_is_ready (good));
+      cr_expect (w.a.closed == 0 && wy_conn_is_ready (established));
     }
 }
 
-/* Before its key is proved, a peer may not make us hold more than a handshake
-   needs, although a frame may be megabytes later.  */
-Test (conn, large_frame_before_the_proof)
+/* Before it has authenticated, a peer must not occupy more memory than a
+   handshake needs, although later frames may be megabytes.  */
+Test (conn, large_frame_before_authentication)
 {
   struct world w;
   struct raw r;
@@ -128,10 +127,9 @@
   cr_assert_eq (w.b.err, WY_INNER_ETOOBIG);
 }
 
-/* Someone records a whole handshake of an entry and sends the same bytes
-   again, hoping to be taken for it.  The listener's fresh nonce makes the old
-   proof worthless.  */
-Test (conn, recorded_handshake_is_refused)
+/* An attacker replays a recorded handshake of an entry.  The new nonce of the
+   listener makes the old proof invalid.  */
+Test (conn, replayed_handshake_is_rejected)
 {
   struct world w;
   struct world again;
--- a/tests/test_conn_liveness.c
+++ b/tests/test_conn_liveness.c
@@ -1,14 +1,14 @@
-/* Connections between processes: silence, heartbeats and full pipes.  */
+/* Connections between processes: timeouts, heartbeats and backpressure.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
 #include "support/conn_world.h"
 
-/* Something on the way, a balancer or a firewall, forgets the connection.
-   Bytes vanish in both directions or in one only, and neither end gets an
-   error: writes still succeed.  Requests would hang; instead both ends close
-   it and the entry dials anew.  */
-Test (conn_links, silent_link_is_seen_in_each_direction)
+/* A load balancer or firewall on the path loses the state of the connection.
+   Bytes are lost in one or both directions without an error: writes still
+   succeed.  Requests would hang; instead both ends close the connection and
+   the entry reconnects.  */
+Test (conn_liveness, dead_link_is_detected_in_each_direction)
 {
   for (int lost = 1; lost <= 3; lost++)
     {
@@ -21,8 +21,8 @@
       w.relay.lose_to_far = lost & 1;
       w.relay.lose_to_near = lost & 2;
       conn_run_until (&w, conn_both_closed);
-      cr_expect_eq (w.a.err, WY_INNER_ESILENT, "lost %d", lost);
-      cr_expect_eq (w.b.err, WY_INNER_ESILENT, "lost %d", lost);
+      cr_expect_eq (w.a.err, WY_INNER_ETIMEDOUT, "lost %d", lost);
+      cr_expect_eq (w.b.err, WY_INNER_ETIMEDOUT, "lost %d", lost);
     }
 }
 
@@ -32,9 +32,8 @@
   return w->a.pings > 40 && w->b.pings > 40;
 }
 
-/* A connection with nothing to say lives on by its heartbeat alone, well past
-   the limit of silence.  */
-Test (conn_links, idle_link_stays)
+/* The heartbeat keeps an idle connection open well past the silence limit.  */
+Test (conn_liveness, idle_link_stays_open)
 {
   struct world w;
 
@@ -45,25 +44,25 @@
 }
 
 static void
-on_turn (uv_timer_t *t)
+on_tick (uv_timer_t *t)
 {
-  uint32_t *turns = t->data;
+  uint32_t *ticks = t->data;
 
-  ++*turns;
+  ++*ticks;
   conn_check_done ();
 }
 
-static uint32_t turns;
+static uint32_t ticks;
 
 static bool
-many_turns (struct world *w)
+many_ticks (struct world *w)
 {
-  return turns > 64;
+  return ticks > 64;
 }
 
-/* Hundreds of connections that nobody uses at the moment: at the pace of busy
-   ones their heartbeats alone would go beyond what a node may spend.  */
-Test (conn_links, quiet_link_asks_seldom)
+/* Hundreds of idle connections.  At the interval of busy ones their heartbeats
+   would exceed the CPU time that a host may spend on them.  */
+Test (conn_liveness, idle_link_sends_few_pings)
 {
   struct world w;
   uv_timer_t t;
@@ -74,17 +73,17 @@
   conn_dial (&w, 0);
   conn_run_until (&w, conn_both_ready);
   uv_timer_init (&w.loop, &t);
-  t.data = &turns;
-  uv_timer_start (&t, on_turn, HEARTBEAT_MS, HEARTBEAT_MS);
-  conn_run_until (&w, many_turns);
+  t.data = &ticks;
+  uv_timer_start (&t, on_tick, HEARTBEAT_MS, HEARTBEAT_MS);
+  conn_run_until (&w, many_ticks);
   cr_assert_eq (w.a.closed + w.b.closed, 0);
-  cr_assert_leq (w.a.pings + w.b.pings, turns / 4);
+  cr_assert_leq (w.a.pings + w.b.pings, ticks / 4);
 }
 
-/* Something between the ends forgets a connection while nothing is sent on it.
-   The caller whose request is the first to use it must not wait for the slow
-   heartbeat of a quiet connection.  */
-Test (conn_links, first_frame_on_a_quiet_link_finds_the_silence)
+/* The path loses the state of an idle connection.  The caller whose request
+   uses it first must not wait for the long heartbeat interval of an idle
+   connection.  */
+Test (conn_liveness, first_frame_on_an_idle_link_detects_the_loss)
 {
   struct world w;
   struct wy_frame f = { .kind = WY_FRAME_LEAVING };
@@ -95,19 +94,19 @@
   conn_relay_init (&w);
   conn_dial (&w, w.relay.port);
   conn_run_until (&w, conn_both_ready);
-  turns = 0;
+  ticks = 0;
   while (w.a.pings < 1)
     uv_run (&w.loop, UV_RUN_ONCE);
   w.relay.lose_to_far = true;
   w.relay.lose_to_near = true;
   cr_assert_eq (wy_conn_send (w.a.conn, &f), 0);
   conn_run_until (&w, conn_a_closed);
-  cr_assert_eq (w.a.err, WY_INNER_ESILENT);
+  cr_assert_eq (w.a.err, WY_INNER_ETIMEDOUT);
 }
 
-/* A peer that stopped reading: what is meant for it piles up.  At the limit
-   it is cut, before it takes the memory others need.  */
-Test (conn_links, peer_that_does_not_read_is_cut)
+/* A peer stops reading, so its output accumulates.  At the limit it is
+   disconnected, before it uses memory that others need.  */
+Test (conn_liveness, peer_that_does_not_read_is_disconnected)
 {
   struct world w;
   static char data[65536];
@@ -135,8 +134,8 @@
   return w->b.chunk_bytes == 40ULL * 20000;
 }
 
-/* Many frames at once, larger together than a socket takes in one go.  */
-Test (conn_links, burst_arrives_whole)
+/* A burst of frames that is larger than the socket buffer.  */
+Test (conn_liveness, burst_arrives_completely)
 {
   struct world w;
   static char data[20000];
@@ -153,8 +152,9 @@
   cr_assert_eq (w.b.frames, 40);
 }
 
-/* Nobody listens at the port: told once, from the loop, not by the call.  */
-Test (conn_links, nobody_there)
+/* Nothing listens on the port: reported once, from the event loop, not by the
+   call.  */
+Test (conn_liveness, connection_refused)
 {
   struct world w;
   uint16_t port;
--- a/tests/test_frame.c
+++ b/tests/test_frame.c
@@ -1,5 +1,4 @@
-/* Codec of the inner protocol: every kind there and back, and bytes that no
-   honest peer sends.  */
+/* Codec of the frames: a round trip of every kind, and invalid input.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -132,10 +131,9 @@
   return f;
 }
 
-/* Decoding and encoding again must give the same bytes; together with the
-   checks below on single fields that shows that no field is lost or
-   swapped.  */
-Test (frame, every_kind_there_and_back)
+/* Encoding a decoded frame must give the same bytes; with the checks of single
+   fields below this shows that no field is lost or swapped.  */
+Test (frame, every_kind_round_trip)
 {
   struct wy_frame_arena *a = wy_frame_arena_new ();
 
@@ -193,9 +191,9 @@
   wy_frame_arena_free (a);
 }
 
-/* A frame arrives in pieces of any size: every cut asks for more and none is
-   taken for a frame.  */
-Test (frame, every_cut_asks_for_more)
+/* A frame arrives in pieces of any size: every truncated frame asks for more
+   bytes.  */
+Test (frame, truncated_frame_asks_for_more)
 {
   struct wy_frame_arena *a = wy_frame_arena_new ();
   GByteArray *out = g_byte_array_new ();
@@ -209,12 +207,12 @@
   wy_frame_arena_free (a);
 }
 
-/* A newer release adds a field at the end of a frame.  Processes of the
-   older one must still understand it while both run.  */
+/* A newer release adds a field at the end of a frame.  Processes of the older
+   release must still understand it while both run.  */
 Test (frame, unknown_last_field_is_skipped)
 {
   struct wy_frame_arena *a = wy_frame_arena_new ();
-  /* REFUSED with one field more than this build knows.  */
+  /* REFUSED with one additional field.  */
   const uint8_t b[] = { 0, 0, 0, 10, 0x97, 12, 0, 0xc4, 1, 'a', 0, 1, 5, 99 };
   struct wy_frame got;
 
@@ -225,7 +223,7 @@
   wy_frame_arena_free (a);
 }
 
-struct hostile
+struct malformed
 {
   const char *what;
   uint8_t bytes[24];
@@ -233,27 +231,26 @@
   int64_t want;
 };
 
-/* Bytes from a broken or hostile peer.  The connection that brings them is
-   closed; nobody else notices.  */
-Test (frame, hostile_bytes)
+/* Malformed frames, sent by a faulty or malicious peer.  */
+Test (frame, malformed_frames)
 {
-  static const struct hostile table[] = {
+  static const struct malformed table[] = {
     { "length above the limit", { 1, 0, 0, 1 }, 4, WY_INNER_ETOOBIG },
     { "empty frame", { 0, 0, 0, 0 }, 4, WY_INNER_EMALFORMED },
-    { "no array", { 0, 0, 0, 1, 5 }, 5, WY_INNER_EMALFORMED },
+    { "not an array", { 0, 0, 0, 1, 5 }, 5, WY_INNER_EMALFORMED },
     { "empty array", { 0, 0, 0, 1, 0x90 }, 5, WY_INNER_EMALFORMED },
     { "kind 0", { 0, 0, 0, 3, 0x92, 0, 0 }, 7, WY_INNER_EMALFORMED },
-    { "kind after the last",
+    { "kind above the last",
       { 0, 0, 0, 3, 0x92, 22, 0 },
       7,
       WY_INNER_EMALFORMED },
     { "negative kind", { 0, 0, 0, 3, 0x92, 0xff, 0 }, 7, WY_INNER_EMALFORMED },
     { "no stamp", { 0, 0, 0, 2, 0x91, 21 }, 6, WY_INNER_EMALFORMED },
-    { "array of four thousand million",
+    { "array of 2^32 - 1 elements",
       { 0, 0, 0, 6, 0xdd, 0xff, 0xff, 0xff, 0xff, 21 },
       10,
       WY_INNER_EMALFORMED },
-    { "list of four thousand million",
+    { "list of 2^32 - 1 elements",
       { 0, 0, 0, 8, 0x93, 21, 0, 0xdd, 0xff, 0xff, 0xff, 0xff },
       12,
       WY_INNER_EMALFORMED },
@@ -283,7 +280,7 @@
       { 0, 0, 0, 7, 0x96, 12, 0, 3, 0, 1, 5 },
       11,
       WY_INNER_EMALFORMED },
-    { "refusal without a known reason",
+    { "rejection with an unknown reason",
       { 0, 0, 0, 9, 0x96, 12, 0, 0xc4, 1, 97, 0, 100, 5 },
       13,
       WY_INNER_EMALFORMED },
@@ -304,9 +301,9 @@
   wy_frame_arena_free (a);
 }
 
-/* A list whose length doesn't divide by the fields of its items, or is longer
-   than any honest one.  */
-Test (frame, odd_and_overlong_lists)
+/* A list whose length isn't a multiple of the fields of its items, or which
+   exceeds the limit.  */
+Test (frame, odd_and_too_long_lists)
 {
   struct wy_frame_arena *a = wy_frame_arena_new ();
   GByteArray *out = g_byte_array_new ();
@@ -331,9 +328,9 @@
   g_free (many);
 }
 
-/* One byte of a good frame is flipped, each in turn.  Whatever comes out must
-   be a frame or an error, and must encode again without harm.  */
-Test (frame, every_flipped_byte_is_survived)
+/* Each bit of a valid frame is flipped in turn.  The result must be a frame or
+   an error, and a frame must be encodable again.  */
+Test (frame, flipped_bits)
 {
   struct wy_frame_arena *a = wy_frame_arena_new ();
   GByteArray *out = g_byte_array_new ();
