--- a/bench/callers.c
+++ b/bench/callers.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "support/world.h"
+#include "support/simulation.h"
 
 #define SEED 20261202
 
@@ -140,7 +140,7 @@
   line (c->name, size, policy, "refusal_p99_ms",
         wb_values_quantile (&f->refusal_ms, 0.99));
   line (c->name, size, policy, "attempts_per_request",
-        1 + share (f->hops, f->offered));
+        1 + share (f->retries, f->offered));
   line (c->name, size, policy, "rollout_tokens_share",
         f->rollout_tokens
             / (c->engines * span_ms * wb_capacity_tokens_per_ms ()));
@@ -153,7 +153,7 @@
      const struct wb_policy *p)
 {
   struct wb_case c = *proto;
-  struct wb_world *w;
+  struct wb_simulation *w;
 
   c.engines = s->engines;
   c.entries = s->entries;
@@ -169,9 +169,9 @@
       c.count_from_ms = c.swap_at_ms;
       c.duration_ms = c.swap_at_ms + 6000 + LAST_MS;
     }
-  w = wb_run (&c, p, SEED);
-  report (&c, s->name, p->name, wb_world_figures (w));
-  wb_world_free (w);
+  w = wb_simulate (&c, p, SEED);
+  report (&c, s->name, p->name, wb_simulation_figures (w));
+  wb_simulation_free (w);
 }
 
 /* Weights activated on all replicas at once, after the same seconds without.
--- a/bench/steps.c
+++ b/bench/steps.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "support/world_state.h"
+#include "support/simulation_state.h"
 
 #define SEED 20261202
 #define N(a) (sizeof (a) / sizeof ((a)[0]))
@@ -69,7 +69,7 @@
    batches taken over the capacity of all engines, less the training that goes
    on meanwhile.  */
 static double
-idle_bound_ms (const struct wb_world *w, const struct wb_trainer *t)
+idle_bound_ms (const struct wb_simulation *w, const struct wb_trainer *t)
 {
   double work_ms = t->tokens / (double)t->batches
                    / (w->c->engines * wb_capacity_tokens_per_ms ());
@@ -78,7 +78,7 @@
 }
 
 static void
-report_trainer (const struct wb_world *w, const char *size,
+report_trainer (const struct wb_simulation *w, const char *size,
                 const struct wb_trainer *t)
 {
   const char *c = w->c->name;
@@ -108,7 +108,7 @@
 {
   struct wb_trainer_case t = s->trainer[0];
   struct wb_case c = *proto;
-  struct wb_world *w;
+  struct wb_simulation *w;
 
   t.groups *= s->scale;
   c.engines = s->engines;
@@ -118,9 +118,9 @@
   c.rollout_tokens = ROLLOUT_TOKENS;
   c.count_from_ms = 120000;
   c.duration_ms = s->scale > 1 ? 700000 : 1500000;
-  w = wb_run (&c, p, SEED);
+  w = wb_simulate (&c, p, SEED);
   report_trainer (w, s->name, &w->trainer[0]);
-  wb_world_free (w);
+  wb_simulation_free (w);
 }
 
 /* Several trainers on the same engines: what each gets against its worth.  */
@@ -128,7 +128,7 @@
 run_unequal (const struct wb_policy *p)
 {
   struct wb_case c = worth_case;
-  struct wb_world *w;
+  struct wb_simulation *w;
   double tokens = 0;
   double worth = 0;
   double accepted = 0;
@@ -140,7 +140,7 @@
   c.rollout_tokens = ROLLOUT_TOKENS;
   c.count_from_ms = 120000;
   c.duration_ms = 900000;
-  w = wb_run (&c, p, SEED);
+  w = wb_simulate (&c, p, SEED);
   for (uint32_t i = 0; i < c.trainers; i++)
     {
       const struct wb_trainer *t = &w->trainer[i];
@@ -158,7 +158,7 @@
     }
   line (c.name, "carde", p->name, "worth_weighted_batches", accepted);
   line (c.name, "carde", p->name, "least_share_of_worth", least);
-  wb_world_free (w);
+  wb_simulation_free (w);
 }
 
 int
--- a/bench/support/agent.c
+++ b/bench/support/agent.c
@@ -3,7 +3,7 @@
 #include <stddef.h>
 
 #include "decide/item_list.h"
-#include "world_state.h"
+#include "simulation_state.h"
 
 #define CACHE_EVENT_LAG_MS 500
 /* One cache event in this many is lost.  */
@@ -16,7 +16,8 @@
 }
 
 static void
-cache_event (struct wb_world *w, uint32_t i, uint64_t prefix, bool present)
+cache_event (struct wb_simulation *w, uint32_t i, uint64_t prefix,
+             bool present)
 {
   if (prefix == 0 || wy_rng_below (&w->place_rng, CACHE_EVENT_LOSS) == 0)
     return;
@@ -25,7 +26,7 @@
 }
 
 static double
-prefill (struct wb_world *w, uint32_t i, struct wb_req *r)
+prefill (struct wb_simulation *w, uint32_t i, struct wb_req *r)
 {
   uint64_t evicted;
   uint32_t fresh = r->item.prompt_tokens;
@@ -46,7 +47,7 @@
 }
 
 static void
-run (struct wb_world *w, uint32_t i, struct wb_req *r)
+run (struct wb_simulation *w, uint32_t i, struct wb_req *r)
 {
   double fresh = prefill (w, i, r);
 
@@ -56,7 +57,7 @@
 }
 
 static void
-pause (struct wb_world *w, uint32_t i, struct wb_req *r)
+pause (struct wb_simulation *w, uint32_t i, struct wb_req *r)
 {
   double done;
 
@@ -67,7 +68,7 @@
 }
 
 static void
-schedule (struct wb_world *w, uint32_t i)
+schedule (struct wb_simulation *w, uint32_t i)
 {
   struct wb_agent *a = &w->agent[i];
   struct wb_stream *s = NULL;
@@ -87,7 +88,7 @@
 }
 
 static void
-poll_fifo (struct wb_world *w, uint32_t i)
+poll_fifo (struct wb_simulation *w, uint32_t i)
 {
   struct wb_agent *a = &w->agent[i];
 
@@ -104,7 +105,7 @@
 }
 
 static void
-poll_queue (struct wb_world *w, uint32_t i)
+poll_queue (struct wb_simulation *w, uint32_t i)
 {
   struct wy_queue *q = &w->agent[i].queue;
   int64_t now_ms = (int64_t)w->now_ms;
@@ -125,7 +126,7 @@
 
 /* Let agent I do what its queue allows.  */
 void
-wb_agent_poll (struct wb_world *w, uint32_t i)
+wb_agent_poll (struct wb_simulation *w, uint32_t i)
 {
   if (w->agent[i].dead)
     return;
@@ -139,7 +140,7 @@
 
 /* The agent asked to be called again, if STAMP is its last word.  */
 void
-wb_agent_wake (struct wb_world *w, uint32_t i, uint64_t stamp)
+wb_agent_wake (struct wb_simulation *w, uint32_t i, uint64_t stamp)
 {
   if (stamp == w->agent[i].wake_stamp)
     wb_agent_poll (w, i);
@@ -147,7 +148,7 @@
 
 /* Offer R to its target.  */
 enum wy_admission_kind
-wb_agent_offer (struct wb_world *w, struct wb_req *r)
+wb_agent_offer (struct wb_simulation *w, struct wb_req *r)
 {
   struct wb_agent *a = &w->agent[r->target];
   struct wy_admission v;
@@ -174,7 +175,7 @@
 /* Take R from its agent, wherever it is; what it has got stays counted in
    its stream.  */
 void
-wb_agent_take (struct wb_world *w, struct wb_req *r)
+wb_agent_take (struct wb_simulation *w, struct wb_req *r)
 {
   struct wb_agent *a = &w->agent[r->target];
 
@@ -193,7 +194,7 @@
 }
 
 static void
-caller_answered (struct wb_world *w, struct wb_req *r)
+caller_answered (struct wb_simulation *w, struct wb_req *r)
 {
   double ms = w->now_ms - r->arrived_ms + 2 * WB_NET_MS;
 
@@ -208,7 +209,7 @@
 
 /* The first stream of agent I ends, if STAMP is still the valid one.  */
 void
-wb_agent_finish (struct wb_world *w, uint32_t i, uint64_t stamp)
+wb_agent_finish (struct wb_simulation *w, uint32_t i, uint64_t stamp)
 {
   struct wb_agent *a = &w->agent[i];
   struct wb_stream *s = NULL;
@@ -243,7 +244,7 @@
 
 /* Stop or restart the engine of agent I.  */
 void
-wb_agent_stopped (struct wb_world *w, uint32_t i, bool stopped)
+wb_agent_stopped (struct wb_simulation *w, uint32_t i, bool stopped)
 {
   wb_engine_advance (&w->agent[i].engine, w->now_ms);
   w->agent[i].engine.stopped = stopped;
--- a/bench/support/entry.c
+++ b/bench/support/entry.c
@@ -1,7 +1,7 @@
 /* An entry: the placement under test, or a baseline, and retries.  */
 #include <stddef.h>
 
-#include "world_state.h"
+#include "simulation_state.h"
 
 #define HOPS_MAX 2
 
@@ -14,7 +14,7 @@
 }
 
 static uint32_t
-least_of_all (struct wb_world *w, const struct wb_entry *e)
+least_of_all (struct wb_simulation *w, const struct wb_entry *e)
 {
   uint32_t first = wy_rng_below (&w->place_rng, w->c->engines);
   uint32_t best = first;
@@ -30,7 +30,7 @@
 }
 
 static uint32_t
-least_of_two (struct wb_world *w, const struct wb_entry *e)
+least_of_two (struct wb_simulation *w, const struct wb_entry *e)
 {
   uint32_t a = wy_rng_below (&w->place_rng, w->c->engines);
   uint32_t b = wy_rng_below (&w->place_rng, w->c->engines);
@@ -39,7 +39,7 @@
 }
 
 static int
-pick (struct wb_world *w, struct wb_req *r)
+pick (struct wb_simulation *w, struct wb_req *r)
 {
   struct wb_entry *e = &w->entry[r->entry];
 
@@ -59,7 +59,7 @@
 }
 
 static bool
-attempt (struct wb_world *w, struct wb_req *r)
+attempt (struct wb_simulation *w, struct wb_req *r)
 {
   struct wb_entry *e = &w->entry[r->entry];
   int slot = pick (w, r);
@@ -80,7 +80,7 @@
 
 /* Place R, hopping on after refusals as far as the budget goes.  */
 bool
-wb_entry_place (struct wb_world *w, struct wb_req *r)
+wb_entry_place (struct wb_simulation *w, struct wb_req *r)
 {
   struct wb_entry *e = &w->entry[r->entry];
 
@@ -93,7 +93,7 @@
         return false;
       if (r->place.work_class != WY_CLASS_ROLLOUT
           && r->arrived_ms >= w->c->count_from_ms)
-        w->f.hops++;
+        w->f.retries++;
       if (attempt (w, r))
         return true;
     }
@@ -102,7 +102,8 @@
 
 /* R is no longer at its target.  */
 void
-wb_entry_ended (struct wb_world *w, struct wb_req *r, enum wy_outcome outcome)
+wb_entry_ended (struct wb_simulation *w, struct wb_req *r,
+                enum wy_outcome outcome)
 {
   struct wb_entry *e = &w->entry[r->entry];
 
@@ -114,7 +115,7 @@
 
 /* The last snapshot of TARGET reaches all entries.  */
 void
-wb_entry_report (struct wb_world *w, uint32_t target)
+wb_entry_report (struct wb_simulation *w, uint32_t target)
 {
   struct wb_agent *a = &w->agent[target];
   const struct wy_queue_load *l = &a->snapshot;
@@ -141,8 +142,8 @@
 
 /* A cache event of TARGET reaches all entries.  */
 void
-wb_entry_cache_event (struct wb_world *w, uint32_t target, uint64_t prefix,
-                      bool present)
+wb_entry_cache_event (struct wb_simulation *w, uint32_t target,
+                      uint64_t prefix, bool present)
 {
   for (uint32_t i = 0; i < w->c->entries; i++)
     wy_placement_cache_event (w->entry[i].place, target, prefix, present,
--- a/bench/support/faults.c
+++ b/bench/support/faults.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 
 #include "decide/waves.h"
-#include "world_state.h"
+#include "simulation_state.h"
 
 #define SLOW_SPEED 0.1
 /* Heartbeats show a silent target after this time.  */
@@ -14,7 +14,7 @@
 
 /* Put the faults of the case on the event list.  */
 void
-wb_faults_plan (struct wb_world *w)
+wb_faults_plan (struct wb_simulation *w)
 {
   if (w->c->slow_at_ms > 0)
     wb_events_add (&w->events, w->c->slow_at_ms, WB_EV_SLOW, 0, 0);
@@ -25,7 +25,7 @@
 }
 
 static void
-az_lost (struct wb_world *w)
+az_lost (struct wb_simulation *w)
 {
   for (uint32_t i = 0; i < w->c->engines; i++)
     if (w->agent[i].az == 0)
@@ -37,7 +37,7 @@
 }
 
 static void
-place_again (struct wb_world *w, struct wb_req *r)
+place_again (struct wb_simulation *w, struct wb_req *r)
 {
   wb_entry_ended (w, r, WY_OUTCOME_FAILED);
   r->item.evicted = true;
@@ -55,7 +55,7 @@
 }
 
 static void
-az_noticed (struct wb_world *w)
+az_noticed (struct wb_simulation *w)
 {
   /* As an entry does whose connections to the targets fall silent.  */
   for (uint32_t i = 0; i < w->c->entries; i++)
@@ -74,7 +74,7 @@
 }
 
 static void
-begin_swap (struct wb_world *w, uint32_t i)
+begin_swap (struct wb_simulation *w, uint32_t i)
 {
   w->agent[i].swapping = true;
   w->swapping++;
@@ -83,7 +83,7 @@
 }
 
 static double
-caller_share (const struct wb_world *w)
+caller_share (const struct wb_simulation *w)
 {
   double callers = 0;
 
@@ -93,7 +93,7 @@
 }
 
 static void
-wave (struct wb_world *w)
+wave (struct wb_simulation *w)
 {
   uint32_t n = w->c->engines;
   struct wy_wave_replica *r = calloc (n, sizeof *r);
@@ -121,7 +121,7 @@
 }
 
 static void
-swapped (struct wb_world *w, uint32_t i)
+swapped (struct wb_simulation *w, uint32_t i)
 {
   w->agent[i].swapped = true;
   w->agent[i].swapping = false;
@@ -133,7 +133,7 @@
 
 /* Carry out the fault event E.  */
 void
-wb_fault (struct wb_world *w, const struct wb_event *e)
+wb_fault (struct wb_simulation *w, const struct wb_event *e)
 {
   switch ((enum wb_event_kind)e->kind)
     {
--- a/bench/support/world.c
+++ b/bench/support/simulation.c
@@ -2,7 +2,7 @@
 #include <math.h>
 #include <stdlib.h>
 
-#include "world_state.h"
+#include "simulation_state.h"
 
 #define SNAPSHOT_MS 200
 #define REPORT_LAG_MS 100
@@ -49,7 +49,7 @@
 
 /* A cleared request.  */
 struct wb_req *
-wb_req_new (struct wb_world *w)
+wb_req_new (struct wb_simulation *w)
 {
   struct wb_req *r = w->free;
 
@@ -70,7 +70,7 @@
 
 /* R has ended.  */
 void
-wb_req_free (struct wb_world *w, struct wb_req *r)
+wb_req_free (struct wb_simulation *w, struct wb_req *r)
 {
   if (r->place.work_class == WY_CLASS_ROLLOUT && r->trainer == WB_NO_TRAINER)
     w->rollouts--;
@@ -81,7 +81,7 @@
 
 /* The caller of R is told that it has not run.  */
 void
-wb_caller_refused (struct wb_world *w, struct wb_req *r)
+wb_caller_refused (struct wb_simulation *w, struct wb_req *r)
 {
   double ms
       = w->now_ms - r->arrived_ms + 2 * WB_NET_MS * (1 + r->place.n_tried);
@@ -95,7 +95,7 @@
 }
 
 static void
-set_prefix (struct wb_world *w, struct wb_req *r)
+set_prefix (struct wb_simulation *w, struct wb_req *r)
 {
   bool hot = wy_rng_unit (&w->rng) < w->c->prefix_skew;
   uint32_t cold = wy_rng_below (&w->rng, PREFIXES);
@@ -117,7 +117,7 @@
 }
 
 static void
-arrive (struct wb_world *w)
+arrive (struct wb_simulation *w)
 {
   struct wb_req *r = wb_req_new (w);
   uint32_t n = wb_lognormal (&w->rng, CALLER_TOKENS, CALLER_SIGMA);
@@ -140,7 +140,7 @@
 }
 
 static void
-next_arrival (struct wb_world *w)
+next_arrival (struct wb_simulation *w)
 {
   const struct wb_case *c = w->c;
   double rate = c->callers_per_s * c->engines / 1000;
@@ -158,7 +158,7 @@
 
 /* Keep the number of rollouts without a trainer up.  */
 void
-wb_rollout_refill (struct wb_world *w)
+wb_rollout_refill (struct wb_simulation *w)
 {
   uint32_t want = (uint32_t)(w->c->rollouts * w->c->engines);
 
@@ -184,7 +184,7 @@
 
 /* The agent of I has seen the tokens made so far.  */
 static void
-progress (struct wb_world *w, uint32_t i)
+progress (struct wb_simulation *w, uint32_t i)
 {
   struct wb_agent *a = &w->agent[i];
 
@@ -201,7 +201,7 @@
 }
 
 static void
-snapshot (struct wb_world *w, uint32_t i)
+snapshot (struct wb_simulation *w, uint32_t i)
 {
   struct wb_agent *a = &w->agent[i];
 
@@ -219,7 +219,7 @@
 }
 
 static void
-handle (struct wb_world *w, const struct wb_event *e)
+handle (struct wb_simulation *w, const struct wb_event *e)
 {
   switch ((enum wb_event_kind)e->kind)
     {
@@ -255,7 +255,7 @@
 }
 
 static void
-init_agents (struct wb_world *w)
+init_agents (struct wb_simulation *w)
 {
   const struct wb_case *c = w->c;
   struct wy_queue_options o = { .kind = WY_QUEUE_ENGINE,
@@ -278,7 +278,7 @@
 }
 
 static void
-init_entry (struct wb_world *w, uint32_t k)
+init_entry (struct wb_simulation *w, uint32_t k)
 {
   const struct wb_case *c = w->c;
   struct wb_entry *e = &w->entry[k];
@@ -303,10 +303,10 @@
 }
 
 /* Run case C under policy P.  */
-struct wb_world *
-wb_run (const struct wb_case *c, const struct wb_policy *p, uint64_t seed)
+struct wb_simulation *
+wb_simulate (const struct wb_case *c, const struct wb_policy *p, uint64_t seed)
 {
-  struct wb_world *w = calloc (1, sizeof *w);
+  struct wb_simulation *w = calloc (1, sizeof *w);
   struct wb_event e;
 
   if (!w)
@@ -338,14 +338,14 @@
 
 /* What W measured.  */
 struct wb_figures *
-wb_world_figures (struct wb_world *w)
+wb_simulation_figures (struct wb_simulation *w)
 {
   return &w->f;
 }
 
 /* Free W.  */
 void
-wb_world_free (struct wb_world *w)
+wb_simulation_free (struct wb_simulation *w)
 {
   for (uint32_t i = 0; i < w->c->entries; i++)
     {
--- a/bench/support/world.h
+++ b/bench/support/simulation.h
@@ -1,7 +1,7 @@
 /* Callers, entries, agents and engines in virtual time.  It runs the policies
    of src/decide, or a baseline in their place, under one load case.  */
-#ifndef WY_BENCH_WORLD_H
-#define WY_BENCH_WORLD_H
+#ifndef WY_BENCH_SIMULATION_H
+#define WY_BENCH_SIMULATION_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -86,15 +86,15 @@
   uint64_t in_time;
   double in_time_tokens;
   uint64_t refused;
-  uint64_t hops; /* attempts of the callers beyond the first */
+  uint64_t retries; /* attempts of the callers beyond the first */
   double rollout_tokens;
   double swap_ms; /* until all replicas have the version */
 };
 
-struct wb_world;
-struct wb_world *wb_run (const struct wb_case *c, const struct wb_policy *p,
-                         uint64_t seed);
-struct wb_figures *wb_world_figures (struct wb_world *w);
-void wb_world_free (struct wb_world *w);
+struct wb_simulation;
+struct wb_simulation *wb_simulate (const struct wb_case *c,
+                                   const struct wb_policy *p, uint64_t seed);
+struct wb_figures *wb_simulation_figures (struct wb_simulation *w);
+void wb_simulation_free (struct wb_simulation *w);
 
 #endif
--- a/bench/support/world_state.h
+++ b/bench/support/simulation_state.h
@@ -1,9 +1,9 @@
 /* State of the modelled world, shared by the files of bench/support.  */
-#ifndef WY_BENCH_WORLD_STATE_H
-#define WY_BENCH_WORLD_STATE_H
+#ifndef WY_BENCH_SIMULATION_STATE_H
+#define WY_BENCH_SIMULATION_STATE_H
 
 #include "decide/steps.h"
-#include "world.h"
+#include "simulation.h"
 
 #define WB_DEADLINE_MS 4000
 #define WB_NET_MS 1 /* one way */
@@ -109,7 +109,7 @@
   uint64_t beyond_bound;
 };
 
-struct wb_world
+struct wb_simulation
 {
   const struct wb_case *c;
   const struct wb_policy *p;
@@ -132,48 +132,49 @@
 };
 
 /* world.c */
-struct wb_req *wb_req_new (struct wb_world *w);
-void wb_req_free (struct wb_world *w, struct wb_req *r);
+struct wb_req *wb_req_new (struct wb_simulation *w);
+void wb_req_free (struct wb_simulation *w, struct wb_req *r);
 uint32_t wb_lognormal (struct wy_rng *rng, double median, double sigma);
 uint32_t wb_length (struct wy_rng *rng, double median, bool stragglers);
-void wb_caller_refused (struct wb_world *w, struct wb_req *r);
-void wb_rollout_refill (struct wb_world *w);
+void wb_caller_refused (struct wb_simulation *w, struct wb_req *r);
+void wb_rollout_refill (struct wb_simulation *w);
 
 /* entry.c */
-bool wb_entry_place (struct wb_world *w, struct wb_req *r);
-void wb_entry_ended (struct wb_world *w, struct wb_req *r,
+bool wb_entry_place (struct wb_simulation *w, struct wb_req *r);
+void wb_entry_ended (struct wb_simulation *w, struct wb_req *r,
                      enum wy_outcome outcome);
-void wb_entry_report (struct wb_world *w, uint32_t target);
-void wb_entry_cache_event (struct wb_world *w, uint32_t target,
+void wb_entry_report (struct wb_simulation *w, uint32_t target);
+void wb_entry_cache_event (struct wb_simulation *w, uint32_t target,
                            uint64_t prefix, bool present);
 
 /* agent.c */
-enum wy_admission_kind wb_agent_offer (struct wb_world *w, struct wb_req *r);
-void wb_agent_poll (struct wb_world *w, uint32_t i);
-void wb_agent_wake (struct wb_world *w, uint32_t i, uint64_t stamp);
-void wb_agent_finish (struct wb_world *w, uint32_t i, uint64_t stamp);
-void wb_agent_take (struct wb_world *w, struct wb_req *r);
-void wb_agent_stopped (struct wb_world *w, uint32_t i, bool stopped);
+enum wy_admission_kind wb_agent_offer (struct wb_simulation *w,
+                                       struct wb_req *r);
+void wb_agent_poll (struct wb_simulation *w, uint32_t i);
+void wb_agent_wake (struct wb_simulation *w, uint32_t i, uint64_t stamp);
+void wb_agent_finish (struct wb_simulation *w, uint32_t i, uint64_t stamp);
+void wb_agent_take (struct wb_simulation *w, struct wb_req *r);
+void wb_agent_stopped (struct wb_simulation *w, uint32_t i, bool stopped);
 
 /* trainers.c */
-void wb_trainers_start (struct wb_world *w);
-void wb_trainer_done (struct wb_world *w, struct wb_req *r);
-void wb_trainer_lost (struct wb_world *w, struct wb_req *r);
-void wb_trainer_trained (struct wb_world *w, uint32_t i);
-void wb_trainer_tick (struct wb_world *w, uint32_t i);
-void wb_trainers_free (struct wb_world *w);
-
-struct wy_step_inputs wb_trainer_state (const struct wb_world *w,
+void wb_trainers_start (struct wb_simulation *w);
+void wb_trainer_done (struct wb_simulation *w, struct wb_req *r);
+void wb_trainer_lost (struct wb_simulation *w, struct wb_req *r);
+void wb_trainer_trained (struct wb_simulation *w, uint32_t i);
+void wb_trainer_tick (struct wb_simulation *w, uint32_t i);
+void wb_trainers_free (struct wb_simulation *w);
+
+struct wy_step_inputs wb_trainer_state (const struct wb_simulation *w,
                                         const struct wb_trainer *t);
-void wb_trainer_abandon (struct wb_world *w, struct wb_open *s,
+void wb_trainer_abandon (struct wb_simulation *w, struct wb_open *s,
                          uint32_t sample);
 
 /* stragglers.c */
-void wb_stragglers (struct wb_world *w, struct wb_trainer *t,
+void wb_stragglers (struct wb_simulation *w, struct wb_trainer *t,
                     struct wb_open *s);
 
 /* faults.c */
-void wb_faults_plan (struct wb_world *w);
-void wb_fault (struct wb_world *w, const struct wb_event *e);
+void wb_faults_plan (struct wb_simulation *w);
+void wb_fault (struct wb_simulation *w, const struct wb_event *e);
 
 #endif
--- a/bench/support/stragglers.c
+++ b/bench/support/stragglers.c
@@ -1,12 +1,12 @@
 /* Samples that take much longer than others: what src/decide/steps says, or
    the baseline that cancels and restarts them.  */
-#include "world_state.h"
+#include "simulation_state.h"
 
 /* The restarting baseline gives up at this many times the median.  */
 #define RESTART_FACTOR 5
 
 static void
-move (struct wb_world *w, struct wb_open *s, uint32_t sample)
+move (struct wb_simulation *w, struct wb_open *s, uint32_t sample)
 {
   struct wb_req *r = s->sample[sample];
   uint32_t from = r->target;
@@ -28,7 +28,7 @@
 }
 
 static void
-restart_stragglers (struct wb_world *w, struct wb_open *s)
+restart_stragglers (struct wb_simulation *w, struct wb_open *s)
 {
   double limit = RESTART_FACTOR * w->c->rollout_tokens;
 
@@ -46,7 +46,7 @@
 }
 
 static void
-progress (struct wb_world *w, struct wb_open *s)
+progress (struct wb_simulation *w, struct wb_open *s)
 {
   for (uint32_t k = 0; k < wy_step_samples_max (s->step); k++)
     {
@@ -69,7 +69,7 @@
 }
 
 static void
-follow_steps (struct wb_world *w, struct wb_trainer *t, struct wb_open *s)
+follow_steps (struct wb_simulation *w, struct wb_trainer *t, struct wb_open *s)
 {
   for (;;)
     {
@@ -93,7 +93,8 @@
 
 /* Tell the step of S how far its samples are, and do what is to be done.  */
 void
-wb_stragglers (struct wb_world *w, struct wb_trainer *t, struct wb_open *s)
+wb_stragglers (struct wb_simulation *w, struct wb_trainer *t,
+               struct wb_open *s)
 {
   progress (w, s);
   if (w->p->straggler == WB_STRAGGLER_RESTART)
--- a/bench/support/trainers.c
+++ b/bench/support/trainers.c
@@ -3,7 +3,7 @@
    src/decide/steps allows.  */
 #include <stdlib.h>
 
-#include "world_state.h"
+#include "simulation_state.h"
 
 #define TICK_MS 500
 #define GROUP_SIGMA 0.4
@@ -13,7 +13,8 @@
 #define QUEUED_PER_ENGINE 4
 
 static struct wy_rng
-rng_of (const struct wb_world *w, uint32_t i, uint64_t step, uint32_t what)
+rng_of (const struct wb_simulation *w, uint32_t i, uint64_t step,
+        uint32_t what)
 {
   struct wy_rng r;
 
@@ -23,7 +24,8 @@
 }
 
 static uint32_t
-group_median (const struct wb_world *w, uint32_t i, uint64_t step, uint32_t g)
+group_median (const struct wb_simulation *w, uint32_t i, uint64_t step,
+              uint32_t g)
 {
   struct wy_rng rng = rng_of (w, i, step, g);
 
@@ -31,7 +33,7 @@
 }
 
 static void
-open_step (struct wb_world *w, uint32_t i)
+open_step (struct wb_simulation *w, uint32_t i)
 {
   struct wb_trainer *t = &w->trainer[i];
   struct wb_open *s = &t->open[t->n_open++];
@@ -80,7 +82,7 @@
 }
 
 static uint32_t
-free_streams (const struct wb_world *w, const struct wb_trainer *t)
+free_streams (const struct wb_simulation *w, const struct wb_trainer *t)
 {
   uint32_t all = w->c->engines * (WB_STREAMS_MAX + QUEUED_PER_ENGINE);
 
@@ -89,7 +91,7 @@
 
 /* What a decision about a step of T is told.  */
 struct wy_step_inputs
-wb_trainer_state (const struct wb_world *w, const struct wb_trainer *t)
+wb_trainer_state (const struct wb_simulation *w, const struct wb_trainer *t)
 {
   uint32_t least = WB_STREAMS_MAX;
   struct wy_step_inputs now = { .now_ms = (int64_t)w->now_ms,
@@ -105,7 +107,7 @@
 }
 
 static bool
-start_sample (struct wb_world *w, uint32_t i, struct wb_open *s,
+start_sample (struct wb_simulation *w, uint32_t i, struct wb_open *s,
               const struct wy_step_issuance *what)
 {
   struct wb_trainer *t = &w->trainer[i];
@@ -137,7 +139,7 @@
 }
 
 static void
-issue_open (struct wb_world *w, uint32_t i, bool spare)
+issue_open (struct wb_simulation *w, uint32_t i, bool spare)
 {
   struct wb_trainer *t = &w->trainer[i];
 
@@ -157,7 +159,7 @@
 /* Issue what may be issued, the step due first first, and what the streams
    that stay free allow beyond.  */
 static void
-issue (struct wb_world *w, uint32_t i)
+issue (struct wb_simulation *w, uint32_t i)
 {
   issue_open (w, i, false);
   if (w->trainer[i].running < w->c->engines * WB_STREAMS_MAX)
@@ -166,7 +168,8 @@
 
 /* Stop SAMPLE of S for good.  */
 void
-wb_trainer_abandon (struct wb_world *w, struct wb_open *s, uint32_t sample)
+wb_trainer_abandon (struct wb_simulation *w, struct wb_open *s,
+                    uint32_t sample)
 {
   struct wb_req *r = s->sample[sample];
   struct wb_trainer *t = &w->trainer[r->trainer];
@@ -182,7 +185,8 @@
 }
 
 static void
-count_batch (struct wb_world *w, struct wb_trainer *t, const struct wb_open *s)
+count_batch (struct wb_simulation *w, struct wb_trainer *t,
+             const struct wb_open *s)
 {
   double from_ms = w->c->count_from_ms;
 
@@ -202,7 +206,7 @@
 }
 
 static void
-take_batch (struct wb_world *w, uint32_t i)
+take_batch (struct wb_simulation *w, uint32_t i)
 {
   struct wb_trainer *t = &w->trainer[i];
   struct wb_open *s = &t->open[0];
@@ -222,7 +226,7 @@
 
 /* Training ended; the new weights are in force.  */
 void
-wb_trainer_trained (struct wb_world *w, uint32_t i)
+wb_trainer_trained (struct wb_simulation *w, uint32_t i)
 {
   struct wb_trainer *t = &w->trainer[i];
 
@@ -235,7 +239,7 @@
 
 /* The sample of R has ended.  */
 void
-wb_trainer_done (struct wb_world *w, struct wb_req *r)
+wb_trainer_done (struct wb_simulation *w, struct wb_req *r)
 {
   struct wb_trainer *t = &w->trainer[r->trainer];
   struct wb_open *s = find_open (t, r->step);
@@ -260,7 +264,7 @@
 
 /* The sample of R could not be placed, or was lost.  */
 void
-wb_trainer_lost (struct wb_world *w, struct wb_req *r)
+wb_trainer_lost (struct wb_simulation *w, struct wb_req *r)
 {
   struct wb_trainer *t = &w->trainer[r->trainer];
   struct wb_open *s = find_open (t, r->step);
@@ -272,7 +276,7 @@
 
 /* Look after the samples of trainer I.  */
 void
-wb_trainer_tick (struct wb_world *w, uint32_t i)
+wb_trainer_tick (struct wb_simulation *w, uint32_t i)
 {
   struct wb_trainer *t = &w->trainer[i];
 
@@ -286,7 +290,7 @@
 
 /* Start the trainers of the case.  */
 void
-wb_trainers_start (struct wb_world *w)
+wb_trainers_start (struct wb_simulation *w)
 {
   w->trainer = calloc (w->c->trainers + 1, sizeof *w->trainer);
   if (!w->trainer)
@@ -306,7 +310,7 @@
 
 /* Free what the trainers hold.  */
 void
-wb_trainers_free (struct wb_world *w)
+wb_trainers_free (struct wb_simulation *w)
 {
   for (uint32_t i = 0; i < w->c->trainers; i++)
     while (w->trainer[i].n_open > 0)
--- a/tests/support/agent_world.c
+++ b/tests/support/agent_fixture.c
@@ -1,6 +1,6 @@
 /* An agent in the loop of the test, with a target that the test plays and
    entries that it speaks for.  */
-#include "agent_world.h"
+#include "agent_fixture.h"
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -25,7 +25,7 @@
 static void
 on_check (uv_check_t *c)
 {
-  struct world *w = c->data;
+  struct fixture *w = c->data;
 
   if (w->done && w->done (w))
     uv_stop (&w->loop);
@@ -33,7 +33,7 @@
 
 /* Run the loop until DONE holds.  */
 void
-agent_world_until (struct world *w, bool (*done) (struct world *w))
+agent_fixture_run_until (struct fixture *w, bool (*done) (struct fixture *w))
 {
   w->done = done;
   uv_timer_start (&w->guard, on_guard, GUARD_MS, 0);
@@ -51,7 +51,7 @@
 
 /* Run the loop for MS.  */
 void
-agent_world_for_ms (struct world *w, uint32_t ms)
+agent_fixture_run_ms (struct fixture *w, uint32_t ms)
 {
   uv_timer_start (&w->guard, on_waited, ms, 0);
   uv_run (&w->loop, UV_RUN_DEFAULT);
@@ -158,7 +158,7 @@
 
 /* Connect entry I, anew or for the first time.  */
 void
-agent_world_dial (struct world *w, uint32_t i)
+agent_fixture_connect (struct fixture *w, uint32_t i)
 {
   struct peer *p = &w->entry[i];
   struct wy_conn_events ev = { .on_ready = on_ready,
@@ -174,7 +174,7 @@
 
 /* Close the connection of entry I.  */
 void
-agent_world_cut (struct world *w, uint32_t i)
+agent_fixture_disconnect (struct fixture *w, uint32_t i)
 {
   wy_conn_close (w->entry[i].conn);
   w->entry[i].conn = NULL;
@@ -183,9 +183,9 @@
 
 /* All entries are connected and know the target's load.  */
 bool
-agent_world_entries_ready (struct world *w)
+agent_fixture_entries_ready (struct fixture *w)
 {
-  for (uint32_t i = 0; i < WORLD_ENTRIES; i++)
+  for (uint32_t i = 0; i < FIXTURE_ENTRIES; i++)
     if (!w->entry[i].ready || !w->entry[i].has_load
         || !w->entry[i].load.target_up)
       return false;
@@ -194,7 +194,7 @@
 
 /* A request for a model.  */
 struct wy_frame_submit
-agent_world_submit_model (const char *id)
+agent_fixture_submit_model (const char *id)
 {
   struct wy_frame_submit s
       = { .id = wy_bytes_of (id),
@@ -215,8 +215,8 @@
 
 /* A request for a service.  */
 struct wy_frame_submit
-agent_world_submit_service (struct world *w, const char *id,
-                            bool non_idempotent)
+agent_fixture_submit_service (struct fixture *w, const char *id,
+                              bool non_idempotent)
 {
   static const struct wy_header_pair headers[]
       = { { { "content-type", 12 }, { "application/json", 16 } } };
@@ -240,8 +240,8 @@
 
 /* Entry I sends S.  */
 void
-agent_world_send_submit (struct world *w, uint32_t i,
-                         const struct wy_frame_submit *s)
+agent_fixture_send_submit (struct fixture *w, uint32_t i,
+                           const struct wy_frame_submit *s)
 {
   struct wy_frame f = { .kind = WY_FRAME_SUBMIT };
 
@@ -251,8 +251,9 @@
 
 /* Entry I sends a frame of those that name a request.  */
 void
-agent_world_send (struct world *w, uint32_t i, enum wy_frame_kind kind,
-                  const char *id, const char *run, uint64_t offset_bytes)
+agent_fixture_send_frame (struct fixture *w, uint32_t i,
+                          enum wy_frame_kind kind, const char *id,
+                          const char *run, uint64_t offset_bytes)
 {
   struct wy_frame f = { .kind = kind };
 
@@ -264,8 +265,9 @@
 
 /* Entry I gives an order under the lease "rollout".  */
 void
-agent_world_order (struct world *w, uint32_t i, const char *order,
-                   enum wy_order_kind kind, int64_t fence, int64_t version)
+agent_fixture_send_order (struct fixture *w, uint32_t i, const char *order,
+                          enum wy_order_kind kind, int64_t fence,
+                          int64_t version)
 {
   struct wy_frame f = { .kind = WY_FRAME_ORDER };
 
@@ -280,8 +282,8 @@
 
 /* Entry I tells a configuration whose service has MEMBERS, as in JSON.  */
 void
-agent_world_config (struct world *w, uint32_t i, int64_t revision,
-                    const char *members)
+agent_fixture_send_config (struct fixture *w, uint32_t i, int64_t revision,
+                           const char *members)
 {
   struct wy_frame f = { .kind = WY_FRAME_CONFIG };
   char *json = g_strdup_printf (
@@ -299,7 +301,7 @@
 
 /* The events of the timeline named EVENT, as an array.  */
 json_t *
-agent_world_events (struct world *w, const char *event)
+agent_fixture_events (struct fixture *w, const char *event)
 {
   GString *text = g_string_new (NULL);
   json_t *list = json_array ();
@@ -324,16 +326,16 @@
 static void
 on_stopped (void *ctx, uint32_t cut)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->stopped = true;
   w->cut = cut;
 }
 
 static void
-init_peer (struct world *w, struct peer *p, const char *name)
+init_peer (struct fixture *w, struct peer *p, const char *name)
 {
-  p->world = w;
+  p->fixture = w;
   p->body = g_byte_array_new ();
   p->identity = (struct wy_inner_identity){ .loop = &w->loop,
                                             .clock = wy_clock_system (),
@@ -349,7 +351,7 @@
 }
 
 static void
-load_settings (struct world *w, enum wy_target_kind kind)
+load_settings (struct fixture *w, enum wy_target_kind kind)
 {
   char *text = g_strdup_printf (
       "name: t-1\navailability_zone: surrey\ntarget_kind: %s\n"
@@ -374,7 +376,7 @@
 
 /* Prepare W with a target of KIND; its settings may still be changed.  */
 void
-agent_world_init (struct world *w, enum wy_target_kind kind)
+agent_fixture_init (struct fixture *w, enum wy_target_kind kind)
 {
   memset (w, 0, sizeof *w);
   signal (SIGPIPE, SIG_IGN);
@@ -383,10 +385,10 @@
   uv_check_init (&w->loop, &w->check);
   w->check.data = w;
   uv_check_start (&w->check, on_check);
-  w->controls = g_string_new ("");
+  w->control_paths = g_string_new ("");
   w->incarnation = "engine-a";
   w->version = 7;
-  agent_world_target_start (w);
+  agent_fixture_start_target (w);
   load_settings (w, kind);
   init_peer (w, &w->entry[0], "entry-1");
   init_peer (w, &w->entry[1], "entry-2");
@@ -394,7 +396,7 @@
 
 /* Start the agent and connect the entries.  */
 void
-agent_world_start (struct world *w)
+agent_fixture_start (struct fixture *w)
 {
   struct wy_trace_options trace = { .process = "t-1",
                                     .incarnation = "agent-inc",
@@ -410,7 +412,7 @@
   o.trace = w->trace;
   o.metrics = w->metrics;
   cr_assert_eq (wy_agent_new (&w->agent, &o), 0);
-  for (uint32_t i = 0; i < WORLD_ENTRIES; i++)
-    agent_world_dial (w, i);
-  agent_world_until (w, agent_world_entries_ready);
+  for (uint32_t i = 0; i < FIXTURE_ENTRIES; i++)
+    agent_fixture_connect (w, i);
+  agent_fixture_run_until (w, agent_fixture_entries_ready);
 }
--- a/tests/support/agent_target.c
+++ b/tests/support/agent_target.c
@@ -3,7 +3,7 @@
 
 #include <criterion/criterion.h>
 
-#include "agent_world.h"
+#include "agent_fixture.h"
 #include "http/json.h"
 
 enum
@@ -18,7 +18,7 @@
 }
 
 static void
-take_call (struct world *w, struct wy_http_exchange *ex)
+take_call (struct fixture *w, struct wy_http_exchange *ex)
 {
   struct call *c = &w->calls[w->n_calls++];
   const char *request = wy_http_header (ex, "waxwing-request-id");
@@ -27,7 +27,7 @@
   json_t *j = json_loadb (body, n, 0, NULL);
   const char *run = json_string_value (json_object_get (j, "run"));
 
-  cr_assert_lt (w->n_calls, WORLD_CALLS_MAX);
+  cr_assert_lt (w->n_calls, FIXTURE_CALLS_MAX);
   c->ex = ex;
   c->path = g_strdup (wy_http_path (ex));
   c->run = g_strdup (run ? run : "");
@@ -44,7 +44,7 @@
 };
 
 static void
-take_order (struct world *w, struct wy_http_exchange *ex)
+take_order (struct fixture *w, struct wy_http_exchange *ex)
 {
   size_t n;
   const char *body = wy_http_body (ex, &n);
@@ -78,10 +78,10 @@
 static void
 on_request (struct wy_http_exchange *ex, void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
   const char *path = wy_http_path (ex);
 
-  if (!strcmp (path, "/control/load") && w->target_away)
+  if (!strcmp (path, "/control/load") && w->load_unavailable)
     wy_http_close_connection (ex);
   else if (!strcmp (path, "/control/load"))
     wy_http_respond_json (
@@ -102,13 +102,13 @@
     take_order (w, ex);
   else if (!strcmp (path, "/control/export"))
     {
-      g_string_append_printf (w->controls, "%s ", path);
+      g_string_append_printf (w->control_paths, "%s ", path);
       wy_http_respond_json (ex, 200, json_pack ("{s:s}", "blob", "state"));
     }
   else if (g_str_has_prefix (path, "/control/")
            && strcmp (path, "/control/import") != 0)
     {
-      g_string_append_printf (w->controls, "%s ", path);
+      g_string_append_printf (w->control_paths, "%s ", path);
       wy_http_respond_json (ex, 200, json_pack ("{s:b}", "ok", 1));
     }
   else
@@ -117,7 +117,7 @@
 
 /* The target makes N tokens for CALL, of the version in force.  */
 void
-agent_world_tokens (struct world *w, uint32_t call, uint32_t n)
+agent_fixture_send_tokens (struct fixture *w, uint32_t call, uint32_t n)
 {
   struct call *c = &w->calls[call];
 
@@ -144,7 +144,7 @@
 
 /* The target ends the stream of CALL.  */
 void
-agent_world_finish (struct world *w, uint32_t call)
+agent_fixture_send_end (struct fixture *w, uint32_t call)
 {
   struct call *c = &w->calls[call];
   char *text = g_strdup_printf (
@@ -161,7 +161,7 @@
 
 /* Listen as the target of W.  */
 void
-agent_world_target_start (struct world *w)
+agent_fixture_start_target (struct fixture *w)
 {
   struct wy_http_server_options o = { .loop = &w->loop,
                                       .host = "127.0.0.1",
--- a/tests/support/conn_world.c
+++ b/tests/support/conn_fixture.c
@@ -1,19 +1,19 @@
 /* Two ends of a connection in one loop.  */
-#include "conn_world.h"
+#include "conn_fixture.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
 
 const struct wy_inner_key conn_keys_old[] = { { 1, "old secret" } };
 
-static struct world *the_world;
+static struct fixture *the_fixture;
 
 /* Stop the loop when what is waited for has come.  */
 void
 conn_check_done (void)
 {
-  if (the_world->done && the_world->done (the_world))
-    uv_stop (&the_world->loop);
+  if (the_fixture->done && the_fixture->done (the_fixture))
+    uv_stop (&the_fixture->loop);
 }
 
 static void
@@ -56,7 +56,7 @@
 static bool
 is_busy (void *ctx, struct wy_conn *c)
 {
-  return !((struct end *)ctx)->quiet;
+  return !((struct end *)ctx)->idle;
 }
 
 /* The events of end E.  */
@@ -75,7 +75,7 @@
 static struct wy_conn_events
 on_accept (void *ctx, struct wy_conn *c)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->b.conn = c;
   return conn_events_of (&w->b);
@@ -83,7 +83,7 @@
 
 /* End E of W is PROCESS with the N KEYS.  */
 void
-conn_end_init (struct world *w, struct end *e, const char *process,
+conn_end_init (struct fixture *w, struct end *e, const char *process,
                const struct wy_inner_key *keys, size_t n)
 {
   e->identity
@@ -109,7 +109,7 @@
 
 /* Both ends and a listener, not yet connected.  */
 void
-conn_world_init (struct world *w)
+conn_fixture_init (struct fixture *w)
 {
   struct wy_listener_options o = { .identity = &w->b.identity,
                                    .host = "127.0.0.1",
@@ -117,7 +117,7 @@
                                    .ctx = w };
 
   memset (w, 0, sizeof *w);
-  the_world = w;
+  the_fixture = w;
   uv_loop_init (&w->loop);
   conn_end_init (w, &w->a, "entry-1", conn_keys_old, 1);
   conn_end_init (w, &w->b, "agent-1", conn_keys_old, 1);
@@ -128,7 +128,7 @@
 
 /* Have end A dial PORT, 0: the listener.  */
 void
-conn_dial (struct world *w, uint16_t port)
+conn_dial (struct fixture *w, uint16_t port)
 {
   struct wy_conn_events ev = conn_events_of (&w->a);
 
@@ -138,7 +138,7 @@
 
 /* Run the loop until DONE.  */
 void
-conn_run_until (struct world *w, bool (*done) (struct world *w))
+conn_run_until (struct fixture *w, bool (*done) (struct fixture *w))
 {
   w->done = done;
   if (!done (w))
@@ -147,28 +147,28 @@
 
 /* Whether both ends are ready.  */
 bool
-conn_both_ready (struct world *w)
+conn_both_ready (struct fixture *w)
 {
   return w->a.ready && w->b.ready;
 }
 
 /* Whether both ends are closed.  */
 bool
-conn_both_closed (struct world *w)
+conn_both_closed (struct fixture *w)
 {
   return w->a.closed && w->b.closed;
 }
 
 /* Whether end A is closed.  */
 bool
-conn_a_closed (struct world *w)
+conn_a_closed (struct fixture *w)
 {
   return w->a.closed;
 }
 
 /* Whether end B is closed.  */
 bool
-conn_b_closed (struct world *w)
+conn_b_closed (struct fixture *w)
 {
   return w->b.closed;
 }
@@ -206,7 +206,7 @@
 
 /* Connect a raw peer that sends the N bytes at P.  */
 void
-conn_raw_dial (struct world *w, struct raw *r, const void *p, size_t n)
+conn_raw_dial (struct fixture *w, struct raw *r, const void *p, size_t n)
 {
   struct sockaddr_in a;
 
@@ -246,7 +246,7 @@
     }
   if (to_far)
     g_byte_array_append (r->seen, (const guint8 *)buf->base, (guint)n);
-  if (to_far ? r->lose_to_far : r->lose_to_near)
+  if (to_far ? r->drop_to_listener : r->drop_to_dialer)
     return;
   uv_try_write ((uv_stream_t *)(to_far ? &r->far : &r->near), &out, 1);
 }
@@ -263,14 +263,14 @@
   r->far.data = r;
   r->connect.data = r;
   cr_assert_eq (uv_accept (s, (uv_stream_t *)&r->near), 0);
-  uv_ip4_addr ("127.0.0.1", wy_listener_port (the_world->listener), &a);
+  uv_ip4_addr ("127.0.0.1", wy_listener_port (the_fixture->listener), &a);
   uv_tcp_connect (&r->connect, &r->far, (struct sockaddr *)&a,
                   relay_connected);
 }
 
 /* Put a relay between the ends; dial its port.  */
 void
-conn_relay_init (struct world *w)
+conn_relay_init (struct fixture *w)
 {
   struct relay *r = &w->relay;
   struct sockaddr_in a;
--- a/tests/support/conn_world.h
+++ b/tests/support/conn_fixture.h
@@ -1,7 +1,7 @@
 /* Two ends of a connection in one loop, with a relay between them that can
    lose one direction, or a raw socket in place of the peer.  */
-#ifndef WY_TESTS_CONN_WORLD_H
-#define WY_TESTS_CONN_WORLD_H
+#ifndef WY_TESTS_CONN_FIXTURE_H
+#define WY_TESTS_CONN_FIXTURE_H
 
 #include "inner/conn.h"
 
@@ -27,7 +27,7 @@
   uint32_t pings;
   uint64_t chunk_bytes;
   char *peer;
-  bool quiet; /* says that nothing is awaited */
+  bool idle; /* says that nothing is awaited */
 };
 
 struct relay
@@ -37,19 +37,19 @@
   uv_tcp_t far;
   uv_connect_t connect;
   uint16_t port;
-  bool lose_to_far;
-  bool lose_to_near;
+  bool drop_to_listener;
+  bool drop_to_dialer;
   GByteArray *seen; /* sent by the dialer */
 };
 
-struct world
+struct fixture
 {
   uv_loop_t loop;
   struct wy_listener *listener;
   struct end a; /* dials */
   struct end b; /* listens */
   uv_timer_t guard;
-  bool (*done) (struct world *w);
+  bool (*done) (struct fixture *w);
   struct relay relay;
 };
 
@@ -65,16 +65,16 @@
 
 void conn_check_done (void);
 struct wy_conn_events conn_events_of (struct end *e);
-void conn_end_init (struct world *w, struct end *e, const char *process,
+void conn_end_init (struct fixture *w, struct end *e, const char *process,
                     const struct wy_inner_key *keys, size_t n);
-void conn_world_init (struct world *w);
-void conn_dial (struct world *w, uint16_t port);
-void conn_run_until (struct world *w, bool (*done) (struct world *w));
-bool conn_both_ready (struct world *w);
-bool conn_both_closed (struct world *w);
-bool conn_a_closed (struct world *w);
-bool conn_b_closed (struct world *w);
-void conn_raw_dial (struct world *w, struct raw *r, const void *p, size_t n);
-void conn_relay_init (struct world *w);
+void conn_fixture_init (struct fixture *w);
+void conn_dial (struct fixture *w, uint16_t port);
+void conn_run_until (struct fixture *w, bool (*done) (struct fixture *w));
+bool conn_both_ready (struct fixture *w);
+bool conn_both_closed (struct fixture *w);
+bool conn_a_closed (struct fixture *w);
+bool conn_b_closed (struct fixture *w);
+void conn_raw_dial (struct fixture *w, struct raw *r, const void *p, size_t n);
+void conn_relay_init (struct fixture *w);
 
 #endif
--- a/tests/support/proc_yard.c
+++ b/tests/support/deployment.c
@@ -1,6 +1,6 @@
 /* A small yard of real programs: table, list, three engines, three services,
    their agents, two entries.  */
-#include "proc_yard.h"
+#include "deployment.h"
 
 #include <criterion/criterion.h>
 #include <glib/gstdio.h>
@@ -21,7 +21,7 @@
 };
 
 static void
-driver_event (struct proc_yard *y, const char *event, const char *fields)
+driver_event (struct test_deployment *y, const char *event, const char *fields)
 {
   int64_t now_ms = wy_clock_wall_ms (wy_clock_system ());
 
@@ -34,17 +34,17 @@
 
 /* A second name keeps the timeline when the program's files are removed.  */
 static void
-keep_timeline (struct proc_yard *y, int program)
+keep_timeline (struct test_deployment *y, int program)
 {
-  char *path = g_strdup_printf ("%s/%u.jsonl", y->dir, y->lives++);
+  char *path = g_strdup_printf ("%s/%u.jsonl", y->dir, y->n_timelines++);
 
   cr_assert_eq (link (y->proc[program].timeline, path), 0);
   g_free (path);
 }
 
 static void
-run (struct proc_yard *y, int program, const char *name, const char *kind,
-     char *settings)
+run (struct test_deployment *y, int program, const char *name,
+     const char *kind, char *settings)
 {
   cr_assert_eq (wy_proc_start (&y->proc[program], name, kind, settings), 0,
                 "%s", settings);
@@ -55,32 +55,32 @@
 }
 
 static void
-start_service_agent (struct proc_yard *y, int i)
+start_service_agent (struct test_deployment *y, int i)
 {
-  run (y, YARD_SERVICE_AGENT + i, "wyagentd", NULL,
+  run (y, DEPLOYMENT_SERVICE_AGENT + i, "wyagentd", NULL,
        g_strdup_printf (
            "name: portal-%d\navailability_zone: z%d\nkey_1: 1:k\n"
            "target_kind: service\ntarget_name: portal\ntarget_port: %u\n"
            "orphan_grace_ms: 500\nlog_level: error\n",
-           i, i, wy_proc_port (&y->proc[YARD_SERVICE + i], "http")));
+           i, i, wy_proc_port (&y->proc[DEPLOYMENT_SERVICE + i], "http")));
 }
 
 static void
-start_targets (struct proc_yard *y)
+start_targets (struct test_deployment *y)
 {
-  for (int i = 0; i < YARD_TARGETS; i++)
+  for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
     {
-      run (y, YARD_ENGINE + i, "wystandin", "engine",
+      run (y, DEPLOYMENT_ENGINE + i, "wystandin", "engine",
            g_strdup_printf ("name: engine-%d\nmodel: m\ntoken_base_us: 2000\n",
                             i));
-      run (y, YARD_SERVICE + i, "wystandin", "service",
+      run (y, DEPLOYMENT_SERVICE + i, "wystandin", "service",
            g_strdup_printf ("name: service-%d\n", i));
-      run (y, YARD_MODEL_AGENT + i, "wyagentd", NULL,
+      run (y, DEPLOYMENT_MODEL_AGENT + i, "wyagentd", NULL,
            g_strdup_printf (
                "name: model-%d\navailability_zone: z%d\nkey_1: 1:k\n"
                "target_kind: model\ntarget_name: m\ntarget_port: %u\n"
                "orphan_grace_ms: 500\nlog_level: error\n",
-               i, i, wy_proc_port (&y->proc[YARD_ENGINE + i], "http")));
+               i, i, wy_proc_port (&y->proc[DEPLOYMENT_ENGINE + i], "http")));
       start_service_agent (y, i);
     }
 }
@@ -96,20 +96,21 @@
 }
 
 static void
-list_targets (struct proc_yard *y)
+list_targets (struct test_deployment *y)
 {
   GString *s = g_string_new ("{\"instances\":[");
 
-  for (int i = 0; i < 2 * YARD_TARGETS; i++)
+  for (int i = 0; i < 2 * DEPLOYMENT_TARGETS; i++)
     g_string_append_printf (
         s,
         "%s{\"id\":\"%s-%d\",\"role\":\"agent\",\"host\":\"127.0.0.1\","
         "\"port\":%u,\"availability_zone\":\"z%d\",\"region\":\"r\","
         "\"state\":\"live\",\"serves\":\"%s\",\"kind\":\"%s\"}",
-        i ? "," : "", i < YARD_TARGETS ? "model" : "portal", i % YARD_TARGETS,
-        wy_proc_port (&y->proc[YARD_MODEL_AGENT + i], "inner"),
-        i % YARD_TARGETS, i < YARD_TARGETS ? "m" : "portal",
-        i < YARD_TARGETS ? "model" : "service");
+        i ? "," : "", i < DEPLOYMENT_TARGETS ? "model" : "portal",
+        i % DEPLOYMENT_TARGETS,
+        wy_proc_port (&y->proc[DEPLOYMENT_MODEL_AGENT + i], "inner"),
+        i % DEPLOYMENT_TARGETS, i < DEPLOYMENT_TARGETS ? "m" : "portal",
+        i < DEPLOYMENT_TARGETS ? "model" : "service");
   g_string_append (s, "]}");
   post (y->list, "/control/instances", s->str);
   g_string_free (s, TRUE);
@@ -117,7 +118,7 @@
 
 /* Start the agent of service I again, after it was killed.  */
 void
-proc_yard_restart_agent (struct proc_yard *y, int i)
+deployment_restart_agent (struct test_deployment *y, int i)
 {
   start_service_agent (y, i);
   list_targets (y);
@@ -125,19 +126,19 @@
 
 /* Start entry I, again if it was killed.  */
 void
-proc_yard_start_entry (struct proc_yard *y, uint32_t i)
+deployment_start_entry (struct test_deployment *y, uint32_t i)
 {
-  run (y, YARD_ENTRY + (int)i, "wyentryd", NULL,
+  run (y, DEPLOYMENT_ENTRY + (int)i, "wyentryd", NULL,
        g_strdup_printf (
            "name: entry-%u\navailability_zone: z0\nkey_1: 1:k\n"
            "table: 127.0.0.1:%u\nobjects: 127.0.0.1:%u\n"
            "list: 127.0.0.1:%u\noperator_token: op\nlog_level: error\n",
            i, y->table, y->table, y->list));
-  y->entry[i] = wy_proc_port (&y->proc[YARD_ENTRY + i], "http");
+  y->entry[i] = wy_proc_port (&y->proc[DEPLOYMENT_ENTRY + i], "http");
 }
 
 static bool
-all_up (const struct proc_yard *y, uint32_t i)
+all_up (const struct test_deployment *y, uint32_t i)
 {
   static const struct wy_http_header_field operator[] = {
     { "authorization", "Bearer op" }, { NULL, NULL }
@@ -150,12 +151,12 @@
   for (const char *p = text; p && (p = strstr (p, "\"state\":\"up\"")); p++)
     up++;
   g_free (text);
-  return up == 2 * YARD_TARGETS;
+  return up == 2 * DEPLOYMENT_TARGETS;
 }
 
 /* Wait until entry I is ready and sees all targets that are up.  */
 void
-proc_yard_ready (struct proc_yard *y, uint32_t i)
+deployment_wait_ready (struct test_deployment *y, uint32_t i)
 {
   int status = 0;
 
@@ -170,7 +171,7 @@
 
 /* Start all and wait until both entries are ready.  */
 void
-proc_yard_start (struct proc_yard *y)
+deployment_start (struct test_deployment *y)
 {
   static const char document[]
       = "{\"conditions\":[],\"writes\":[{\"key\":\"config/current\","
@@ -185,41 +186,41 @@
   y->driver = g_string_new (NULL);
   driver_event (y, "process.start",
                 ",\"role\":\"driver\",\"availability_zone\":\"z0\"");
-  run (y, YARD_TABLE, "wystandin", "table", g_strdup ("name: table"));
-  run (y, YARD_LIST, "wystandin", "list",
+  run (y, DEPLOYMENT_TABLE, "wystandin", "table", g_strdup ("name: table"));
+  run (y, DEPLOYMENT_LIST, "wystandin", "list",
        g_strdup ("name: list\nlag_ms: 50\n"));
-  y->table = wy_proc_port (&y->proc[YARD_TABLE], "http");
-  y->list = wy_proc_port (&y->proc[YARD_LIST], "http");
+  y->table = wy_proc_port (&y->proc[DEPLOYMENT_TABLE], "http");
+  y->list = wy_proc_port (&y->proc[DEPLOYMENT_LIST], "http");
   start_targets (y);
   list_targets (y);
   post (y->table, "/txn", document);
   driver_event (y, "config.accepted", ",\"revision\":1,\"digest\":\"given\"");
-  for (uint32_t i = 0; i < YARD_ENTRIES; i++)
-    proc_yard_start_entry (y, i);
-  for (uint32_t i = 0; i < YARD_ENTRIES; i++)
-    proc_yard_ready (y, i);
+  for (uint32_t i = 0; i < DEPLOYMENT_ENTRIES; i++)
+    deployment_start_entry (y, i);
+  for (uint32_t i = 0; i < DEPLOYMENT_ENTRIES; i++)
+    deployment_wait_ready (y, i);
 }
 
 static const char *
 name_of (int program, char *buf, size_t n)
 {
   const char *kind = "engine";
-  int first = YARD_ENGINE;
+  int first = DEPLOYMENT_ENGINE;
 
-  if (program >= YARD_ENTRY)
+  if (program >= DEPLOYMENT_ENTRY)
     {
       kind = "entry";
-      first = YARD_ENTRY;
+      first = DEPLOYMENT_ENTRY;
     }
-  else if (program >= YARD_SERVICE_AGENT)
+  else if (program >= DEPLOYMENT_SERVICE_AGENT)
     {
       kind = "portal";
-      first = YARD_SERVICE_AGENT;
+      first = DEPLOYMENT_SERVICE_AGENT;
     }
-  else if (program >= YARD_MODEL_AGENT)
+  else if (program >= DEPLOYMENT_MODEL_AGENT)
     {
       kind = "model";
-      first = YARD_MODEL_AGENT;
+      first = DEPLOYMENT_MODEL_AGENT;
     }
   g_snprintf (buf, n, "%s-%d", kind, program - first);
   return buf;
@@ -227,7 +228,7 @@
 
 /* Note that PROGRAM dies unplanned.  */
 static void
-note_death (struct proc_yard *y, int program)
+note_death (struct test_deployment *y, int program)
 {
   char name[16];
   char fields[64];
@@ -239,7 +240,7 @@
 
 /* Kill PROGRAM at once.  */
 void
-proc_yard_kill (struct proc_yard *y, int program)
+deployment_kill (struct test_deployment *y, int program)
 {
   note_death (y, program);
   wy_proc_kill (&y->proc[program], SIGKILL);
@@ -249,13 +250,14 @@
 
 /* Give PROGRAM, a stand-in, the fault that the JSON text FAULT says.  */
 void
-proc_yard_fault (const struct proc_yard *y, int program, const char *fault)
+deployment_inject_fault (const struct test_deployment *y, int program,
+                         const char *fault)
 {
   post (wy_proc_port (&y->proc[program], "http"), "/fault", fault);
 }
 
 static void
-end_program (struct proc_yard *y, int program)
+end_program (struct test_deployment *y, int program)
 {
   int rc;
 
@@ -273,13 +275,13 @@
 /* End all programs, entries first, and prove the promises from their
    timelines.  */
 void
-proc_yard_end (struct proc_yard *y)
+deployment_stop_and_check (struct test_deployment *y)
 {
   const char *bin = getenv ("WY_BIN");
   char *command;
   char *path = g_build_filename (y->dir, "driver.jsonl", NULL);
 
-  for (int i = YARD_PROGRAMS - 1; i >= 0; i--)
+  for (int i = DEPLOYMENT_PROGRAMS - 1; i >= 0; i--)
     end_program (y, i);
   driver_event (y, "process.stop", ",\"cut\":0");
   g_file_set_contents (path, y->driver->str, (gssize)y->driver->len, NULL);
@@ -294,16 +296,17 @@
 
 /* POST BODY to PATH of ENTRY.  */
 char *
-proc_yard_call (const struct proc_yard *y, uint32_t entry, const char *path,
-                const char *body, const struct wy_http_header_field *headers,
-                int *status)
+deployment_post (const struct test_deployment *y, uint32_t entry,
+                 const char *path, const char *body,
+                 const struct wy_http_header_field *headers, int *status)
 {
   return wy_fetch_text (y->entry[entry], "POST", path, body, headers, status);
 }
 
 /* How many EVENTs PROGRAM has written.  */
 size_t
-proc_yard_count (const struct proc_yard *y, int program, const char *event)
+deployment_count_events (const struct test_deployment *y, int program,
+                         const char *event)
 {
   json_t *list = wy_proc_events (&y->proc[program], event);
   size_t n = json_array_size (list);
--- /dev/null
+++ b/tests/support/deployment.h
@@ -0,0 +1,57 @@
+/* A small yard of real programs: table, list, three engines, three services,
+   their agents, two entries.  */
+#ifndef WY_TESTS_DEPLOYMENT_H
+#define WY_TESTS_DEPLOYMENT_H
+
+#include <stdbool.h>
+
+#include <glib.h>
+
+#include "proc.h"
+
+#define DEPLOYMENT_TARGETS 3
+#define DEPLOYMENT_ENTRIES 2
+
+enum deployment_program
+{
+  DEPLOYMENT_TABLE,
+  DEPLOYMENT_LIST,
+  DEPLOYMENT_ENGINE, /* three of them */
+  DEPLOYMENT_SERVICE = DEPLOYMENT_ENGINE + DEPLOYMENT_TARGETS, /* three */
+  DEPLOYMENT_MODEL_AGENT = DEPLOYMENT_SERVICE + DEPLOYMENT_TARGETS,
+  DEPLOYMENT_SERVICE_AGENT = DEPLOYMENT_MODEL_AGENT + DEPLOYMENT_TARGETS,
+  DEPLOYMENT_ENTRY = DEPLOYMENT_SERVICE_AGENT + DEPLOYMENT_TARGETS,
+  DEPLOYMENT_PROGRAMS = DEPLOYMENT_ENTRY + DEPLOYMENT_ENTRIES
+};
+
+struct test_deployment
+{
+  struct wy_proc proc[DEPLOYMENT_PROGRAMS];
+  bool running[DEPLOYMENT_PROGRAMS];
+  uint16_t table;
+  uint16_t list;
+  uint16_t entry[DEPLOYMENT_ENTRIES];
+  char *dir; /* of the timelines, kept until the check */
+  uint32_t n_timelines;
+  GString *driver; /* its own timeline */
+  uint32_t driver_seq;
+};
+
+void deployment_start (struct test_deployment *y);
+/* Start entry I, again if it was killed.  */
+void deployment_start_entry (struct test_deployment *y, uint32_t i);
+void deployment_restart_agent (struct test_deployment *y, int i);
+void deployment_wait_ready (struct test_deployment *y, uint32_t i);
+void deployment_kill (struct test_deployment *y, int program);
+void deployment_inject_fault (const struct test_deployment *y, int program,
+                              const char *fault);
+/* End all programs and prove the promises from their timelines.  */
+void deployment_stop_and_check (struct test_deployment *y);
+char *deployment_post (const struct test_deployment *y, uint32_t entry,
+                       const char *path, const char *body,
+                       const struct wy_http_header_field *headers,
+                       int *status);
+size_t deployment_count_events (const struct test_deployment *y, int program,
+                                const char *event);
+
+#endif
--- a/tests/support/duty_world.c
+++ b/tests/support/duty_fixture.c
@@ -1,12 +1,12 @@
 /* Entries that share the duties, against stand-ins of the platform.  */
-#include "duty_world.h"
+#include "duty_fixture.h"
 
 #include <criterion/criterion.h>
 #include <stdio.h>
 
 #include "base/clock.h"
 
-struct platform_world duty_world;
+struct platform_fixture duty_fixture;
 struct wy_platform_duties *duty_platform;
 
 static void
@@ -27,30 +27,30 @@
   const struct duty_entry *e = (const struct duty_entry *)clock;
 
   wy_clock_system ()->monotonic (clock, out);
-  *out = wy_timespec_from_ms (wy_timespec_ms (out) + e->slept_ms);
+  *out = wy_timespec_from_ms (wy_timespec_ms (out) + e->suspended_ms);
 }
 
 /* A store and the platform, no entry.  */
 void
-duty_world_start (void)
+duty_fixture_start (void)
 {
-  platform_world_init (&duty_world);
-  duty_platform = wy_platform_duties_new (&duty_world.loop, 0);
+  platform_fixture_init (&duty_fixture);
+  duty_platform = wy_platform_duties_new (&duty_fixture.loop, 0);
   cr_assert_not_null (duty_platform);
 }
 
 /* Close all.  */
 void
-duty_world_stop (void)
+duty_fixture_stop (void)
 {
   wy_platform_duties_free (duty_platform);
-  platform_world_free (&duty_world);
+  platform_fixture_free (&duty_fixture);
 }
 
 static bool
 may_hold (void *ctx)
 {
-  return ((struct duty_entry *)ctx)->may_hold;
+  return ((struct duty_entry *)ctx)->is_candidate;
 }
 
 static void
@@ -76,29 +76,31 @@
 {
   const struct duty_entry *e = ctx;
 
-  return e->peer->alive ? MIN (e->complete, e->peer->complete) : e->complete;
+  return e->peer->alive
+             ? MIN (e->newest_complete_window, e->peer->newest_complete_window)
+             : e->newest_complete_window;
 }
 
 static void
 on_complete (void *ctx, int64_t window)
 {
-  ((struct duty_entry *)ctx)->complete = window;
+  ((struct duty_entry *)ctx)->newest_complete_window = window;
 }
 
 /* Start the entry NODE; E is zeroed but for its switches.  */
 void
 duty_entry_start (struct duty_entry *e, const char *node)
 {
-  struct wy_h1_client_options h = { .loop = &duty_world.loop,
+  struct wy_h1_client_options h = { .loop = &duty_fixture.loop,
                                     .connect_timeout_ms = 300,
                                     .idle_timeout_ms = 5000 };
   struct wy_rows_options r
-      = { .loop = &duty_world.loop,
+      = { .loop = &duty_fixture.loop,
           .clock = &e->clock,
           .seed = 1,
           .address
-          = platform_loopback (wy_platform_store_port (duty_world.store)) };
-  struct wy_election_options d = { .loop = &duty_world.loop,
+          = platform_loopback (wy_platform_store_port (duty_fixture.store)) };
+  struct wy_election_options d = { .loop = &duty_fixture.loop,
                                    .clock = &e->clock,
                                    .subject = "s",
                                    .holder = e->holder,
@@ -108,15 +110,15 @@
                                    .on_acquired = on_acquired,
                                    .on_lost = on_lost,
                                    .ctx = e };
-  struct wy_duty_calls_options c = { .loop = &duty_world.loop,
+  struct wy_duty_calls_options c = { .loop = &duty_fixture.loop,
                                      .clock = &e->clock,
                                      .address = e->platform,
                                      .node = node };
-  struct wy_usage_options u = { .loop = &duty_world.loop,
+  struct wy_usage_options u = { .loop = &duty_fixture.loop,
                                 .clock = &e->clock,
                                 .counts_row_key = e->holder,
                                 .window_ms = DUTY_WINDOW_MS,
-                                .report_deadline_ms = DUTY_LATE_MS,
+                                .report_deadline_ms = DUTY_REPORT_DEADLINE_MS,
                                 .epoch_ms = epoch_ms,
                                 .newest_complete_window = complete_everywhere,
                                 .on_complete = on_complete,
@@ -134,12 +136,12 @@
   r.http = e->http;
   e->rows = wy_rows_new (&r);
   d.rows = e->rows;
-  e->duties = wy_election_new (&d);
+  e->election = wy_election_new (&d);
   c.http = e->http;
-  c.election = e->duties;
+  c.election = e->election;
   cr_assert_eq (wy_duty_calls_new (&e->calls, &c), 0);
   u.rows = e->rows;
-  u.election = e->duties;
+  u.election = e->election;
   u.calls = e->calls;
   e->usage = wy_usage_new (&u);
 }
@@ -154,14 +156,14 @@
   wy_duty_calls_stop (e->calls);
   wy_usage_free (e->usage);
   wy_duty_calls_free (e->calls);
-  wy_election_free (e->duties);
+  wy_election_free (e->election);
   wy_rows_free (e->rows);
   wy_h1_client_free (e->http);
 }
 
 /* Whether the entry holds the duties.  */
 bool
-duty_entry_holds (void *entry)
+duty_entry_is_leader (void *entry)
 {
-  return wy_election_is_leader (((struct duty_entry *)entry)->duties);
+  return wy_election_is_leader (((struct duty_entry *)entry)->election);
 }
--- a/tests/support/entry_world.c
+++ b/tests/support/entry_fixture.c
@@ -1,5 +1,5 @@
 /* An entry with fake agents, an instance list and callers on one loop.  */
-#include "entry_world.h"
+#include "entry_fixture.h"
 
 #include <criterion/criterion.h>
 #include <signal.h>
@@ -21,10 +21,10 @@
 static void
 on_list (struct wy_http_exchange *ex, void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
   GString *s = g_string_new (NULL);
 
-  if (w->list_down)
+  if (w->list_unavailable)
     {
       wy_http_respond (ex, 503, "text/plain", "", 0);
       g_string_free (s, TRUE);
@@ -52,7 +52,7 @@
 }
 
 static void
-load_settings (struct world *w, const char *more)
+load_settings (struct fixture *w, const char *more)
 {
   char path[] = "/tmp/wy-entry-XXXXXX";
   int fd = mkstemp (path);
@@ -80,14 +80,14 @@
 static void
 on_change (void *ctx, const struct wy_document *d, int64_t revision)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   if (w->entry)
     wy_entry_configure (w->entry, d);
 }
 
 static void
-start_entry (struct world *w, const char *more)
+start_entry (struct fixture *w, const char *more)
 {
   static const char document[]
       = "{\"models\":[{\"name\":\"m\"}],\"services\":[{\"name\":\"portal\","
@@ -119,7 +119,8 @@
 
 /* The same as world_start with MORE lines of settings.  */
 void
-world_start_with (struct world *w, uint32_t n, bool service, const char *more)
+fixture_start_with (struct fixture *w, uint32_t n, bool service,
+                    const char *more)
 {
   struct wy_http_server_options list
       = { .loop = &w->loop, .host = "127.0.0.1", .on_request = on_list };
@@ -147,20 +148,20 @@
     }
   w->client = wy_http_client_new (&w->loop, WAIT_LIMIT_MS);
   start_entry (w, more);
-  world_until_ready (w);
+  fixture_wait_ready (w);
 }
 
 /* Start a world of N agents that serve the service "portal" or the model
    "m", and wait until all are connected.  */
 void
-world_start (struct world *w, uint32_t n, bool service)
+fixture_start (struct fixture *w, uint32_t n, bool service)
 {
-  world_start_with (w, n, service, "");
+  fixture_start_with (w, n, service, "");
 }
 
 /* Run the loop until UNTIL says so.  */
 void
-world_run (struct world *w, bool (*until) (void *ctx), void *ctx)
+fixture_run_until (struct fixture *w, bool (*until) (void *ctx), void *ctx)
 {
   int64_t limit = wy_clock_mono_ms (wy_clock_system ()) + WAIT_LIMIT_MS;
 
@@ -180,17 +181,17 @@
 
 /* Run the loop for MS.  */
 void
-world_wait_ms (struct world *w, uint32_t ms)
+fixture_run_ms (struct fixture *w, uint32_t ms)
 {
   int64_t limit_ms = wy_clock_mono_ms (wy_clock_system ()) + ms;
 
-  world_run (w, time_over, &limit_ms);
+  fixture_run_until (w, time_over, &limit_ms);
 }
 
 static bool
 all_connected (void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   for (uint32_t i = 0; i < w->agents; i++)
     if (w->agent[i].listener && !w->agent[i].conn)
@@ -200,16 +201,16 @@
 
 /* Wait until each agent has a connection that was proven.  */
 void
-world_until_ready (struct world *w)
+fixture_wait_ready (struct fixture *w)
 {
-  world_run (w, all_connected, w);
-  world_wait_ms (w, 120);
+  fixture_run_until (w, all_connected, w);
+  fixture_run_ms (w, 120);
 }
 
 static void
 on_stopped (void *ctx, uint32_t cut)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->cut = cut;
   w->stopped = true;
@@ -218,18 +219,18 @@
 static bool
 is_stopped (void *ctx)
 {
-  return ((struct world *)ctx)->stopped;
+  return ((struct fixture *)ctx)->stopped;
 }
 
 /* Stop the entry and all else.  */
 void
-world_end (struct world *w)
+fixture_stop (struct fixture *w)
 {
   if (!w->stopped)
     {
       wy_entry_stop (w->entry, on_stopped, w);
       wy_entry_stop_now (w->entry);
-      world_run (w, is_stopped, w);
+      fixture_run_until (w, is_stopped, w);
     }
   wy_entry_close (w->entry);
   for (uint32_t i = 0; i < w->agents; i++)
@@ -255,7 +256,7 @@
 
 /* How many events of kind EVENT the entry has written.  */
 uint64_t
-world_events (struct world *w, const char *event)
+fixture_count_events (struct fixture *w, const char *event)
 {
   GString *all = g_string_new (NULL);
   char *want = g_strdup_printf ("\"ev\":\"%s\"", event);
@@ -303,7 +304,7 @@
 
 /* Send a request to the entry of W.  */
 void
-call_start (struct caller *c, struct world *w, const char *method,
+call_start (struct caller *c, struct fixture *w, const char *method,
             const char *path, const struct wy_http_header_field *headers,
             size_t n, const char *body)
 {
@@ -337,7 +338,7 @@
 void
 call_wait (struct caller *c)
 {
-  world_run (c->w, call_done, c);
+  fixture_run_until (c->w, call_done, c);
 }
 
 /* Free what C holds.  */
@@ -351,7 +352,7 @@
 
 /* Whether the answer of C holds TEXT.  */
 bool
-call_says (const struct caller *c, const char *text)
+call_body_contains (const struct caller *c, const char *text)
 {
   return strstr (c->body->str, text) != NULL;
 }
--- a/tests/support/entry_world.h
+++ b/tests/support/entry_fixture.h
@@ -1,15 +1,15 @@
 /* An entry with fake agents, an instance list and callers on one loop.  */
-#ifndef WY_TEST_ENTRY_WORLD_H
-#define WY_TEST_ENTRY_WORLD_H
+#ifndef WY_TEST_ENTRY_FIXTURE_H
+#define WY_TEST_ENTRY_FIXTURE_H
 
 #include "entry/entry.h"
 #include "http/client.h"
 #include "fake_agent.h"
 #include "relay.h"
 
-#define WORLD_AGENTS 3
+#define FIXTURE_AGENTS 3
 
-struct world
+struct fixture
 {
   uv_loop_t loop;
   struct wy_entry_settings settings;
@@ -19,12 +19,12 @@
   struct wy_entry *entry;
   struct wy_http_server *list;
   struct wy_http_client *client;
-  struct fake_agent agent[WORLD_AGENTS];
-  struct relay *relay[WORLD_AGENTS];
+  struct fake_agent agent[FIXTURE_AGENTS];
+  struct relay *relay[FIXTURE_AGENTS];
   bool service; /* the agents serve "portal", else the model "m" */
-  bool leaving[WORLD_AGENTS];
-  bool unlisted[WORLD_AGENTS];
-  bool list_down;
+  bool leaving[FIXTURE_AGENTS];
+  bool unlisted[FIXTURE_AGENTS];
+  bool list_unavailable;
   uint32_t agents;
   uint32_t cut;
   bool stopped;
@@ -33,7 +33,7 @@
 /* One caller's request and what it got.  */
 struct caller
 {
-  struct world *w;
+  struct fixture *w;
   struct wy_http_call *call;
   GString *body;
   char *request_id;
@@ -44,22 +44,23 @@
 };
 
 /* Start a world of N agents.  */
-void world_start (struct world *w, uint32_t n, bool service);
+void fixture_start (struct fixture *w, uint32_t n, bool service);
 /* The same with a line of settings added.  */
-void world_start_with (struct world *w, uint32_t n, bool service,
-                       const char *settings);
-void world_run (struct world *w, bool (*until) (void *ctx), void *ctx);
-void world_wait_ms (struct world *w, uint32_t ms);
-void world_until_ready (struct world *w);
-void world_end (struct world *w);
-uint64_t world_events (struct world *w, const char *event);
+void fixture_start_with (struct fixture *w, uint32_t n, bool service,
+                         const char *settings);
+void fixture_run_until (struct fixture *w, bool (*until) (void *ctx),
+                        void *ctx);
+void fixture_run_ms (struct fixture *w, uint32_t ms);
+void fixture_wait_ready (struct fixture *w);
+void fixture_stop (struct fixture *w);
+uint64_t fixture_count_events (struct fixture *w, const char *event);
 
-void call_start (struct caller *c, struct world *w, const char *method,
+void call_start (struct caller *c, struct fixture *w, const char *method,
                  const char *path, const struct wy_http_header_field *headers,
                  size_t n, const char *body);
 bool call_done (void *caller);
 void call_wait (struct caller *c);
 void call_free (struct caller *c);
-bool call_says (const struct caller *c, const char *text);
+bool call_body_contains (const struct caller *c, const char *text);
 
 #endif
--- a/tests/support/fake_agent.c
+++ b/tests/support/fake_agent.c
@@ -59,7 +59,7 @@
   if (a->on_submit)
     a->on_submit (a, f);
   else
-    fake_answer (a, f);
+    fake_send_response (a, f);
 }
 
 static void
@@ -75,7 +75,7 @@
       return;
     case WY_FRAME_RESUME:
       a->resumes++;
-      (a->on_resume ? a->on_resume : fake_rest) (a, f);
+      (a->on_resume ? a->on_resume : fake_send_rest) (a, f);
       return;
     case WY_FRAME_QUERY:
       if (a->on_query)
@@ -193,8 +193,8 @@
 
 /* Send the head of R's answer.  */
 void
-fake_head (struct fake_agent *a, const struct fake_run *r, int status,
-           const char *type)
+fake_send_head (struct fake_agent *a, const struct fake_run *r, int status,
+                const char *type)
 {
   struct wy_frame f = { .kind = WY_FRAME_HEAD };
   struct wy_header_pair h
@@ -210,8 +210,8 @@
 
 /* Send bytes FROM up to TO of R's answer.  */
 void
-fake_chunk (struct fake_agent *a, const struct fake_run *r, size_t from,
-            size_t to)
+fake_send_chunk (struct fake_agent *a, const struct fake_run *r, size_t from,
+                 size_t to)
 {
   struct wy_frame f = { .kind = WY_FRAME_CHUNK };
 
@@ -225,8 +225,8 @@
 
 /* Send the end of R.  */
 void
-fake_end (struct fake_agent *a, const struct fake_run *r,
-          enum wy_run_result result)
+fake_send_end (struct fake_agent *a, const struct fake_run *r,
+               enum wy_run_result result)
 {
   static const struct wy_segment segment = { 3, 0, 2 };
   struct wy_frame f = { .kind = WY_FRAME_END };
@@ -247,8 +247,8 @@
 
 /* Refuse request ID.  */
 void
-fake_refuse (struct fake_agent *a, const char *id, enum wy_ran ran,
-             enum wy_refusal_reason reason, uint32_t retry_after_ms)
+fake_send_refused (struct fake_agent *a, const char *id, enum wy_ran ran,
+                   enum wy_refusal_reason reason, uint32_t retry_after_ms)
 {
   struct wy_frame f = { .kind = WY_FRAME_REFUSED };
 
@@ -262,17 +262,17 @@
 /* Answer the SUBMIT F whole: a completion of two tokens, or for a service a
    text that names the agent.  */
 void
-fake_answer (struct fake_agent *a, const struct wy_frame *f)
+fake_send_response (struct fake_agent *a, const struct wy_frame *f)
 {
   char *run = g_strdup_printf ("%s-%u", a->name, a->submits);
-  char *body = f->u.submit.is_model ? fake_events (run, 2)
+  char *body = f->u.submit.is_model ? fake_event_stream (run, 2)
                                     : g_strdup_printf ("by %s", a->name);
   struct fake_run *r = fake_accept (a, f, run, body);
 
-  fake_head (a, r, 200,
-             f->u.submit.is_model ? "text/event-stream" : "text/plain");
-  fake_chunk (a, r, 0, r->body->len);
-  fake_end (a, r, WY_RUN_DONE);
+  fake_send_head (a, r, 200,
+                  f->u.submit.is_model ? "text/event-stream" : "text/plain");
+  fake_send_chunk (a, r, 0, r->body->len);
+  fake_send_end (a, r, WY_RUN_DONE);
   r->finished = true;
   g_free (run);
   g_free (body);
@@ -280,25 +280,25 @@
 
 /* Send what the RESUME F asks for, to the end.  */
 void
-fake_rest (struct fake_agent *a, const struct wy_frame *f)
+fake_send_rest (struct fake_agent *a, const struct wy_frame *f)
 {
   char *id = wy_bytes_dup (f->u.resume.id);
   struct fake_run *r = g_hash_table_lookup (a->runs, id);
 
   if (!r)
-    fake_refuse (a, id, WY_RAN_UNKNOWN, WY_REFUSED_LOST, 0);
+    fake_send_refused (a, id, WY_RAN_UNKNOWN, WY_REFUSED_LOST, 0);
   else
     {
-      fake_head (a, r, 200, "text/event-stream");
-      fake_chunk (a, r, f->u.resume.offset_bytes, r->body->len);
-      fake_end (a, r, WY_RUN_DONE);
+      fake_send_head (a, r, 200, "text/event-stream");
+      fake_send_chunk (a, r, f->u.resume.offset_bytes, r->body->len);
+      fake_send_end (a, r, WY_RUN_DONE);
     }
   g_free (id);
 }
 
 /* Events of a completion of N tokens by RUN, as an engine sends them.  */
 char *
-fake_events (const char *run, int n)
+fake_event_stream (const char *run, int n)
 {
   GString *s = g_string_new (NULL);
 
--- a/tests/support/fake_agent.h
+++ b/tests/support/fake_agent.h
@@ -51,18 +51,19 @@
 void fake_agent_free (struct fake_agent *a);
 struct fake_run *fake_accept (struct fake_agent *a, const struct wy_frame *f,
                               const char *run, const char *body);
-void fake_head (struct fake_agent *a, const struct fake_run *r, int status,
-                const char *type);
-void fake_chunk (struct fake_agent *a, const struct fake_run *r, size_t from,
-                 size_t to);
-void fake_end (struct fake_agent *a, const struct fake_run *r,
-               enum wy_run_result result);
-void fake_refuse (struct fake_agent *a, const char *id, enum wy_ran ran,
-                  enum wy_refusal_reason reason, uint32_t retry_after_ms);
-void fake_answer (struct fake_agent *a, const struct wy_frame *f);
-void fake_rest (struct fake_agent *a, const struct wy_frame *f);
+void fake_send_head (struct fake_agent *a, const struct fake_run *r,
+                     int status, const char *type);
+void fake_send_chunk (struct fake_agent *a, const struct fake_run *r,
+                      size_t from, size_t to);
+void fake_send_end (struct fake_agent *a, const struct fake_run *r,
+                    enum wy_run_result result);
+void fake_send_refused (struct fake_agent *a, const char *id, enum wy_ran ran,
+                        enum wy_refusal_reason reason,
+                        uint32_t retry_after_ms);
+void fake_send_response (struct fake_agent *a, const struct wy_frame *f);
+void fake_send_rest (struct fake_agent *a, const struct wy_frame *f);
 
 /* Events of a completion of N tokens by RUN, as an engine sends them.  */
-char *fake_events (const char *run, int n);
+char *fake_event_stream (const char *run, int n);
 
 #endif
--- a/tests/support/fake_runner.c
+++ b/tests/support/fake_runner.c
@@ -98,9 +98,9 @@
     }
   else if (take (&r->crash_next))
     o.result = WY_RUN_CRASHED;
-  else if (take (&r->unproven_next))
+  else if (take (&r->gap_next))
     segments[0].from = 1;
-  else if (take (&r->swap_next))
+  else if (take (&r->mixed_versions_next))
     {
       segments[0].version = r->version - 1;
       segments[0].to = TOKENS / 2;
@@ -124,7 +124,7 @@
     {
       struct fake_run *run = open->pdata[i];
 
-      if (r->held && !run->cancelled)
+      if (r->hold_outcomes && !run->cancelled)
         g_ptr_array_add (r->open, run);
       else
         tell (r, run);
@@ -159,7 +159,7 @@
 void
 fake_runner_close (struct fake_runner *r)
 {
-  r->held = false;
+  r->hold_outcomes = false;
   tell_all (r);
   g_ptr_array_free (r->open, TRUE);
   uv_close ((uv_handle_t *)&r->timer, NULL);
--- a/tests/support/fake_runner.h
+++ b/tests/support/fake_runner.h
@@ -20,13 +20,13 @@
   uint32_t capacity; /* streams */
   uint32_t started;
   uint32_t cancelled;
-  uint32_t unproven_next; /* outcomes with a gap in their segments */
+  uint32_t gap_next; /* outcomes with a gap in their segments */
   uint32_t refuse_next;
   uint32_t crash_next;
-  uint32_t
-      swap_next; /* outcomes half of this version, half of the one before */
-  bool held;     /* no outcome until the test clears it */
-  int64_t min_version; /* of the last request */
+  uint32_t mixed_versions_next; /* outcomes half of this version, half of the
+                                   one before */
+  bool hold_outcomes;           /* no outcome until the test clears it */
+  int64_t min_version;          /* of the last request */
 };
 
 void fake_runner_init (struct fake_runner *r, uv_loop_t *loop,
--- a/tests/support/fake_table.c
+++ b/tests/support/fake_table.c
@@ -105,7 +105,7 @@
 {
   struct late *l;
 
-  if (!t->slow_ms)
+  if (!t->delay_ms)
     {
       wy_http_respond (ex, status, "application/json", text, n);
       return;
@@ -121,7 +121,7 @@
   wy_http_on_abort (ex, on_late_abort, l);
   uv_timer_init (t->loop, &l->timer);
   l->timer.data = l;
-  uv_timer_start (&l->timer, on_late, t->slow_ms, 0);
+  uv_timer_start (&l->timer, on_late, t->delay_ms, 0);
 }
 
 static void
@@ -170,17 +170,18 @@
 static bool
 takes_answer (struct fake_table *t, const json_t *writes)
 {
-  if (t->lose_next > 0)
+  if (t->lose_responses > 0)
     {
-      t->lose_next--;
+      t->lose_responses--;
       return true;
     }
-  for (size_t i = 0; t->lose_write && i < json_array_size (writes); i++)
+  for (size_t i = 0;
+       t->lose_response_key_suffix && i < json_array_size (writes); i++)
     if (g_str_has_suffix (json_string_value (json_object_get (
                               json_array_get (writes, i), "key")),
-                          t->lose_write))
+                          t->lose_response_key_suffix))
       {
-        t->lose_write = NULL;
+        t->lose_response_key_suffix = NULL;
         return true;
       }
   return false;
@@ -193,9 +194,9 @@
   json_t *failed;
 
   t->txns++;
-  if (t->drop_next > 0)
+  if (t->drop_requests > 0)
     {
-      t->drop_next--;
+      t->drop_requests--;
       break_answer (ex);
       return;
     }
@@ -288,7 +289,7 @@
       wy_http_respond (ex, 503, "application/json", "{}", 2);
       return;
     }
-  if (t->limit > 0 && --t->limit == 0)
+  if (t->calls_until_429 > 0 && --t->calls_until_429 == 0)
     {
       wy_http_add_header (ex, "retry-after", "1");
       wy_http_respond (ex, 429, "application/json", "{}", 2);
@@ -383,7 +384,7 @@
 }
 
 void
-close_loop (uv_loop_t *loop)
+drain_loop (uv_loop_t *loop)
 {
   for (int i = 0; i < CLOSE_ROUNDS; i++)
     uv_run (loop, UV_RUN_NOWAIT);
--- a/tests/support/fake_table.h
+++ b/tests/support/fake_table.h
@@ -20,12 +20,13 @@
   GHashTable *rows;    /* key -> struct fake_row */
   GHashTable *objects; /* key -> GBytes */
   /* Faults.  */
-  bool down;              /* 503 */
-  uint32_t slow_ms;       /* each answer */
-  uint32_t lose_next;     /* carry out this many transactions, no answer */
-  uint32_t drop_next;     /* no answer and no effect, this many */
-  uint32_t limit;         /* calls until 429; 0: none */
-  const char *lose_write; /* lose the answer when a key written ends in it */
+  bool down;                /* 503 */
+  uint32_t delay_ms;        /* each answer */
+  uint32_t lose_responses;  /* carry out this many transactions, no answer */
+  uint32_t drop_requests;   /* no answer and no effect, this many */
+  uint32_t calls_until_429; /* calls until 429; 0: none */
+  const char *lose_response_key_suffix; /* lose the answer when a key written
+                                           ends in it */
   /* Counts.  */
   uint32_t reads;
   uint32_t txns;
@@ -52,6 +53,6 @@
 bool run_until (uv_loop_t *loop, bool (*done) (void *ctx), void *ctx);
 void run_for (uv_loop_t *loop, uint32_t ms);
 /* Run what is left to run and close the loop.  */
-void close_loop (uv_loop_t *loop);
+void drain_loop (uv_loop_t *loop);
 
 #endif
--- a/tests/support/job_world.c
+++ b/tests/support/job_fixture.c
@@ -1,12 +1,12 @@
 /* An entry that runs jobs, against stand-ins of the platform.  */
-#include "job_world.h"
+#include "job_fixture.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
 
-struct platform_world job_world;
+struct platform_fixture job_fixture;
 struct job_entry job_entry;
-uint64_t job_memory_bytes;
+uint64_t job_memory_limit_bytes;
 const char *job_organisation = "";
 
 static void
@@ -31,16 +31,16 @@
 
 /* An entry on the store and the targets as they are.  */
 void
-job_world_start_entry (void)
+job_fixture_start_entry (void)
 {
   struct wy_members_options m
-      = { .env = &job_world.env, .address = "127.0.0.1:1" };
-  struct wy_jobs_options j = { .env = &job_world.env,
+      = { .env = &job_fixture.env, .address = "127.0.0.1:1" };
+  struct wy_jobs_options j = { .env = &job_fixture.env,
                                .max_object_bytes = 512,
                                .max_row_bytes = 65536,
-                               .memory_limit_bytes = job_memory_bytes };
+                               .memory_limit_bytes = job_memory_limit_bytes };
   struct wy_h1_server_options o
-      = { .loop = &job_world.loop,
+      = { .loop = &job_fixture.loop,
           .host = "127.0.0.1",
           .limits = { 65536, 1 << 20, 1000, 10000, 1 << 24 },
           .on_request = on_request };
@@ -49,12 +49,12 @@
   j.members = job_entry.members;
   job_entry.jobs = wy_jobs_new (&j);
   cr_assert_eq (wy_h1_server_new (&job_entry.server, &o), 0);
-  cr_assert (platform_world_until (&job_world, is_synced, NULL));
+  cr_assert (platform_fixture_run_until (&job_fixture, is_synced, NULL));
 }
 
 /* The entry ends without a word to the others.  */
 void
-job_world_stop_entry (void)
+job_fixture_stop_entry (void)
 {
   wy_h1_server_free (job_entry.server);
   wy_jobs_free (job_entry.jobs);
@@ -63,22 +63,22 @@
 
 /* A store, REPLICAS replicas and an entry.  */
 void
-job_world_start (int replicas)
+job_fixture_start (int replicas)
 {
-  platform_world_init (&job_world);
-  platform_world_add_env (&job_world, "n1");
-  platform_world_set_routing (&job_world, WY_ROUTE_JOB, 3);
+  platform_fixture_init (&job_fixture);
+  platform_fixture_add_env (&job_fixture, "n1");
+  platform_fixture_set_routing (&job_fixture, WY_ROUTE_JOB, 3);
   for (int i = 0; i < replicas; i++)
-    platform_world_add_replica (&job_world, "m", JOB_EVENTS);
-  job_world_start_entry ();
+    platform_fixture_add_replica (&job_fixture, "m", JOB_EVENTS);
+  job_fixture_start_entry ();
 }
 
 /* Close all.  */
 void
-job_world_stop (void)
+job_fixture_stop (void)
 {
-  job_world_stop_entry ();
-  platform_world_free (&job_world);
+  job_fixture_stop_entry ();
+  platform_fixture_free (&job_fixture);
 }
 
 static char *
@@ -112,7 +112,7 @@
 
 /* A job of JOB_ITEMS items; the caller frees it.  */
 char *
-job_world_body (int64_t min_version)
+job_fixture_body (int64_t min_version)
 {
   return body_with (min_version, NULL, NULL);
 }
@@ -120,44 +120,45 @@
 /* The same, each item scored by the route "/s/" of HOST, asked with BODY in
    base64.  */
 char *
-job_world_scored_body (const char *host, const char *body)
+job_fixture_scored_body (const char *host, const char *body)
 {
   return body_with (1, host, body);
 }
 
 /* Call the entry and wait for its answer.  */
-struct platform_answer *
-job_world_call (const char *method, const char *target, const char *id,
-                const char *body)
+struct platform_response *
+job_fixture_call (const char *method, const char *target, const char *id,
+                  const char *body)
 {
   struct wy_h1_header fields[] = { { "Host", "h" },
                                    { "Wait-Milliseconds", "300" },
                                    { "Attempt-Id", id ? id : "" } };
-  struct platform_answer *a
-      = platform_world_call (&job_world, wy_h1_server_port (job_entry.server),
-                             method, target, fields, id ? 3 : 2, body);
+  struct platform_response *a = platform_fixture_call (
+      &job_fixture, wy_h1_server_port (job_entry.server), method, target,
+      fields, id ? 3 : 2, body);
 
-  cr_assert (platform_world_until (&job_world, platform_answer_done, a));
+  cr_assert (
+      platform_fixture_run_until (&job_fixture, platform_response_done, a));
   return a;
 }
 
 /* Submit BODY as the job ID; the status.  */
 int
-job_world_submit_body (const char *id, const char *body)
+job_fixture_submit_body (const char *id, const char *body)
 {
-  struct platform_answer *a = job_world_call ("POST", "/p/job", id, body);
+  struct platform_response *a = job_fixture_call ("POST", "/p/job", id, body);
   int status = a->status;
 
-  platform_answer_free (a);
+  platform_response_free (a);
   return status;
 }
 
 /* Submit a job; its status.  */
 int
-job_world_submit (const char *id, int64_t min_version)
+job_fixture_submit (const char *id, int64_t min_version)
 {
-  char *body = job_world_body (min_version);
-  int status = job_world_submit_body (id, body);
+  char *body = job_fixture_body (min_version);
+  int status = job_fixture_submit_body (id, body);
 
   g_free (body);
   return status;
@@ -165,22 +166,22 @@
 
 /* The status of a call without a body.  */
 int
-job_world_status (const char *method, const char *target)
+job_fixture_status (const char *method, const char *target)
 {
-  struct platform_answer *a = job_world_call (method, target, NULL, NULL);
+  struct platform_response *a = job_fixture_call (method, target, NULL, NULL);
   int status = a->status;
 
-  platform_answer_free (a);
+  platform_response_free (a);
   return status;
 }
 
 /* The result at position N of the job, as the reader gets it; NULL: none
    yet.  */
 json_t *
-job_world_result (const char *job, uint32_t n)
+job_fixture_result (const char *job, uint32_t n)
 {
   char *target = g_strdup_printf ("/api/lots/%s?after=%u", job, n);
-  struct platform_answer *a = job_world_call ("GET", target, NULL, NULL);
+  struct platform_response *a = job_fixture_call ("GET", target, NULL, NULL);
   json_t *doc = json_loads (a->body->str, 0, NULL);
   json_t *r = json_array_get (json_object_get (doc, "results"), 0);
 
@@ -189,18 +190,18 @@
                   JOB_ITEMS);
   json_incref (r);
   json_decref (doc);
-  platform_answer_free (a);
+  platform_response_free (a);
   g_free (target);
   return r;
 }
 
 /* The result at position N of JOB, waited for.  */
 json_t *
-job_world_await (const char *job, uint32_t n)
+job_fixture_await_result (const char *job, uint32_t n)
 {
   for (int tries = 0; tries < 60; tries++)
     {
-      json_t *r = job_world_result (job, n);
+      json_t *r = job_fixture_result (job, n);
 
       if (r)
         return r;
@@ -211,7 +212,7 @@
 
 /* The text KEY of R; "": none.  */
 const char *
-job_world_text (json_t *r, const char *key)
+job_fixture_string (json_t *r, const char *key)
 {
   const char *v = json_string_value (json_object_get (r, key));
 
@@ -233,7 +234,7 @@
 
 /* Read all results and check that each item is listed once, whole.  */
 void
-job_world_check_all (const char *job)
+job_fixture_check_results (const char *job)
 {
   GHashTable *seen
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -241,12 +242,13 @@
 
   for (uint32_t i = 0; i < JOB_ITEMS; i++)
     {
-      json_t *r = job_world_await (job, i);
+      json_t *r = job_fixture_await_result (job, i);
 
-      cr_expect_str_eq (job_world_text (r, "state"), "completed");
-      cr_expect_str_eq (job_world_text (r, "text"), want);
-      cr_expect (g_hash_table_add (seen, g_strdup (job_world_text (r, "id"))),
-                 "%s twice", job_world_text (r, "id"));
+      cr_expect_str_eq (job_fixture_string (r, "state"), "completed");
+      cr_expect_str_eq (job_fixture_string (r, "text"), want);
+      cr_expect (
+          g_hash_table_add (seen, g_strdup (job_fixture_string (r, "id"))),
+          "%s twice", job_fixture_string (r, "id"));
       json_decref (r);
     }
   g_hash_table_destroy (seen);
@@ -255,7 +257,8 @@
 
 /* Results of JOB in the store.  */
 uint32_t
-job_world_listed (const char *job)
+job_fixture_count_results (const char *job)
 {
-  return wy_platform_store_row_count (job_world.store, WY_RESULTS_TABLE, job);
+  return wy_platform_store_row_count (job_fixture.store, WY_RESULTS_TABLE,
+                                      job);
 }
--- a/tests/support/platform_world.c
+++ b/tests/support/platform_fixture.c
@@ -1,5 +1,5 @@
 /* An entry's parts against stand-ins of the platform.  */
-#include "platform_world.h"
+#include "platform_fixture.h"
 
 #include <string.h>
 
@@ -26,7 +26,7 @@
 }
 
 static void
-turn (struct platform_world *w)
+turn (struct platform_fixture *w)
 {
   uv_timer_t step;
 
@@ -39,8 +39,8 @@
 
 /* Run the loop until COND holds; false: it did not in good time.  */
 bool
-platform_world_until (struct platform_world *w, bool (*cond) (void *ctx),
-                      void *ctx)
+platform_fixture_run_until (struct platform_fixture *w,
+                            bool (*cond) (void *ctx), void *ctx)
 {
   uint64_t until_ms = now_ms () + RUN_LIMIT_MS;
 
@@ -55,7 +55,7 @@
 
 /* Run the loop for MS.  */
 void
-platform_world_run_ms (struct platform_world *w, int64_t ms)
+platform_fixture_run_ms (struct platform_fixture *w, int64_t ms)
 {
   uint64_t until_ms = now_ms () + (uint64_t)ms;
 
@@ -74,7 +74,7 @@
 
 /* A port that nobody listens on now.  */
 uint16_t
-platform_world_free_port (struct platform_world *w)
+platform_fixture_free_port (struct platform_fixture *w)
 {
   uv_tcp_t probe;
   struct sockaddr_in a = platform_loopback (0);
@@ -90,7 +90,7 @@
 
 /* A store and a caller's client.  */
 void
-platform_world_init (struct platform_world *w)
+platform_fixture_init (struct platform_fixture *w)
 {
   struct wy_platform_store_options s = { .loop = &w->loop };
   struct wy_h1_client_options h = { .loop = &w->loop,
@@ -104,7 +104,7 @@
 }
 
 static void
-make_counters (struct platform_world *w)
+make_counters (struct platform_fixture *w)
 {
   struct wy_gate_counters *c = &w->env.count;
   uint64_t **counters[]
@@ -132,7 +132,7 @@
 
 /* The shared parts of an entry named NODE.  */
 void
-platform_world_add_env (struct platform_world *w, const char *node)
+platform_fixture_add_env (struct platform_fixture *w, const char *node)
 {
   struct wy_h1_client_options h = { .loop = &w->loop,
                                     .connect_timeout_ms = 500,
@@ -157,8 +157,8 @@
 }
 
 static struct wy_platform_replica *
-add_replica (struct platform_world *w, const char *service, const char *model,
-             uint32_t events)
+add_replica (struct platform_fixture *w, const char *service,
+             const char *model, uint32_t events)
 {
   static const char *const ids[] = { "i-1", "i-2", "i-3", "i-4" };
   struct wy_platform_replica_options o = { .loop = &w->loop,
@@ -181,8 +181,8 @@
 
 /* A replica of the service "svc" that the entry knows of.  */
 struct wy_platform_replica *
-platform_world_add_replica (struct platform_world *w, const char *model,
-                            uint32_t events)
+platform_fixture_add_replica (struct platform_fixture *w, const char *model,
+                              uint32_t events)
 {
   return add_replica (w, "svc", model, events);
 }
@@ -208,7 +208,7 @@
 
 /* A replica of the service "desk", which HOST's route "/s/" leads to.  */
 struct wy_platform_replica *
-platform_world_add_scorer (struct platform_world *w, const char *host)
+platform_fixture_add_scorer (struct platform_fixture *w, const char *host)
 {
   if (!wy_routing_match (w->env.routing, host, "/s/"))
     add_route (w->env.routing, host, "/s/", "desk")->attempts = 2;
@@ -217,8 +217,8 @@
 
 /* One route, host "h" and prefix "/p/", to the service "svc".  */
 void
-platform_world_set_routing (struct platform_world *w, enum wy_route_kind kind,
-                            uint32_t attempts)
+platform_fixture_set_routing (struct platform_fixture *w,
+                              enum wy_route_kind kind, uint32_t attempts)
 {
   struct wy_routing *r = wy_routing_new ();
   struct wy_route *t = add_route (r, "h", "/p/", "svc");
@@ -236,7 +236,7 @@
 
 /* Close all.  */
 void
-platform_world_free (struct platform_world *w)
+platform_fixture_free (struct platform_fixture *w)
 {
   for (uint32_t i = 0; i < w->n_replicas; i++)
     wy_platform_replica_free (w->replicas[i]);
@@ -254,23 +254,23 @@
 static void
 on_head (void *ctx, const struct wy_h1_response *h)
 {
-  struct platform_answer *a = ctx;
+  struct platform_response *a = ctx;
 
   a->status = h->status;
-  a->stamp = g_strdup (wy_h1_head_get (h->head, "Response-Stamp"));
+  a->response_stamp = g_strdup (wy_h1_head_get (h->head, "Response-Stamp"));
   a->retry_after = g_strdup (wy_h1_head_get (h->head, "Retry-After"));
 }
 
 static void
 on_data (void *ctx, const char *p, size_t n)
 {
-  g_string_append_len (((struct platform_answer *)ctx)->body, p, (gssize)n);
+  g_string_append_len (((struct platform_response *)ctx)->body, p, (gssize)n);
 }
 
 static void
 on_end (void *ctx, int err)
 {
-  struct platform_answer *a = ctx;
+  struct platform_response *a = ctx;
 
   a->done = true;
   a->err = err;
@@ -278,13 +278,13 @@
 }
 
 /* Call PORT on loopback as a caller does.  */
-struct platform_answer *
-platform_world_call (struct platform_world *w, uint16_t port,
-                     const char *method, const char *target,
-                     const struct wy_h1_header *fields, size_t n_fields,
-                     const char *body)
+struct platform_response *
+platform_fixture_call (struct platform_fixture *w, uint16_t port,
+                       const char *method, const char *target,
+                       const struct wy_h1_header *fields, size_t n_fields,
+                       const char *body)
 {
-  struct platform_answer *a = g_new0 (struct platform_answer, 1);
+  struct platform_response *a = g_new0 (struct platform_response, 1);
   struct wy_h1_call_options o = { .address = platform_loopback (port),
                                   .method = method,
                                   .target = target,
@@ -303,18 +303,18 @@
 }
 
 bool
-platform_answer_done (void *answer)
+platform_response_done (void *answer)
 {
-  return ((struct platform_answer *)answer)->done;
+  return ((struct platform_response *)answer)->done;
 }
 
 void
-platform_answer_free (struct platform_answer *a)
+platform_response_free (struct platform_response *a)
 {
   if (a->call)
     wy_h1_call_cancel (a->call);
   g_string_free (a->body, TRUE);
-  g_free (a->stamp);
+  g_free (a->response_stamp);
   g_free (a->retry_after);
   g_free (a);
 }
--- a/tests/support/relay.c
+++ b/tests/support/relay.c
@@ -178,7 +178,7 @@
 
 /* Swallow what comes from either side on the connections open now.  */
 void
-relay_silence (struct relay *r, bool from_dialler, bool from_listener)
+relay_discard (struct relay *r, bool from_dialler, bool from_listener)
 {
   for (guint i = 0; i < r->pairs->len; i++)
     {
--- a/tests/support/relay.h
+++ b/tests/support/relay.h
@@ -13,7 +13,7 @@
 uint16_t relay_port (const struct relay *r);
 /* From now on what comes from the dialling side, or from the other side, is
    swallowed on the connections open now; later ones work.  */
-void relay_silence (struct relay *r, bool from_dialler, bool from_listener);
+void relay_discard (struct relay *r, bool from_dialler, bool from_listener);
 void relay_stop (struct relay *r);
 void relay_free (struct relay *r);
 
--- a/tests/support/yard_world.c
+++ b/tests/support/yard_fixture.c
@@ -1,5 +1,5 @@
 /* Two entries with one yard, on one fake table.  */
-#include "yard_world.h"
+#include "yard_fixture.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -20,7 +20,7 @@
 }
 
 void
-yard_world_init (struct yard_world *w, uint32_t bound)
+yard_fixture_init (struct yard_fixture *w, uint32_t bound)
 {
   char *text = g_strdup_printf (
       "{\"models\":[{\"name\":\"m\"}],\"yards\":[{\"name\":\"y\",\"model\":"
@@ -32,7 +32,7 @@
   uv_loop_init (&w->loop);
   w->table = fake_table_new (&w->loop);
   w->http = wy_http_client_new (&w->loop, SILENCE_MS);
-  w->ttl_ms = 600;
+  w->lease_ttl_ms = 600;
   if (wy_document_parse_text (&w->document, text, strlen (text), NULL))
     abort ();
   g_free (text);
@@ -40,7 +40,7 @@
 
 /* Start entry I.  */
 void
-yard_world_add (struct yard_world *w, int i)
+yard_fixture_start_entry (struct yard_fixture *w, int i)
 {
   struct yard_entry *e = &w->entry[i];
   char *holder = g_strdup_printf ("entry-%d", i);
@@ -58,7 +58,7 @@
                                .http = w->http,
                                .holder = holder,
                                .seed = (uint64_t)i + 1,
-                               .lease_ttl_ms = w->ttl_ms,
+                               .lease_ttl_ms = w->lease_ttl_ms,
                                .poll_ms = POLL_MS };
   const struct wy_http_server_options o
       = { .loop = &w->loop,
@@ -83,7 +83,7 @@
 
 /* Entry I is gone without a word: its lease stays until it ends.  */
 void
-yard_world_drop (struct yard_world *w, int i)
+yard_fixture_crash_entry (struct yard_fixture *w, int i)
 {
   struct yard_entry *e = &w->entry[i];
 
@@ -97,13 +97,13 @@
 }
 
 void
-yard_world_free (struct yard_world *w)
+yard_fixture_free (struct yard_fixture *w)
 {
   for (int i = 0; i < 2; i++)
     if (w->entry[i].yard)
-      yard_world_drop (w, i);
+      yard_fixture_crash_entry (w, i);
   json_decref (w->body);
-  close_loop (&w->loop);
+  drain_loop (&w->loop);
   fake_table_free (w->table);
   wy_http_client_free (w->http);
   wy_document_free (w->document);
@@ -112,7 +112,7 @@
 static void
 on_answer (void *ctx, const struct wy_http_response *a)
 {
-  struct yard_world *w = ctx;
+  struct yard_fixture *w = ctx;
 
   w->answered = true;
   w->status = a->err ? a->err : a->status;
@@ -123,11 +123,11 @@
 static bool
 is_answered (void *ctx)
 {
-  return ((struct yard_world *)ctx)->answered;
+  return ((struct yard_fixture *)ctx)->answered;
 }
 
 int
-yard_call (struct yard_world *w, int i, const char *method, const char *path,
+yard_call (struct yard_fixture *w, int i, const char *method, const char *path,
            const char *body)
 {
   const struct wy_http_call_options o
@@ -144,7 +144,7 @@
 }
 
 int
-yard_submit (struct yard_world *w, int i, int step)
+yard_submit (struct yard_fixture *w, int i, int step)
 {
   char *path
       = g_strdup_printf ("/v1/yards/y/trainers/t/steps/%d/groups", step);
@@ -159,7 +159,7 @@
 }
 
 int
-yard_batch (struct yard_world *w, int i, int step)
+yard_batch (struct yard_fixture *w, int i, int step)
 {
   char *path = g_strdup_printf ("/v1/yards/y/trainers/t/steps/%d/batch", step);
   int status = 0;
@@ -176,7 +176,7 @@
 }
 
 int
-yard_ack (struct yard_world *w, int i, int step)
+yard_ack (struct yard_fixture *w, int i, int step)
 {
   char *path = g_strdup_printf ("/v1/yards/y/trainers/t/steps/%d/ack", step);
   int status = yard_call (w, i, "POST", path, NULL);
@@ -186,7 +186,7 @@
 }
 
 char *
-yard_ids (struct yard_world *w)
+yard_sample_ids (struct yard_fixture *w)
 {
   const json_t *samples = json_object_get (w->body, "samples");
   GString *s = g_string_new (NULL);
@@ -199,7 +199,7 @@
 }
 
 uint32_t
-yard_count (struct yard_world *w, int i, const char *text)
+yard_count_text (struct yard_fixture *w, int i, const char *text)
 {
   GString *s = g_string_new (NULL);
   uint32_t n = 0;
@@ -212,10 +212,10 @@
 }
 
 uint32_t
-yard_events (struct yard_world *w, int i, const char *event)
+yard_count_events (struct yard_fixture *w, int i, const char *event)
 {
   char *text = g_strdup_printf ("\"ev\":\"%s\"", event);
-  uint32_t n = yard_count (w, i, text);
+  uint32_t n = yard_count_text (w, i, text);
 
   g_free (text);
   return n;
--- a/tests/support/yard_world.h
+++ b/tests/support/yard_fixture.h
@@ -1,6 +1,6 @@
 /* Two entries with one yard, on one fake table.  */
-#ifndef WY_TESTS_YARD_WORLD_H
-#define WY_TESTS_YARD_WORLD_H
+#ifndef WY_TESTS_YARD_FIXTURE_H
+#define WY_TESTS_YARD_FIXTURE_H
 
 #include "fake_runner.h"
 #include "fake_table.h"
@@ -16,36 +16,36 @@
   struct wy_http_server *server;
 };
 
-struct yard_world
+struct yard_fixture
 {
   uv_loop_t loop;
   struct fake_table *table;
   struct wy_http_client *http;
   struct wy_document *document;
   const struct wy_orderer *orderer;
-  uint32_t ttl_ms;
+  uint32_t lease_ttl_ms;
   struct yard_entry entry[2];
   bool answered;
   int status;
   json_t *body;
 };
 
-void yard_world_init (struct yard_world *w, uint32_t bound);
-void yard_world_add (struct yard_world *w, int i);
-void yard_world_drop (struct yard_world *w, int i);
-void yard_world_free (struct yard_world *w);
+void yard_fixture_init (struct yard_fixture *w, uint32_t bound);
+void yard_fixture_start_entry (struct yard_fixture *w, int i);
+void yard_fixture_crash_entry (struct yard_fixture *w, int i);
+void yard_fixture_free (struct yard_fixture *w);
 
 /* Call entry I and wait for the answer; its status.  */
-int yard_call (struct yard_world *w, int i, const char *method,
+int yard_call (struct yard_fixture *w, int i, const char *method,
                const char *path, const char *body);
-int yard_submit (struct yard_world *w, int i, int step);
+int yard_submit (struct yard_fixture *w, int i, int step);
 /* Ask entry I for the batch of STEP until it answers other than 202.  */
-int yard_batch (struct yard_world *w, int i, int step);
-int yard_ack (struct yard_world *w, int i, int step);
+int yard_batch (struct yard_fixture *w, int i, int step);
+int yard_ack (struct yard_fixture *w, int i, int step);
 /* The ids of the batch last read, one a line, to be freed.  */
-char *yard_ids (struct yard_world *w);
+char *yard_sample_ids (struct yard_fixture *w);
 /* How often TEXT stands in the timeline of entry I.  */
-uint32_t yard_count (struct yard_world *w, int i, const char *text);
-uint32_t yard_events (struct yard_world *w, int i, const char *event);
+uint32_t yard_count_text (struct yard_fixture *w, int i, const char *text);
+uint32_t yard_count_events (struct yard_fixture *w, int i, const char *event);
 
 #endif
--- a/tests/test_agent_model.c
+++ b/tests/test_agent_model.c
@@ -5,46 +5,46 @@
 #include <jansson.h>
 
 #include "base/id.h"
-#include "support/agent_world.h"
+#include "support/agent_fixture.h"
 
 static bool
-one_call (struct world *w)
+one_call (struct fixture *w)
 {
   return w->n_calls >= 1;
 }
 
 static bool
-two_calls (struct world *w)
+two_calls (struct fixture *w)
 {
   return w->n_calls >= 2;
 }
 
 static bool
-first_ended (struct world *w)
+first_ended (struct fixture *w)
 {
   return w->entry[0].ends > 0;
 }
 
 static bool
-second_ended (struct world *w)
+second_ended (struct fixture *w)
 {
   return w->entry[1].ends > 0;
 }
 
 static bool
-first_has_output (struct world *w)
+first_has_output (struct fixture *w)
 {
   return w->entry[0].body->len > 0;
 }
 
 static bool
-first_refused (struct world *w)
+first_refused (struct fixture *w)
 {
   return w->entry[0].refused > 0;
 }
 
 static bool
-has_stopped (struct world *w)
+has_stopped (struct fixture *w)
 {
   return w->stopped;
 }
@@ -61,19 +61,19 @@
 
 Test (agent_model, response_with_its_versions)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
   json_t *starts;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 10);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 10);
   w.version = 8;
-  agent_world_tokens (&w, 0, 5);
-  agent_world_finish (&w, 0);
-  agent_world_until (&w, first_ended);
+  agent_fixture_send_tokens (&w, 0, 5);
+  agent_fixture_send_end (&w, 0);
+  agent_fixture_run_until (&w, first_ended);
   check_complete (&w.entry[0]);
   cr_assert_eq (w.entry[0].status, 200);
   cr_assert_eq (w.entry[0].end.tokens, 15);
@@ -83,9 +83,9 @@
   cr_assert_eq (w.entry[0].segments[1].version, 8);
   cr_assert_eq (w.entry[0].segments[1].to, 15);
   cr_assert_str_eq (w.entry[0].end_run, w.calls[0].run);
-  starts = agent_world_events (&w, "run.start");
+  starts = agent_fixture_events (&w, "run.start");
   cr_assert_eq (json_array_size (starts), 1);
-  cr_assert_eq (json_array_size (agent_world_events (&w, "run.end")), 1);
+  cr_assert_eq (json_array_size (agent_fixture_events (&w, "run.end")), 1);
 }
 
 /* The connection to the entry is lost during a response.  The entry reconnects
@@ -93,25 +93,26 @@
    run.  */
 Test (agent_model, resume_at_the_offset)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
   char *run;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 10);
-  agent_world_until (&w, first_has_output);
-  agent_world_cut (&w, 0);
-  agent_world_tokens (&w, 0, 10);
-  agent_world_dial (&w, 0);
-  agent_world_until (&w, agent_world_entries_ready);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 10);
+  agent_fixture_run_until (&w, first_has_output);
+  agent_fixture_disconnect (&w, 0);
+  agent_fixture_send_tokens (&w, 0, 10);
+  agent_fixture_connect (&w, 0);
+  agent_fixture_run_until (&w, agent_fixture_entries_ready);
   run = w.calls[0].run;
-  agent_world_send (&w, 0, WY_FRAME_RESUME, "r1", run, w.entry[0].body->len);
-  agent_world_tokens (&w, 0, 10);
-  agent_world_finish (&w, 0);
-  agent_world_until (&w, first_ended);
+  agent_fixture_send_frame (&w, 0, WY_FRAME_RESUME, "r1", run,
+                            w.entry[0].body->len);
+  agent_fixture_send_tokens (&w, 0, 10);
+  agent_fixture_send_end (&w, 0);
+  agent_fixture_run_until (&w, first_ended);
   check_complete (&w.entry[0]);
   cr_assert_eq (w.entry[0].end.tokens, 30);
   cr_assert_eq (w.n_calls, 1);
@@ -121,20 +122,20 @@
    and both receive the complete response.  */
 Test (agent_model, second_attempt_joins_the_run)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
-
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 10);
-  agent_world_until (&w, first_has_output);
-  agent_world_send_submit (&w, 1, &s);
-  agent_world_tokens (&w, 0, 10);
-  agent_world_finish (&w, 0);
-  agent_world_until (&w, first_ended);
-  agent_world_until (&w, second_ended);
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
+
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 10);
+  agent_fixture_run_until (&w, first_has_output);
+  agent_fixture_send_submit (&w, 1, &s);
+  agent_fixture_send_tokens (&w, 0, 10);
+  agent_fixture_send_end (&w, 0);
+  agent_fixture_run_until (&w, first_ended);
+  agent_fixture_run_until (&w, second_ended);
   check_complete (&w.entry[0]);
   check_complete (&w.entry[1]);
   cr_assert_eq (w.n_calls, 1);
@@ -145,31 +146,31 @@
    and may run the request again; the partial response is discarded.  */
 Test (agent_model, engine_fails_during_a_stream)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
-
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 10);
-  agent_world_until (&w, first_has_output);
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
+
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 10);
+  agent_fixture_run_until (&w, first_has_output);
   w.incarnation = "engine-b";
   w.version = 3;
   wy_http_stream_abort (w.calls[0].ex);
-  agent_world_until (&w, first_ended);
+  agent_fixture_run_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_CRASHED);
   cr_assert_eq (w.entry[0].end.ran, WY_RAN_UNKNOWN);
   cr_assert_eq (w.entry[0].end.n_segments, 0);
   /* The entry retries elsewhere and doesn't acknowledge this run.  A later
      stop must not wait for it or count it as aborted.  */
   wy_agent_stop (w.agent);
-  agent_world_until (&w, has_stopped);
+  agent_fixture_run_until (&w, has_stopped);
   cr_assert_eq (w.cut, 0);
 }
 
 static bool
-version_is_old (struct world *w)
+version_is_old (struct fixture *w)
 {
   return w->entry[0].load.version == 3;
 }
@@ -179,24 +180,24 @@
    so that it isn't used; entries are told the old version.  */
 Test (agent_model, engine_restarts_with_old_weights)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
   json_t *versions;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 10);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 10);
   w.incarnation = "engine-b";
   w.version = 3;
-  agent_world_until (&w, version_is_old);
-  agent_world_tokens (&w, 0, 1);
-  agent_world_finish (&w, 0);
-  agent_world_until (&w, first_ended);
+  agent_fixture_run_until (&w, version_is_old);
+  agent_fixture_send_tokens (&w, 0, 1);
+  agent_fixture_send_end (&w, 0);
+  agent_fixture_run_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_DONE);
   cr_assert_eq (w.entry[0].end.n_segments, 0);
-  versions = agent_world_events (&w, "target.version");
+  versions = agent_fixture_events (&w, "target.version");
   cr_assert_eq (json_array_size (versions), 2);
 }
 
@@ -204,17 +205,17 @@
    ends before that text reaches the caller.  */
 Test (agent_model, token_of_another_run)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
-
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 2);
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
+
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 2);
   w.calls[0].run = g_strdup ("foreign");
-  agent_world_tokens (&w, 0, 1);
-  agent_world_until (&w, first_ended);
+  agent_fixture_send_tokens (&w, 0, 1);
+  agent_fixture_run_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_FAILED);
   cr_assert_eq (w.entry[0].end.tokens, 2);
   cr_assert_null (g_strstr_len ((char *)w.entry[0].body->data,
@@ -225,15 +226,15 @@
    is proven, so the entry retries elsewhere at once.  */
 Test (agent_model, target_unreachable)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
-
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  w.target_away = true;
-  agent_world_for_ms (&w, 100);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, first_refused);
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
+
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  w.load_unavailable = true;
+  agent_fixture_run_ms (&w, 100);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, first_refused);
   cr_assert_eq (w.entry[0].refused_ran, WY_RAN_NO);
   cr_assert_eq (w.entry[0].reason, WY_REFUSED_BUSY);
   cr_assert_gt (w.entry[0].retry_after_ms, 0);
@@ -241,55 +242,55 @@
 }
 
 static bool
-was_paused (struct world *w)
+was_paused (struct fixture *w)
 {
-  return strstr (w->controls->str, "/control/pause") != NULL;
+  return strstr (w->control_paths->str, "/control/pause") != NULL;
 }
 
 static bool
-was_resumed (struct world *w)
+was_resumed (struct fixture *w)
 {
-  return strstr (w->controls->str, "/control/resume") != NULL;
+  return strstr (w->control_paths->str, "/control/resume") != NULL;
 }
 
 /* A rollout uses the target's only stream when a caller's request arrives.
    The rollout is paused until the request has run, and then completes.  */
 Test (agent_model, rollout_is_paused_for_a_caller)
 {
-  struct world w;
-  struct wy_frame_submit rollout = agent_world_submit_model ("sample");
-  struct wy_frame_submit caller = agent_world_submit_model ("caller");
+  struct fixture w;
+  struct wy_frame_submit rollout = agent_fixture_submit_model ("sample");
+  struct wy_frame_submit caller = agent_fixture_submit_model ("caller");
 
-  agent_world_init (&w, WY_TARGET_MODEL);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
   w.s.concurrency = 1;
   w.s.shared_streams = 1;
   rollout.request_class = WY_REQUEST_ROLLOUT;
   rollout.trainer = wy_bytes_of ("levels");
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &rollout);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 3);
-  agent_world_send_submit (&w, 1, &caller);
-  agent_world_until (&w, two_calls);
-  agent_world_until (&w, was_paused);
-  agent_world_tokens (&w, 1, 4);
-  agent_world_finish (&w, 1);
-  agent_world_until (&w, second_ended);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &rollout);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 3);
+  agent_fixture_send_submit (&w, 1, &caller);
+  agent_fixture_run_until (&w, two_calls);
+  agent_fixture_run_until (&w, was_paused);
+  agent_fixture_send_tokens (&w, 1, 4);
+  agent_fixture_send_end (&w, 1);
+  agent_fixture_run_until (&w, second_ended);
   check_complete (&w.entry[1]);
-  agent_world_until (&w, was_resumed);
-  agent_world_tokens (&w, 0, 3);
-  agent_world_finish (&w, 0);
-  agent_world_until (&w, first_ended);
+  agent_fixture_run_until (&w, was_resumed);
+  agent_fixture_send_tokens (&w, 0, 3);
+  agent_fixture_send_end (&w, 0);
+  agent_fixture_run_until (&w, first_ended);
   check_complete (&w.entry[0]);
   cr_assert_eq (w.entry[0].end.tokens, 6);
-  cr_assert_eq (json_array_size (agent_world_events (&w, "run.paused")), 1);
-  cr_assert_eq (json_array_size (agent_world_events (&w, "run.resumed")), 1);
+  cr_assert_eq (json_array_size (agent_fixture_events (&w, "run.paused")), 1);
+  cr_assert_eq (json_array_size (agent_fixture_events (&w, "run.resumed")), 1);
 }
 
 static bool
-was_cancelled (struct world *w)
+was_cancelled (struct fixture *w)
 {
-  return strstr (w->controls->str, "/control/cancel") != NULL;
+  return strstr (w->control_paths->str, "/control/cancel") != NULL;
 }
 
 /* The entry of a caller fails and nobody fetches the response.  After
@@ -297,48 +298,48 @@
    others.  */
 Test (agent_model, orphaned_run_is_cancelled)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
-
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 1);
-  agent_world_until (&w, first_has_output);
-  agent_world_cut (&w, 0);
-  agent_world_until (&w, was_cancelled);
-  cr_assert_eq (json_array_size (agent_world_events (&w, "run.end")), 1);
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
+
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 1);
+  agent_fixture_run_until (&w, first_has_output);
+  agent_fixture_disconnect (&w, 0);
+  agent_fixture_run_until (&w, was_cancelled);
+  cr_assert_eq (json_array_size (agent_fixture_events (&w, "run.end")), 1);
 }
 
 /* A stream sends no more tokens though its connection is open, because its
    state was lost somewhere.  The run counts as crashed.  */
 Test (agent_model, silent_stream_counts_as_crashed)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
 
-  agent_world_init (&w, WY_TARGET_MODEL);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
   w.s.target_silence_ms = 100;
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 1);
-  agent_world_until (&w, first_ended);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 1);
+  agent_fixture_run_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_CRASHED);
 }
 
 /* A rollout requires a weight version that this engine doesn't have yet.  */
 Test (agent_model, version_not_served)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
 
-  agent_world_init (&w, WY_TARGET_MODEL);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
   s.min_version = 9;
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, first_refused);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, first_refused);
   cr_assert_eq (w.entry[0].reason, WY_REFUSED_VERSION);
   cr_assert_eq (w.entry[0].refused_ran, WY_RAN_NO);
 }
--- a/tests/test_agent_orders.c
+++ b/tests/test_agent_orders.c
@@ -5,98 +5,98 @@
 #include <jansson.h>
 
 #include "http/client.h"
-#include "support/agent_world.h"
+#include "support/agent_fixture.h"
 
 static bool
-ordered (struct world *w)
+ordered (struct fixture *w)
 {
   return w->entry[0].ordered > 0;
 }
 
 static bool
-ordered_second (struct world *w)
+ordered_second (struct fixture *w)
 {
   return w->entry[1].ordered > 0;
 }
 
 static bool
-one_call (struct world *w)
+one_call (struct fixture *w)
 {
   return w->n_calls >= 1;
 }
 
 static bool
-first_ended (struct world *w)
+first_ended (struct fixture *w)
 {
   return w->entry[0].ends > 0;
 }
 
 static bool
-first_refused (struct world *w)
+first_refused (struct fixture *w)
 {
   return w->entry[0].refused > 0;
 }
 
 static bool
-three_results (struct world *w)
+three_results (struct fixture *w)
 {
   return w->entry[0].ordered == 3;
 }
 
 static bool
-both_notified (struct world *w)
+both_notified (struct fixture *w)
 {
   return w->entry[0].leaving > 0 && w->entry[1].leaving > 0;
 }
 
 static bool
-has_stopped (struct world *w)
+has_stopped (struct fixture *w)
 {
   return w->stopped;
 }
 
 static bool
-is_undrained (struct world *w)
+is_undrained (struct fixture *w)
 {
   return !w->entry[0].load.leaving;
 }
 
 static int32_t
-order (struct world *w, uint32_t i, enum wy_order_kind kind, int64_t fence,
+order (struct fixture *w, uint32_t i, enum wy_order_kind kind, int64_t fence,
        int64_t version)
 {
   w->entry[0].ordered = 0;
   w->entry[1].ordered = 0;
-  agent_world_order (w, i, "o", kind, fence, version);
-  agent_world_until (w, i ? ordered_second : ordered);
+  agent_fixture_send_order (w, i, "o", kind, fence, version);
+  agent_fixture_run_until (w, i ? ordered_second : ordered);
   return w->entry[i].order.result;
 }
 
 /* Send an order, and repeat it if the agent requests a confirmation.  */
 static int32_t
-order_confirmed (struct world *w, uint32_t i, enum wy_order_kind kind,
+order_confirmed (struct fixture *w, uint32_t i, enum wy_order_kind kind,
                  int64_t fence, int64_t version)
 {
   int32_t result = order (w, i, kind, fence, version);
 
   if (result != WY_ORDER_ECONFIRM)
     return result;
-  agent_world_for_ms (w, 100);
+  agent_fixture_run_ms (w, 100);
   return order (w, i, kind, fence, version);
 }
 
 Test (agent_orders, stage_and_activate)
 {
-  struct world w;
+  struct fixture w;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
   cr_assert_eq (order_confirmed (&w, 0, WY_ORDER_STAGE, 5, 8), WY_ORDER_OK);
   cr_assert_eq (w.staged, 8);
   cr_assert_eq (order (&w, 0, WY_ORDER_ACTIVATE, 5, 8), WY_ORDER_OK);
   cr_assert_eq (w.entry[0].order.version, 8);
   cr_assert_eq (w.entry[0].order.highest_fence, 5);
-  cr_assert_eq (json_array_size (agent_world_events (&w, "fence.accepted")),
+  cr_assert_eq (json_array_size (agent_fixture_events (&w, "fence.accepted")),
                 2);
 }
 
@@ -105,17 +105,17 @@
    weights, and its version would alternate in the status.  */
 Test (agent_orders, delayed_load_report_after_a_swap)
 {
-  struct world w;
+  struct fixture w;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
   cr_assert_eq (order_confirmed (&w, 0, WY_ORDER_STAGE, 5, 8), WY_ORDER_OK);
   w.reported_version = 7;
   cr_assert_eq (order (&w, 0, WY_ORDER_ACTIVATE, 5, 8), WY_ORDER_OK);
-  agent_world_for_ms (&w, 400);
+  agent_fixture_run_ms (&w, 400);
   cr_assert_eq (order (&w, 0, WY_ORDER_STAGE, 5, 9), WY_ORDER_OK);
   /* The version it started with, and the one after the swap.  */
-  cr_assert_eq (json_array_size (agent_world_events (&w, "target.version")),
+  cr_assert_eq (json_array_size (agent_fixture_events (&w, "target.version")),
                 2);
 }
 
@@ -124,10 +124,10 @@
    orders from anyone, so its agent must reject them.  */
 Test (agent_orders, holder_that_lost_its_lease)
 {
-  struct world w;
+  struct fixture w;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
   cr_assert_eq (order_confirmed (&w, 0, WY_ORDER_STAGE, 5, 8), WY_ORDER_OK);
   cr_assert_eq (order (&w, 1, WY_ORDER_STAGE, 6, 9), WY_ORDER_OK);
   cr_assert_eq (order (&w, 0, WY_ORDER_ACTIVATE, 5, 8), WY_ORDER_EFENCE);
@@ -140,29 +140,29 @@
    one sent after that reply arrived is executed.  */
 Test (agent_orders, fencing_token_unknown_after_restart)
 {
-  struct world w;
+  struct fixture w;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
   w.s.heartbeat_ms = 2000;
-  agent_world_start (&w);
-  agent_world_for_ms (&w, 50);
+  agent_fixture_start (&w);
+  agent_fixture_run_ms (&w, 50);
   for (int i = 0; i < 3; i++)
-    agent_world_order (&w, 0, "o", WY_ORDER_STAGE, 5, 8);
-  agent_world_until (&w, three_results);
+    agent_fixture_send_order (&w, 0, "o", WY_ORDER_STAGE, 5, 8);
+  agent_fixture_run_until (&w, three_results);
   cr_assert_eq (w.entry[0].order.result, WY_ORDER_ECONFIRM);
   cr_assert_eq (w.staged, 0);
-  agent_world_for_ms (&w, 100);
+  agent_fixture_run_ms (&w, 100);
   cr_assert_eq (order (&w, 0, WY_ORDER_STAGE, 5, 8), WY_ORDER_OK);
 }
 
 /* The engine knows a higher fencing token than its agent.  */
 Test (agent_orders, engine_knows_a_higher_token)
 {
-  struct world w;
+  struct fixture w;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
   w.highest_fence = 9;
-  agent_world_start (&w);
+  agent_fixture_start (&w);
   cr_assert_eq (order_confirmed (&w, 0, WY_ORDER_STAGE, 5, 8),
                 WY_ORDER_EFENCE);
   cr_assert_eq (w.entry[0].order.highest_fence, 9);
@@ -174,11 +174,11 @@
    the result names it.  */
 Test (agent_orders, failed_swap)
 {
-  struct world w;
+  struct fixture w;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
   w.fail_order = true;
-  agent_world_start (&w);
+  agent_fixture_start (&w);
   cr_assert_eq (order_confirmed (&w, 0, WY_ORDER_ACTIVATE, 5, 8),
                 WY_ORDER_ETARGET);
   cr_assert_eq (w.entry[0].order.version, 7);
@@ -189,31 +189,31 @@
    the agent ends when the last result was acknowledged.  */
 Test (agent_orders, graceful_stop_aborts_nothing)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
-  struct wy_frame_submit late = agent_world_submit_model ("r2");
-
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_tokens (&w, 0, 3);
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
+  struct wy_frame_submit late = agent_fixture_submit_model ("r2");
+
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_tokens (&w, 0, 3);
   wy_agent_stop (w.agent);
-  agent_world_until (&w, both_notified);
-  agent_world_send_submit (&w, 0, &late);
-  agent_world_until (&w, first_refused);
+  agent_fixture_run_until (&w, both_notified);
+  agent_fixture_send_submit (&w, 0, &late);
+  agent_fixture_run_until (&w, first_refused);
   cr_assert_eq (w.entry[0].reason, WY_REFUSED_LEAVING);
   cr_assert_eq (w.entry[0].refused_ran, WY_RAN_NO);
-  agent_world_for_ms (&w, 300);
+  agent_fixture_run_ms (&w, 300);
   cr_assert_not (w.stopped);
-  agent_world_tokens (&w, 0, 3);
-  agent_world_finish (&w, 0);
-  agent_world_until (&w, first_ended);
+  agent_fixture_send_tokens (&w, 0, 3);
+  agent_fixture_send_end (&w, 0);
+  agent_fixture_run_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_DONE);
-  agent_world_for_ms (&w, 150);
+  agent_fixture_run_ms (&w, 150);
   cr_assert_not (w.stopped, "the result isn't acknowledged");
-  agent_world_send (&w, 0, WY_FRAME_ACK, "r1", w.entry[0].end_run, 0);
-  agent_world_until (&w, has_stopped);
+  agent_fixture_send_frame (&w, 0, WY_FRAME_ACK, "r1", w.entry[0].end_run, 0);
+  agent_fixture_run_until (&w, has_stopped);
   cr_assert_eq (w.cut, 0);
   cr_assert_eq (w.n_calls, 1);
 }
@@ -222,15 +222,15 @@
    how many requests are aborted.  */
 Test (agent_orders, immediate_stop_reports_aborted_requests)
 {
-  struct world w;
-  struct wy_frame_submit s = agent_world_submit_model ("r1");
+  struct fixture w;
+  struct wy_frame_submit s = agent_fixture_submit_model ("r1");
 
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
   wy_agent_stop (w.agent);
-  agent_world_until (&w, both_notified);
+  agent_fixture_run_until (&w, both_notified);
   cr_assert_eq (wy_agent_stop_now (w.agent), 1);
   cr_assert_eq (w.cut, 1);
 }
@@ -240,29 +240,29 @@
    undrained.  */
 Test (agent_orders, drain_and_undrain)
 {
-  struct world w;
-  struct wy_frame_submit running = agent_world_submit_model ("r1");
-  struct wy_frame_submit waiting = agent_world_submit_model ("r2");
+  struct fixture w;
+  struct wy_frame_submit running = agent_fixture_submit_model ("r1");
+  struct wy_frame_submit waiting = agent_fixture_submit_model ("r2");
 
-  agent_world_init (&w, WY_TARGET_MODEL);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
   w.s.concurrency = 1;
-  agent_world_start (&w);
-  agent_world_send_submit (&w, 1, &running);
-  agent_world_until (&w, one_call);
-  agent_world_send_submit (&w, 0, &waiting);
-  agent_world_for_ms (&w, 20);
+  agent_fixture_start (&w);
+  agent_fixture_send_submit (&w, 1, &running);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_send_submit (&w, 0, &waiting);
+  agent_fixture_run_ms (&w, 20);
   cr_assert_eq (order (&w, 1, WY_ORDER_DRAIN, 0, 0), WY_ORDER_OK);
-  agent_world_until (&w, first_refused);
+  agent_fixture_run_until (&w, first_refused);
   cr_assert_eq (w.entry[0].reason, WY_REFUSED_LEAVING);
   cr_assert_eq (w.entry[0].refused_ran, WY_RAN_NO);
-  agent_world_until (&w, both_notified);
+  agent_fixture_run_until (&w, both_notified);
   cr_assert_eq (order (&w, 1, WY_ORDER_UNDRAIN, 0, 0), WY_ORDER_OK);
-  agent_world_until (&w, is_undrained);
-  agent_world_tokens (&w, 0, 1);
-  agent_world_finish (&w, 0);
-  agent_world_send_submit (&w, 0, &waiting);
+  agent_fixture_run_until (&w, is_undrained);
+  agent_fixture_send_tokens (&w, 0, 1);
+  agent_fixture_send_end (&w, 0);
+  agent_fixture_send_submit (&w, 0, &waiting);
   w.n_calls = 0;
-  agent_world_until (&w, one_call);
+  agent_fixture_run_until (&w, one_call);
 }
 
 /* An entry that reconnects has given up its old connection.  The agent must
@@ -270,22 +270,22 @@
    run".  */
 Test (agent_orders, older_connection_of_an_entry_is_closed)
 {
-  struct world w;
+  struct fixture w;
   struct wy_conn *old;
 
-  agent_world_init (&w, WY_TARGET_MODEL);
-  agent_world_start (&w);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
+  agent_fixture_start (&w);
   old = w.entry[0].conn;
-  agent_world_dial (&w, 0);
-  agent_world_until (&w, agent_world_entries_ready);
-  agent_world_for_ms (&w, 50);
+  agent_fixture_connect (&w, 0);
+  agent_fixture_run_until (&w, agent_fixture_entries_ready);
+  agent_fixture_run_ms (&w, 50);
   cr_assert_eq (w.entry[0].closed, 1);
   cr_assert (w.entry[0].conn != old && wy_conn_is_ready (w.entry[0].conn));
 }
 
 struct reading
 {
-  struct world *w;
+  struct fixture *w;
   uint32_t done;
   char *body;
 };
@@ -316,7 +316,7 @@
    Parts that an agent has fetched are served to others from its cache.  */
 Test (agent_orders, weights_are_relayed)
 {
-  struct world w;
+  struct fixture w;
   struct reading r = { .w = &w };
   struct wy_http_server *store;
   struct wy_http_client *client;
@@ -329,11 +329,11 @@
           .host = "127.0.0.1",
           .path = "/weights/pattern/8?offset=0&size=100" };
 
-  agent_world_init (&w, WY_TARGET_MODEL);
+  agent_fixture_init (&w, WY_TARGET_MODEL);
   cr_assert_eq (wy_http_server_new (&store, &so), 0);
   w.s.weights_url
       = g_strdup_printf ("127.0.0.1:%u", wy_http_server_port (store));
-  agent_world_start (&w);
+  agent_fixture_start (&w);
   cr_assert_eq (order_confirmed (&w, 0, WY_ORDER_STAGE, 5, 8), WY_ORDER_OK);
   cr_assert_not_null (strstr (w.last_order, "\"source\":\"127.0.0.1:"));
   client = wy_http_client_new (&w.loop, 5000);
--- a/tests/test_agent_service.c
+++ b/tests/test_agent_service.c
@@ -5,40 +5,40 @@
 #include <jansson.h>
 
 #include "base/id.h"
-#include "support/agent_world.h"
+#include "support/agent_fixture.h"
 
 static bool
-one_call (struct world *w)
+one_call (struct fixture *w)
 {
   return w->n_calls >= 1;
 }
 
 static bool
-first_ended (struct world *w)
+first_ended (struct fixture *w)
 {
   return w->entry[0].ends > 0;
 }
 
 static bool
-second_ended (struct world *w)
+second_ended (struct fixture *w)
 {
   return w->entry[1].ends > 0;
 }
 
 static bool
-first_refused (struct world *w)
+first_refused (struct fixture *w)
 {
   return w->entry[0].refused > 0;
 }
 
 static bool
-second_refused (struct world *w)
+second_refused (struct fixture *w)
 {
   return w->entry[1].refused > 0;
 }
 
 static bool
-config_known (struct world *w)
+config_known (struct fixture *w)
 {
   return w->entry[0].config_revision == 1;
 }
@@ -46,17 +46,17 @@
 /* Start with the target as the only member, and wait until keys issued now are
    newer than the start of this incarnation by more than the clock skew.  */
 static void
-start (struct world *w)
+start (struct fixture *w)
 {
-  agent_world_init (w, WY_TARGET_SERVICE);
-  agent_world_start (w);
-  agent_world_config (w, 0, 1, "\"t-1\"");
-  agent_world_until (w, config_known);
-  agent_world_for_ms (w, 4 * (uint32_t)w->s.clock_skew_ms);
+  agent_fixture_init (w, WY_TARGET_SERVICE);
+  agent_fixture_start (w);
+  agent_fixture_send_config (w, 0, 1, "\"t-1\"");
+  agent_fixture_run_until (w, config_known);
+  agent_fixture_run_ms (w, 4 * (uint32_t)w->s.clock_skew_ms);
 }
 
 static void
-respond (struct world *w, uint32_t call, int status, const char *text)
+respond (struct fixture *w, uint32_t call, int status, const char *text)
 {
   wy_http_on_abort (w->calls[call].ex, NULL, NULL);
   wy_http_respond (w->calls[call].ex, status, "application/json", text,
@@ -65,18 +65,18 @@
 
 Test (agent_service, request_and_response_are_forwarded)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
 
   start (&w);
-  s = agent_world_submit_service (&w, "portal:k1", true);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
+  s = agent_fixture_submit_service (&w, "portal:k1", true);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
   cr_assert_str_eq (w.calls[0].path, "/filings");
   cr_assert_str_eq (w.calls[0].body, "{\"key\":\"k\"}");
   cr_assert_str_eq (w.calls[0].request, "portal:k1");
   respond (&w, 0, 201, "{\"serial\":1}");
-  agent_world_until (&w, first_ended);
+  agent_fixture_run_until (&w, first_ended);
   cr_assert_eq (w.entry[0].status, 201);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_DONE);
   cr_assert_eq (w.entry[0].end.ran, WY_RAN_YES);
@@ -88,25 +88,26 @@
    It runs once, and the caller receives the response of that run.  */
 Test (agent_service, sent_again_through_another_entry)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
 
   start (&w);
-  s = agent_world_submit_service (&w, "portal:k1", true);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
-  agent_world_cut (&w, 0);
-  agent_world_for_ms (&w, 2 * (uint32_t)w.s.orphan_grace_ms);
+  s = agent_fixture_submit_service (&w, "portal:k1", true);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
+  agent_fixture_disconnect (&w, 0);
+  agent_fixture_run_ms (&w, 2 * (uint32_t)w.s.orphan_grace_ms);
   cr_assert_not (w.calls[0].gone, "a filing runs to completion");
-  agent_world_send_submit (&w, 1, &s);
-  agent_world_for_ms (&w, 20);
+  agent_fixture_send_submit (&w, 1, &s);
+  agent_fixture_run_ms (&w, 20);
   respond (&w, 0, 200, "{\"serial\":1}");
-  agent_world_until (&w, second_ended);
-  agent_world_send (&w, 1, WY_FRAME_ACK, "portal:k1", w.entry[1].end_run, 0);
-  agent_world_dial (&w, 0);
-  agent_world_until (&w, agent_world_entries_ready);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, first_ended);
+  agent_fixture_run_until (&w, second_ended);
+  agent_fixture_send_frame (&w, 1, WY_FRAME_ACK, "portal:k1",
+                            w.entry[1].end_run, 0);
+  agent_fixture_connect (&w, 0);
+  agent_fixture_run_until (&w, agent_fixture_entries_ready);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, first_ended);
   cr_assert_eq (w.n_calls, 1);
   cr_assert_eq (w.entry[0].body->len, 12);
   cr_assert_eq (w.entry[0].end.digest, w.entry[1].end.digest);
@@ -117,20 +118,20 @@
    sends it again.  */
 Test (agent_service, service_fails_during_a_filing)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
 
   start (&w);
-  s = agent_world_submit_service (&w, "portal:k1", true);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
+  s = agent_fixture_submit_service (&w, "portal:k1", true);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
   wy_http_close_connection (w.calls[0].ex);
-  agent_world_until (&w, first_ended);
+  agent_fixture_run_until (&w, first_ended);
   cr_assert_eq (w.entry[0].end.result, WY_RUN_CRASHED);
   cr_assert_eq (w.entry[0].end.ran, WY_RAN_UNKNOWN);
   s.attempt = 2;
-  agent_world_send_submit (&w, 1, &s);
-  agent_world_until (&w, second_ended);
+  agent_fixture_send_submit (&w, 1, &s);
+  agent_fixture_run_until (&w, second_ended);
   cr_assert_eq (w.entry[1].end.result, WY_RUN_CRASHED);
   cr_assert_eq (w.n_calls, 1);
 }
@@ -162,22 +163,22 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (table); i++)
     {
-      struct world w;
+      struct fixture w;
       struct wy_frame_submit s;
 
       start (&w);
       if (!table[i].is_home)
         {
-          agent_world_config (&w, 0, 2, "\"t-2\"");
-          agent_world_for_ms (&w, 4 * (uint32_t)w.s.clock_skew_ms);
+          agent_fixture_send_config (&w, 0, 2, "\"t-2\"");
+          agent_fixture_run_ms (&w, 4 * (uint32_t)w.s.clock_skew_ms);
         }
-      s = agent_world_submit_service (&w, "portal:k1", true);
+      s = agent_fixture_submit_service (&w, "portal:k1", true);
       if (table[i].issued_after_ms == INT64_MIN)
         s.issued_ms = 0;
       else
         s.issued_ms += table[i].issued_after_ms;
-      agent_world_send_submit (&w, 0, &s);
-      agent_world_until (&w, first_refused);
+      agent_fixture_send_submit (&w, 0, &s);
+      agent_fixture_run_until (&w, first_refused);
       cr_expect_eq (w.entry[0].reason, table[i].reason, "%s", table[i].what);
       cr_expect_eq (w.entry[0].refused_ran, table[i].ran, "%s", table[i].what);
       cr_expect_eq (w.n_calls, 0, "%s", table[i].what);
@@ -188,15 +189,15 @@
    is the home of the filing.  */
 Test (agent_service, no_configuration_yet)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
 
-  agent_world_init (&w, WY_TARGET_SERVICE);
-  agent_world_start (&w);
-  agent_world_for_ms (&w, 4 * (uint32_t)w.s.clock_skew_ms);
-  s = agent_world_submit_service (&w, "portal:k1", true);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, first_refused);
+  agent_fixture_init (&w, WY_TARGET_SERVICE);
+  agent_fixture_start (&w);
+  agent_fixture_run_ms (&w, 4 * (uint32_t)w.s.clock_skew_ms);
+  s = agent_fixture_submit_service (&w, "portal:k1", true);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, first_refused);
   cr_assert_eq (w.entry[0].reason, WY_REFUSED_NO_CONFIG);
   cr_assert_eq (w.entry[0].refused_ran, WY_RAN_UNKNOWN);
 }
@@ -205,16 +206,16 @@
    newer one and sends it to the entry.  */
 Test (agent_service, configuration_never_goes_back)
 {
-  struct world w;
+  struct fixture w;
 
   start (&w);
-  agent_world_config (&w, 1, 3, "\"t-1\"");
-  agent_world_for_ms (&w, 60);
-  agent_world_config (&w, 0, 2, "\"t-2\"");
-  agent_world_for_ms (&w, 60);
+  agent_fixture_send_config (&w, 1, 3, "\"t-1\"");
+  agent_fixture_run_ms (&w, 60);
+  agent_fixture_send_config (&w, 0, 2, "\"t-2\"");
+  agent_fixture_run_ms (&w, 60);
   cr_assert_eq (w.entry[0].config_revision, 3);
   w.entry[0].config_revision = 2;
-  cr_assert_eq (json_array_size (agent_world_events (&w, "config.in_force")),
+  cr_assert_eq (json_array_size (agent_fixture_events (&w, "config.in_force")),
                 2);
 }
 
@@ -222,45 +223,45 @@
    before it runs; no result that somebody waits for is discarded.  */
 Test (agent_service, results_fill_the_memory)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
   char *large = g_strnfill (70000, 'x');
 
   start (&w);
   w.s.retained_bytes = 65536;
-  s = agent_world_submit_service (&w, "r1", false);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
+  s = agent_fixture_submit_service (&w, "r1", false);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
   respond (&w, 0, 200, large);
-  agent_world_until (&w, first_ended);
-  s = agent_world_submit_service (&w, "r2", false);
-  agent_world_send_submit (&w, 1, &s);
-  agent_world_until (&w, second_refused);
+  agent_fixture_run_until (&w, first_ended);
+  s = agent_fixture_submit_service (&w, "r2", false);
+  agent_fixture_send_submit (&w, 1, &s);
+  agent_fixture_run_until (&w, second_refused);
   cr_assert_eq (w.entry[1].reason, WY_REFUSED_FULL);
   cr_assert_eq (w.entry[1].refused_ran, WY_RAN_NO);
-  agent_world_send (&w, 0, WY_FRAME_ACK, "r1", w.entry[0].end_run, 0);
-  agent_world_for_ms (&w, 30);
-  agent_world_send_submit (&w, 1, &s);
+  agent_fixture_send_frame (&w, 0, WY_FRAME_ACK, "r1", w.entry[0].end_run, 0);
+  agent_fixture_run_ms (&w, 30);
+  agent_fixture_send_submit (&w, 1, &s);
   w.n_calls = 0;
-  agent_world_until (&w, one_call);
+  agent_fixture_run_until (&w, one_call);
 }
 
 /* Submit KEY through entry 0, with a response of N bytes, and acknowledge
    it.  */
 static void
-file_and_acknowledge (struct world *w, const char *key, size_t n)
+file_and_acknowledge (struct fixture *w, const char *key, size_t n)
 {
-  struct wy_frame_submit s = agent_world_submit_service (w, key, true);
+  struct wy_frame_submit s = agent_fixture_submit_service (w, key, true);
   char *text = g_strnfill (n, 'z');
 
   w->n_calls = 0;
   w->entry[0].ends = 0;
   g_byte_array_set_size (w->entry[0].body, 0);
-  agent_world_send_submit (w, 0, &s);
-  agent_world_until (w, one_call);
+  agent_fixture_send_submit (w, 0, &s);
+  agent_fixture_run_until (w, one_call);
   respond (w, 0, 200, text);
-  agent_world_until (w, first_ended);
-  agent_world_send (w, 0, WY_FRAME_ACK, key, w->entry[0].end_run, 0);
+  agent_fixture_run_until (w, first_ended);
+  agent_fixture_send_frame (w, 0, WY_FRAME_ACK, key, w->entry[0].end_run, 0);
   g_free (text);
 }
 
@@ -269,7 +270,7 @@
    a result was discarded, it is still known that the filing ran.  */
 Test (agent_service, oldest_results_are_discarded_first)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
 
   start (&w);
@@ -279,20 +280,20 @@
   file_and_acknowledge (&w, "portal:k2", 32000);
   file_and_acknowledge (&w, "portal:k3", 10);
   w.n_calls = 0;
-  s = agent_world_submit_service (&w, "portal:k1", true);
-  agent_world_send_submit (&w, 1, &s);
-  agent_world_until (&w, second_refused);
+  s = agent_fixture_submit_service (&w, "portal:k1", true);
+  agent_fixture_send_submit (&w, 1, &s);
+  agent_fixture_run_until (&w, second_refused);
   cr_assert_eq (w.entry[1].reason, WY_REFUSED_LOST);
   cr_assert_eq (w.entry[1].refused_ran, WY_RAN_YES);
-  s = agent_world_submit_service (&w, "portal:k2", true);
-  agent_world_send_submit (&w, 1, &s);
-  agent_world_until (&w, second_ended);
+  s = agent_fixture_submit_service (&w, "portal:k2", true);
+  agent_fixture_send_submit (&w, 1, &s);
+  agent_fixture_run_until (&w, second_ended);
   cr_assert_eq (w.entry[1].body->len, 32000);
   cr_assert_eq (w.n_calls, 0);
 }
 
 static bool
-outcome_received (struct world *w)
+outcome_received (struct fixture *w)
 {
   return w->entry[1].outcomes > 0;
 }
@@ -300,22 +301,22 @@
 /* A caller whose response was lost queries the outcome of its filing.  */
 Test (agent_service, outcome_by_identifier)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
 
   start (&w);
-  s = agent_world_submit_service (&w, "portal:k1", true);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
+  s = agent_fixture_submit_service (&w, "portal:k1", true);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
   respond (&w, 0, 200, "{}");
-  agent_world_until (&w, first_ended);
-  agent_world_send (&w, 1, WY_FRAME_QUERY, "portal:k1", "", 0);
-  agent_world_until (&w, outcome_received);
+  agent_fixture_run_until (&w, first_ended);
+  agent_fixture_send_frame (&w, 1, WY_FRAME_QUERY, "portal:k1", "", 0);
+  agent_fixture_run_until (&w, outcome_received);
   cr_assert_eq (w.entry[1].outcome.result, WY_RUN_DONE);
   cr_assert_eq (w.entry[1].outcome.ran, WY_RAN_YES);
   w.entry[1].outcomes = 0;
-  agent_world_send (&w, 1, WY_FRAME_QUERY, "portal:never", "", 0);
-  agent_world_until (&w, outcome_received);
+  agent_fixture_send_frame (&w, 1, WY_FRAME_QUERY, "portal:never", "", 0);
+  agent_fixture_run_until (&w, outcome_received);
   cr_assert_eq (w.entry[1].outcome.ran, WY_RAN_UNKNOWN);
 }
 
@@ -323,21 +324,21 @@
    service.  */
 Test (agent_service, line_breaks_are_rejected)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
   const struct wy_header_pair bad
       = { wy_bytes_of ("x"), wy_bytes_of ("1\r\nPOST /filings HTTP/1.1") };
 
   start (&w);
-  s = agent_world_submit_service (&w, "r1", false);
+  s = agent_fixture_submit_service (&w, "r1", false);
   s.headers = &bad;
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, first_refused);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, first_refused);
   cr_assert_eq (w.entry[0].reason, WY_REFUSED_BAD_REQUEST);
-  s = agent_world_submit_service (&w, "r2", false);
+  s = agent_fixture_submit_service (&w, "r2", false);
   s.path = wy_bytes_of ("/a HTTP/1.1\r\n\r\nGET /");
-  agent_world_send_submit (&w, 1, &s);
-  agent_world_until (&w, second_refused);
+  agent_fixture_send_submit (&w, 1, &s);
+  agent_fixture_run_until (&w, second_refused);
   cr_assert_eq (w.entry[1].reason, WY_REFUSED_BAD_REQUEST);
   cr_assert_eq (w.n_calls, 0);
 }
@@ -346,18 +347,18 @@
    beginning by a second entry after it is complete.  */
 Test (agent_service, large_response_is_replayed)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame_submit s;
   char *large = g_strnfill (6000000, 'y');
 
   start (&w);
-  s = agent_world_submit_service (&w, "portal:k1", true);
-  agent_world_send_submit (&w, 0, &s);
-  agent_world_until (&w, one_call);
+  s = agent_fixture_submit_service (&w, "portal:k1", true);
+  agent_fixture_send_submit (&w, 0, &s);
+  agent_fixture_run_until (&w, one_call);
   respond (&w, 0, 200, large);
-  agent_world_until (&w, first_ended);
-  agent_world_send_submit (&w, 1, &s);
-  agent_world_until (&w, second_ended);
+  agent_fixture_run_until (&w, first_ended);
+  agent_fixture_send_submit (&w, 1, &s);
+  agent_fixture_run_until (&w, second_ended);
   cr_assert_eq (w.entry[0].body->len, 6000000);
   cr_assert_eq (w.entry[1].body->len, 6000000);
   cr_assert_not (w.entry[1].gap);
--- a/tests/test_config_apply.c
+++ b/tests/test_config_apply.c
@@ -18,7 +18,7 @@
   uint32_t changes;
 };
 
-struct world
+struct fixture
 {
   uv_loop_t loop;
   struct fake_table *table;
@@ -47,11 +47,11 @@
 is_acknowledged (void *ctx, const struct wy_service_config *before,
                  const struct wy_service_config *after)
 {
-  return ((struct world *)ctx)->acknowledged;
+  return ((struct fixture *)ctx)->acknowledged;
 }
 
 static void
-entry_init (struct world *w, int i)
+entry_init (struct fixture *w, int i)
 {
   struct entry *e = &w->entry[i];
   const struct wy_store_options s = { .loop = &w->loop,
@@ -93,7 +93,7 @@
 }
 
 static void
-world_init (struct world *w)
+fixture_init (struct fixture *w)
 {
   memset (w, 0, sizeof *w);
   uv_loop_init (&w->loop);
@@ -104,12 +104,12 @@
 }
 
 static void
-world_free (struct world *w)
+fixture_free (struct fixture *w)
 {
   entry_free (&w->entry[0]);
   entry_free (&w->entry[1]);
   json_decref (w->body);
-  close_loop (&w->loop);
+  drain_loop (&w->loop);
   fake_table_free (w->table);
   wy_http_client_free (w->http);
 }
@@ -117,7 +117,7 @@
 static void
 on_response (void *ctx, const struct wy_http_response *r)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->responses++;
   /* Of two responses keep the one with the higher status, the rejection.  */
@@ -129,7 +129,7 @@
 }
 
 static void
-start_call (struct world *w, int i, const char *path, const char *body)
+start_call (struct fixture *w, int i, const char *path, const char *body)
 {
   const struct wy_http_call_options o
       = { .method = body ? "POST" : "GET",
@@ -145,17 +145,17 @@
 static bool
 one_response (void *ctx)
 {
-  return ((struct world *)ctx)->responses >= 1;
+  return ((struct fixture *)ctx)->responses >= 1;
 }
 
 static bool
 two_responses (void *ctx)
 {
-  return ((struct world *)ctx)->responses >= 2;
+  return ((struct fixture *)ctx)->responses >= 2;
 }
 
 static int
-call (struct world *w, int i, const char *path, const char *body)
+call (struct fixture *w, int i, const char *path, const char *body)
 {
   w->responses = 0;
   start_call (w, i, path, body);
@@ -166,7 +166,7 @@
 /* Plan DOCUMENT at entry I.  Returns the body of the request that applies it;
    the caller frees it.  */
 static char *
-plan (struct world *w, int i, const char *document)
+plan (struct fixture *w, int i, const char *document)
 {
   char *body = g_strdup_printf ("{\"document\":%s}", document);
   char *apply;
@@ -180,7 +180,7 @@
 }
 
 static int
-apply (struct world *w, int i, const char *document)
+apply (struct fixture *w, int i, const char *document)
 {
   char *body = plan (w, i, document);
   int status = call (w, i, "/v1/apply", body);
@@ -190,13 +190,13 @@
 }
 
 static json_int_t
-revision (struct world *w)
+revision (struct fixture *w)
 {
   return json_integer_value (json_object_get (w->body, "revision"));
 }
 
 static bool
-changes_mention (struct world *w, const char *text)
+changes_mention (struct fixture *w, const char *text)
 {
   char *changes = json_dumps (json_object_get (w->body, "changes"), 0);
   bool found = changes && strstr (changes, text);
@@ -218,7 +218,7 @@
 static bool
 both_at_1 (void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   return wy_config_feed_revision (w->entry[0].feed) == 1
          && wy_config_feed_revision (w->entry[1].feed) == 1;
@@ -226,9 +226,9 @@
 
 Test (config, plan_lists_changes_and_apply_reaches_all_entries)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   cr_assert_eq (apply (&w, 0, DRAIN), 200);
   cr_assert_eq (revision (&w), 1);
   cr_assert (run_until (&w.loop, both_at_1, &w));
@@ -238,18 +238,18 @@
   cr_assert_eq (revision (&w), 1);
   g_free (plan (&w, 1, EMPTY));
   cr_assert (changes_mention (&w, "- drained engine-7"));
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* Two operators plan on the same revision and apply at the same time.  Without
    the conditional write one would undo the other's change unknowingly.  */
 Test (config, second_of_two_operators_gets_the_changes_of_the_first)
 {
-  struct world w;
+  struct fixture w;
   char *a;
   char *b;
 
-  world_init (&w);
+  fixture_init (&w);
   a = plan (&w, 0, MODEL);
   b = plan (&w, 1, DRAIN);
   w.responses = 0;
@@ -263,51 +263,51 @@
   cr_assert_null (fake_table_get (w.table, "config/rev/2"));
   g_free (a);
   g_free (b);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The change is written and the response of the store is lost.  The operator
    must not get an error for a change that was applied.  */
 Test (config, lost_store_response_of_apply_is_resolved)
 {
-  struct world w;
+  struct fixture w;
   char *body;
 
-  world_init (&w);
+  fixture_init (&w);
   body = plan (&w, 0, MODEL);
-  w.table->lose_next = 1;
+  w.table->lose_responses = 1;
   cr_assert_eq (call (&w, 0, "/v1/apply", body), 200);
   cr_assert_eq (revision (&w), 1);
   cr_assert_eq (call (&w, 1, "/v1/apply", body), 200, "applied again");
   cr_assert_eq (revision (&w), 1);
   cr_assert_null (fake_table_get (w.table, "config/rev/2"));
   g_free (body);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 Test (config, stale_plan_is_rejected)
 {
-  struct world w;
+  struct fixture w;
   char *old;
 
-  world_init (&w);
+  fixture_init (&w);
   old = plan (&w, 0, MODEL);
   cr_assert_eq (apply (&w, 1, DRAIN), 200);
   cr_assert_eq (call (&w, 0, "/v1/apply", old), 409);
   cr_assert (changes_mention (&w, "+ drained engine-7"));
   cr_assert_eq (revision (&w), 1);
   g_free (old);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The store is down.  An operator gets 503, and the configuration in force
    stays.  */
 Test (config, store_outage_keeps_configuration_in_force)
 {
-  struct world w;
+  struct fixture w;
   char *body;
 
-  world_init (&w);
+  fixture_init (&w);
   cr_assert_eq (apply (&w, 0, DRAIN), 200);
   body = plan (&w, 0, EMPTY);
   w.table->down = true;
@@ -317,7 +317,7 @@
   cr_assert_eq (call (&w, 0, "/v1/config", NULL), 200);
   cr_assert_eq (revision (&w), 1);
   g_free (body);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* A peer that was suspended offers an old revision, or a response of the store
@@ -325,10 +325,10 @@
    targets that must not run it any more.  */
 Test (config, feed_revision_never_decreases)
 {
-  struct world w;
+  struct fixture w;
   struct wy_config_feed *f;
 
-  world_init (&w);
+  fixture_init (&w);
   cr_assert_eq (apply (&w, 0, DRAIN), 200);
   f = w.entry[0].feed;
   cr_assert_eq (wy_config_feed_offer (f, 5, 1, MODEL, strlen (MODEL)), 0);
@@ -340,11 +340,11 @@
   cr_assert_not_null (wy_document_model (wy_config_feed_document (f), "m"));
   cr_assert_neq (wy_config_feed_offer (f, 6, 3, "{", 1), 0);
   cr_assert_eq (wy_config_feed_revision (f), 5);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 static const json_t *
-portal (struct world *w)
+portal (struct fixture *w)
 {
   const json_t *document = json_object_get (
       fake_table_get (w->table, "config/current"), "document");
@@ -356,10 +356,10 @@
    some the new one, a request could have two homes and run twice.  */
 Test (config, change_of_members_takes_effect_after_the_trust_time)
 {
-  struct world w;
+  struct fixture w;
   int64_t now = wy_clock_wall_ms (wy_clock_system ());
 
-  world_init (&w);
+  fixture_init (&w);
   cr_assert_eq (apply (&w, 0, PORTAL), 200);
   cr_assert_eq (
       json_integer_value (json_object_get (portal (&w), "effective_ms")), 0);
@@ -372,14 +372,14 @@
                     "a");
   cr_assert_eq (apply (&w, 0, PORTAL_AGAIN), 409,
                 "a second change before the first is in effect");
-  world_free (&w);
+  fixture_free (&w);
 }
 
 Test (config, acknowledged_change_of_members_takes_effect_at_once)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   w.acknowledged = true;
   cr_assert_eq (apply (&w, 0, PORTAL), 200);
   cr_assert_eq (apply (&w, 0, PORTAL_MOVED), 200);
@@ -387,7 +387,7 @@
       json_integer_value (json_object_get (portal (&w), "effective_ms")),
       wy_clock_wall_ms (wy_clock_system ()));
   cr_assert_eq (apply (&w, 0, PORTAL_AGAIN), 200);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* A service is removed and at once added again with other members.  An entry
@@ -395,9 +395,9 @@
    home.  */
 Test (config, service_with_members_can_not_be_removed)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   w.acknowledged = true;
   cr_assert_eq (apply (&w, 0, PORTAL), 200);
   cr_assert_eq (apply (&w, 0, EMPTY), 409);
@@ -405,17 +405,17 @@
       apply (&w, 0, "{\"services\":[{\"name\":\"portal\",\"members\":[]}]}"),
       200);
   cr_assert_eq (apply (&w, 0, EMPTY), 200);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* An unrelated change, in a document without effective_ms, must not make a
    pending change of members take effect early.  */
 Test (config, unrelated_change_keeps_effective_time_of_members)
 {
-  struct world w;
+  struct fixture w;
   json_int_t effective;
 
-  world_init (&w);
+  fixture_init (&w);
   cr_assert_eq (apply (&w, 0, PORTAL), 200);
   cr_assert_eq (apply (&w, 0, PORTAL_MOVED), 200);
   effective
@@ -429,7 +429,7 @@
       effective);
   cr_assert_eq (json_array_size (json_object_get (portal (&w), "previous")),
                 2);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 Test (config, invalid_documents_are_rejected_with_reasons)
--- a/tests/test_conn.c
+++ b/tests/test_conn.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/conn_world.h"
+#include "support/conn_fixture.h"
 
 static const struct wy_inner_key keys_both[]
     = { { 2, "new secret" }, { 1, "old secret" } };
@@ -13,10 +13,10 @@
 
 Test (conn, both_ends_are_authenticated)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame f = { .kind = WY_FRAME_LEAVING };
 
-  conn_world_init (&w);
+  conn_fixture_init (&w);
   conn_dial (&w, 0);
   cr_assert_eq (wy_conn_send (w.a.conn, &f), WY_INNER_ECLOSED);
   conn_run_until (&w, conn_both_ready);
@@ -64,9 +64,9 @@
 
   for (size_t i = 0; i < sizeof table / sizeof *table; i++)
     {
-      struct world w;
+      struct fixture w;
 
-      conn_world_init (&w);
+      conn_fixture_init (&w);
       conn_end_init (&w, &w.a, "entry-1", table[i].a, table[i].n_a);
       conn_end_init (&w, &w.b, "agent-1", table[i].b, table[i].n_b);
       conn_dial (&w, 0);
@@ -98,11 +98,11 @@
 
   for (size_t i = 0; i < sizeof table / sizeof *table; i++)
     {
-      struct world w;
+      struct fixture w;
       struct raw r;
       struct wy_conn *established;
 
-      conn_world_init (&w);
+      conn_fixture_init (&w);
       conn_dial (&w, 0);
       conn_run_until (&w, conn_both_ready);
       established = w.a.conn;
@@ -117,11 +117,11 @@
    handshake needs, although later frames may be megabytes.  */
 Test (conn, large_frame_before_authentication)
 {
-  struct world w;
+  struct fixture w;
   struct raw r;
   uint8_t bytes[8192] = { 0, 0, 0x40, 0 };
 
-  conn_world_init (&w);
+  conn_fixture_init (&w);
   conn_raw_dial (&w, &r, bytes, sizeof bytes);
   conn_run_until (&w, conn_b_closed);
   cr_assert_eq (w.b.err, WY_INNER_ETOOBIG);
@@ -131,17 +131,17 @@
    listener makes the old proof invalid.  */
 Test (conn, replayed_handshake_is_rejected)
 {
-  struct world w;
-  struct world again;
+  struct fixture w;
+  struct fixture again;
   struct raw r;
 
-  conn_world_init (&w);
+  conn_fixture_init (&w);
   conn_relay_init (&w);
   conn_dial (&w, w.relay.port);
   conn_run_until (&w, conn_both_ready);
   cr_assert_gt (w.relay.seen->len, 100);
 
-  conn_world_init (&again);
+  conn_fixture_init (&again);
   conn_raw_dial (&again, &r, w.relay.seen->data, w.relay.seen->len);
   conn_run_until (&again, conn_b_closed);
   cr_assert_eq (again.b.err, WY_INNER_EAUTH);
--- a/tests/test_conn_liveness.c
+++ b/tests/test_conn_liveness.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/conn_world.h"
+#include "support/conn_fixture.h"
 
 /* A load balancer or firewall on the path loses the state of the connection.
    Bytes are lost in one or both directions without an error: writes still
@@ -12,14 +12,14 @@
 {
   for (int lost = 1; lost <= 3; lost++)
     {
-      struct world w;
+      struct fixture w;
 
-      conn_world_init (&w);
+      conn_fixture_init (&w);
       conn_relay_init (&w);
       conn_dial (&w, w.relay.port);
       conn_run_until (&w, conn_both_ready);
-      w.relay.lose_to_far = lost & 1;
-      w.relay.lose_to_near = lost & 2;
+      w.relay.drop_to_listener = lost & 1;
+      w.relay.drop_to_dialer = lost & 2;
       conn_run_until (&w, conn_both_closed);
       cr_expect_eq (w.a.err, WY_INNER_ETIMEDOUT, "lost %d", lost);
       cr_expect_eq (w.b.err, WY_INNER_ETIMEDOUT, "lost %d", lost);
@@ -27,7 +27,7 @@
 }
 
 static bool
-many_pings (struct world *w)
+many_pings (struct fixture *w)
 {
   return w->a.pings > 40 && w->b.pings > 40;
 }
@@ -35,9 +35,9 @@
 /* The heartbeat keeps an idle connection open well past the silence limit.  */
 Test (conn_liveness, idle_link_stays_open)
 {
-  struct world w;
+  struct fixture w;
 
-  conn_world_init (&w);
+  conn_fixture_init (&w);
   conn_dial (&w, 0);
   conn_run_until (&w, many_pings);
   cr_assert_eq (w.a.closed + w.b.closed, 0);
@@ -55,7 +55,7 @@
 static uint32_t ticks;
 
 static bool
-many_ticks (struct world *w)
+many_ticks (struct fixture *w)
 {
   return ticks > 64;
 }
@@ -64,12 +64,12 @@
    would exceed the CPU time that a host may spend on them.  */
 Test (conn_liveness, idle_link_sends_few_pings)
 {
-  struct world w;
+  struct fixture w;
   uv_timer_t t;
 
-  conn_world_init (&w);
-  w.a.quiet = true;
-  w.b.quiet = true;
+  conn_fixture_init (&w);
+  w.a.idle = true;
+  w.b.idle = true;
   conn_dial (&w, 0);
   conn_run_until (&w, conn_both_ready);
   uv_timer_init (&w.loop, &t);
@@ -85,20 +85,20 @@
    connection.  */
 Test (conn_liveness, first_frame_on_an_idle_link_detects_the_loss)
 {
-  struct world w;
+  struct fixture w;
   struct wy_frame f = { .kind = WY_FRAME_LEAVING };
 
-  conn_world_init (&w);
-  w.a.quiet = true;
-  w.b.quiet = true;
+  conn_fixture_init (&w);
+  w.a.idle = true;
+  w.b.idle = true;
   conn_relay_init (&w);
   conn_dial (&w, w.relay.port);
   conn_run_until (&w, conn_both_ready);
   ticks = 0;
   while (w.a.pings < 1)
     uv_run (&w.loop, UV_RUN_ONCE);
-  w.relay.lose_to_far = true;
-  w.relay.lose_to_near = true;
+  w.relay.drop_to_listener = true;
+  w.relay.drop_to_dialer = true;
   cr_assert_eq (wy_conn_send (w.a.conn, &f), 0);
   conn_run_until (&w, conn_a_closed);
   cr_assert_eq (w.a.err, WY_INNER_ETIMEDOUT);
@@ -108,13 +108,13 @@
    disconnected, before it uses memory that others need.  */
 Test (conn_liveness, peer_that_does_not_read_is_disconnected)
 {
-  struct world w;
+  struct fixture w;
   static char data[65536];
   struct wy_frame f = { .kind = WY_FRAME_CHUNK };
   int err = 0;
   int sent = 0;
 
-  conn_world_init (&w);
+  conn_fixture_init (&w);
   conn_relay_init (&w);
   conn_dial (&w, w.relay.port);
   conn_run_until (&w, conn_both_ready);
@@ -129,7 +129,7 @@
 }
 
 static bool
-all_chunks (struct world *w)
+all_chunks (struct fixture *w)
 {
   return w->b.chunk_bytes == 40ULL * 20000;
 }
@@ -137,11 +137,11 @@
 /* A burst of frames that is larger than the socket buffer.  */
 Test (conn_liveness, burst_arrives_completely)
 {
-  struct world w;
+  struct fixture w;
   static char data[20000];
   struct wy_frame f = { .kind = WY_FRAME_CHUNK };
 
-  conn_world_init (&w);
+  conn_fixture_init (&w);
   conn_dial (&w, 0);
   conn_run_until (&w, conn_both_ready);
   f.u.chunk.id = wy_bytes_of ("id");
@@ -156,10 +156,10 @@
    call.  */
 Test (conn_liveness, connection_refused)
 {
-  struct world w;
+  struct fixture w;
   uint16_t port;
 
-  conn_world_init (&w);
+  conn_fixture_init (&w);
   port = wy_listener_port (w.listener);
   wy_listener_close (w.listener);
   uv_run (&w.loop, UV_RUN_NOWAIT);
--- a/tests/test_crashes.c
+++ b/tests/test_crashes.c
@@ -4,7 +4,7 @@
 
 #include "gate/proxy.h"
 #include "gate/suspect_list.h"
-#include "support/job_world.h"
+#include "support/job_fixture.h"
 
 enum
 {
@@ -112,7 +112,7 @@
   cr_expect_eq (wy_suspect_list_merge (&w, NULL, 0), 0);
 }
 
-static struct platform_world w;
+static struct platform_fixture w;
 static struct wy_h1_server *server;
 
 static void
@@ -123,16 +123,16 @@
                   NULL);
 }
 
-static struct platform_answer *
+static struct platform_response *
 send_request (const char *body)
 {
   struct wy_h1_header fields[] = { { "Host", "h" },
                                    { "Attempt-Id", "a-1" },
                                    { "Deadline-Milliseconds", "2000" } };
-  struct platform_answer *a = platform_world_call (
+  struct platform_response *a = platform_fixture_call (
       &w, wy_h1_server_port (server), "POST", "/p/x", fields, 3, body);
 
-  cr_assert (platform_world_until (&w, platform_answer_done, a));
+  cr_assert (platform_fixture_run_until (&w, platform_response_done, a));
   return a;
 }
 
@@ -146,20 +146,20 @@
           .host = "127.0.0.1",
           .limits = { 65536, 1 << 20, 1000, 10000, 1 << 24 },
           .on_request = on_request };
-  struct platform_answer *a;
+  struct platform_response *a;
   uint32_t runs;
 
-  platform_world_init (&w);
-  platform_world_add_env (&w, "n1");
-  platform_world_set_routing (&w, WY_ROUTE_IDEMPOTENT, 2);
+  platform_fixture_init (&w);
+  platform_fixture_add_env (&w, "n1");
+  platform_fixture_set_routing (&w, WY_ROUTE_IDEMPOTENT, 2);
   cr_assert_eq (wy_h1_server_new (&server, &o), 0);
   for (int i = 0; i < 3; i++)
-    wy_platform_replica_faults (platform_world_add_replica (&w, NULL, 0))
+    wy_platform_replica_faults (platform_fixture_add_replica (&w, NULL, 0))
         ->lose_response
         = 1;
   a = send_request ("bad");
   cr_expect_eq (a->status, 502);
-  platform_answer_free (a);
+  platform_response_free (a);
   for (uint32_t i = 0; i < 3; i++)
     {
       static const char *const ids[] = { "i-1", "i-2", "i-3" };
@@ -179,13 +179,13 @@
                     + wy_platform_replica_runs (w.replicas[1])
                     + wy_platform_replica_runs (w.replicas[2]),
                 runs);
-  platform_answer_free (a);
-  platform_world_run_ms (&w, 300);
+  platform_response_free (a);
+  platform_fixture_run_ms (&w, 300);
   a = send_request ("good");
   cr_expect_eq (a->status, 200);
-  platform_answer_free (a);
+  platform_response_free (a);
   wy_h1_server_free (server);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* Another entry observed two crashes under an item before it lost the job. The
@@ -193,22 +193,22 @@
    the other items run.  */
 Test (crashes, item_waits)
 {
-  struct wy_crash_tracker *watch = &job_world.env.crashes;
+  struct wy_crash_tracker *watch = &job_fixture.env.crashes;
   uint64_t fp = wy_fingerprint ("it-0", NULL, 0);
 
-  job_world_start (2);
+  job_fixture_start (2);
   wy_crash_tracker_run_interrupted (watch, fp, "i-8", 0);
   wy_crash_tracker_target_crashed (watch, "i-8", 0);
   wy_crash_tracker_run_interrupted (watch, fp, "i-9", 0);
   wy_crash_tracker_target_crashed (watch, "i-9", 0);
   for (uint32_t i = 0; i < 2; i++)
-    watch->suspects.slot[i].seen_ms = wy_clock_mono_ms (job_world.env.clock);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  json_decref (job_world_await ("j1", JOB_ITEMS - 2));
-  platform_world_run_ms (&job_world, 300);
-  cr_expect_eq (job_world_listed ("j1"), JOB_ITEMS - 1);
-  cr_expect_eq (*job_world.env.count.held_back, 1);
-  job_world_stop ();
+    watch->suspects.slot[i].seen_ms = wy_clock_mono_ms (job_fixture.env.clock);
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  json_decref (job_fixture_await_result ("j1", JOB_ITEMS - 2));
+  platform_fixture_run_ms (&job_fixture, 300);
+  cr_expect_eq (job_fixture_count_results ("j1"), JOB_ITEMS - 1);
+  cr_expect_eq (*job_fixture.env.count.held_back, 1);
+  job_fixture_stop ();
 }
 
 /* An item's runs fail repeatedly before the first event.  The first ones are
--- a/tests/test_decide_load.c
+++ b/tests/test_decide_load.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#include "../bench/support/world.h"
+#include "../bench/support/simulation.h"
 #include "standin/engine_batch.h"
 
 #define ENGINES 9
@@ -32,22 +32,22 @@
 static double
 p99_ms (const struct wb_case *c)
 {
-  struct wb_world *w = wb_run (c, &waxwing_policy, SEED);
-  double v = wb_values_quantile (&wb_world_figures (w)->latency_ms, 0.99);
+  struct wb_simulation *w = wb_simulate (c, &waxwing_policy, SEED);
+  double v = wb_values_quantile (&wb_simulation_figures (w)->latency_ms, 0.99);
 
-  wb_world_free (w);
+  wb_simulation_free (w);
   return v;
 }
 
 static void
 expect_all_in_time (const struct wb_case *c)
 {
-  struct wb_world *w = wb_run (c, &waxwing_policy, SEED);
-  const struct wb_figures *f = wb_world_figures (w);
+  struct wb_simulation *w = wb_simulate (c, &waxwing_policy, SEED);
+  const struct wb_figures *f = wb_simulation_figures (w);
 
   cr_assert_gt (f->offered, 300U);
   cr_assert_eq (f->in_time, f->offered);
-  wb_world_free (w);
+  wb_simulation_free (w);
 }
 
 /* Rollouts occupy all engines while callers arrive.  Without priorities a
@@ -124,34 +124,34 @@
 {
   struct wb_case c = base_case ();
   struct wb_figures *f;
-  struct wb_world *w;
+  struct wb_simulation *w;
   double capacity;
 
   c.callers_per_s = 77;
-  w = wb_run (&c, &waxwing_policy, SEED);
-  f = wb_world_figures (w);
+  w = wb_simulate (&c, &waxwing_policy, SEED);
+  f = wb_simulation_figures (w);
   /* Each caller has 200 prompt tokens and 69 output tokens; none arrive in the
      last 4 s.  */
   capacity = ENGINES * (c.duration_ms - c.count_from_ms - 4000)
              * wb_capacity_tokens_per_ms () * 69 * 24 / (69 * 24 + 4);
   cr_assert_geq (f->in_time_tokens, 0.95 * capacity);
   cr_assert_leq (wb_values_quantile (&f->refusal_ms, 0.99), 10);
-  cr_assert_leq ((double)f->hops, 0.101 * (double)f->offered);
-  wb_world_free (w);
+  cr_assert_leq ((double)f->retries, 0.101 * (double)f->offered);
+  wb_simulation_free (w);
 }
 
 /* All replicas activate new weights while callers arrive.  */
 Test (load, weight_activation)
 {
   struct wb_case c = base_case ();
-  struct wb_world *w;
+  struct wb_simulation *w;
 
   c.swap_at_ms = 12000;
   expect_all_in_time (&c);
-  w = wb_run (&c, &waxwing_policy, SEED);
-  cr_assert_gt (wb_world_figures (w)->swap_ms, 0);
-  cr_assert_leq (wb_world_figures (w)->swap_ms, 6000);
-  wb_world_free (w);
+  w = wb_simulate (&c, &waxwing_policy, SEED);
+  cr_assert_gt (wb_simulation_figures (w)->swap_ms, 0);
+  cr_assert_leq (wb_simulation_figures (w)->swap_ms, 6000);
+  wb_simulation_free (w);
 }
 
 struct ends
--- a/tests/test_decide_scoring.c
+++ b/tests/test_decide_scoring.c
@@ -38,7 +38,7 @@
   int target; /* -1: none yet */
 };
 
-struct world
+struct fixture
 {
   int targets;
   uint32_t requests_per_s;
@@ -53,7 +53,7 @@
 };
 
 static void
-start_if_slot_is_free (struct world *w, struct work *k, int64_t now_ms)
+start_if_slot_is_free (struct fixture *w, struct work *k, int64_t now_ms)
 {
   if (k->target < 0 || k->started_ms >= 0 || w->running[k->target] >= SLOTS)
     return;
@@ -62,7 +62,7 @@
 }
 
 static void
-end_if_done (struct world *w, struct work *k, int64_t now_ms)
+end_if_done (struct fixture *w, struct work *k, int64_t now_ms)
 {
   if (k->started_ms < 0 || k->elapsed_ms >= 0
       || now_ms - k->started_ms < k->duration_ms)
@@ -72,7 +72,7 @@
 }
 
 static uint32_t
-missing_of (const struct world *w, int group)
+missing_of (const struct fixture *w, int group)
 {
   uint32_t n = 0;
 
@@ -82,7 +82,7 @@
 }
 
 static int
-next_text (const struct world *w, int64_t now_ms)
+next_text (const struct fixture *w, int64_t now_ms)
 {
   struct wy_scoring_candidate best_candidate = { 0 };
   int best = -1;
@@ -104,7 +104,7 @@
 }
 
 static int
-free_target (const struct world *w)
+free_target (const struct fixture *w)
 {
   int limit = SLOTS - WY_SCORING_RESERVED_SLOTS;
   int best = -1;
@@ -117,7 +117,7 @@
 }
 
 static void
-start_scores (struct world *w, int64_t now_ms)
+start_scores (struct fixture *w, int64_t now_ms)
 {
   int i;
 
@@ -135,7 +135,7 @@
 
 /* Requests arrive at regular intervals, at random targets.  */
 static void
-add_requests (struct world *w, int64_t now_ms)
+add_requests (struct fixture *w, int64_t now_ms)
 {
   int due = (int)(now_ms * w->requests_per_s / 1000);
 
@@ -147,7 +147,7 @@
 
 /* Replicas start scores and requests in order of arrival.  */
 static void
-start_waiting (struct world *w, int64_t now_ms)
+start_waiting (struct fixture *w, int64_t now_ms)
 {
   int t = 0;
   int r = 0;
@@ -161,7 +161,7 @@
 }
 
 static void
-simulate (struct world *w, int64_t until_ms)
+simulate (struct fixture *w, int64_t until_ms)
 {
   int64_t within_ms
       = w->complete_within_ms ? w->complete_within_ms : COMPLETE_WITHIN_MS;
@@ -182,7 +182,7 @@
 }
 
 static double
-requests_in_time (const struct world *w, int64_t until_ms)
+requests_in_time (const struct fixture *w, int64_t until_ms)
 {
   int n = 0;
   int in_time = 0;
@@ -199,7 +199,7 @@
 }
 
 static int64_t
-last_score_ms (const struct world *w)
+last_score_ms (const struct fixture *w)
 {
   int64_t last_ms = 0;
 
@@ -216,7 +216,7 @@
 }
 
 static int
-complete_groups (const struct world *w)
+complete_groups (const struct fixture *w)
 {
   int n = 0;
 
@@ -232,13 +232,13 @@
    step must be complete before the next one starts 4 s later.  */
 Test (scoring, all_texts_at_once)
 {
-  static struct world w = { .targets = 4,
-                            .requests_per_s = 40,
-                            .complete_within_ms = AT_ONCE_MS };
-  static struct world unlimited = { .targets = 4,
-                                    .requests_per_s = 40,
-                                    .complete_within_ms = AT_ONCE_MS,
-                                    .all_at_once = true };
+  static struct fixture w = { .targets = 4,
+                              .requests_per_s = 40,
+                              .complete_within_ms = AT_ONCE_MS };
+  static struct fixture unlimited = { .targets = 4,
+                                      .requests_per_s = 40,
+                                      .complete_within_ms = AT_ONCE_MS,
+                                      .all_at_once = true };
 
   simulate (&w, 6000);
   simulate (&unlimited, 6000);
@@ -253,7 +253,7 @@
 /* The same if the texts are completed one after another, as usual.  */
 Test (scoring, with_requests)
 {
-  static struct world w = { .targets = 4, .requests_per_s = 40 };
+  static struct fixture w = { .targets = 4, .requests_per_s = 40 };
 
   simulate (&w, 6000);
   cr_expect_geq (requests_in_time (&w, 5000), 0.99, "%.3f in time",
@@ -266,7 +266,7 @@
    must be complete when it is due.  */
 Test (scoring, with_many_requests)
 {
-  static struct world w = { .targets = 4, .requests_per_s = 480 };
+  static struct fixture w = { .targets = 4, .requests_per_s = 480 };
 
   simulate (&w, 7000);
   cr_expect_geq (requests_in_time (&w, 6000), 0.99, "%.3f in time",
@@ -279,8 +279,8 @@
    be complete as in order of arrival.  */
 Test (scoring, insufficient_replicas)
 {
-  static struct world w = { .targets = 1, .requests_per_s = 5 };
-  static struct world by_arrival
+  static struct fixture w = { .targets = 1, .requests_per_s = 5 };
+  static struct fixture by_arrival
       = { .targets = 1, .requests_per_s = 5, .by_arrival = true };
 
   simulate (&w, 3000);
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "platform/duty_wire.h"
-#include "support/duty_world.h"
+#include "support/duty_fixture.h"
 
 static struct duty_entry a;
 static struct duty_entry b;
@@ -12,13 +12,14 @@
 static void
 start_two_entries (void)
 {
-  duty_world_start ();
-  a = (struct duty_entry){ .may_hold = true, .peer = &b };
+  duty_fixture_start ();
+  a = (struct duty_entry){ .is_candidate = true, .peer = &b };
   b = (struct duty_entry){ .peer = &a };
   duty_entry_start (&a, "a");
   duty_entry_start (&b, "b");
-  cr_assert (platform_world_until (&duty_world, duty_entry_holds, &a));
-  b.may_hold = true;
+  cr_assert (
+      platform_fixture_run_until (&duty_fixture, duty_entry_is_leader, &a));
+  b.is_candidate = true;
 }
 
 static void
@@ -27,7 +28,7 @@
   cr_expect_eq (wy_platform_duties_violations (duty_platform)->len, 0);
   duty_entry_kill (&a);
   duty_entry_kill (&b);
-  duty_world_stop ();
+  duty_fixture_stop ();
 }
 
 Test (usage_counts, windows)
@@ -81,11 +82,12 @@
   int64_t generation;
 
   start_two_entries ();
-  generation = wy_election_generation (a.duties);
-  cr_expect (!duty_entry_holds (&b));
+  generation = wy_election_generation (a.election);
+  cr_expect (!duty_entry_is_leader (&b));
   duty_entry_kill (&a);
-  cr_expect (platform_world_until (&duty_world, duty_entry_holds, &b));
-  cr_expect_gt (wy_election_generation (b.duties), generation);
+  cr_expect (
+      platform_fixture_run_until (&duty_fixture, duty_entry_is_leader, &b));
+  cr_expect_gt (wy_election_generation (b.election), generation);
   stop ();
 }
 
@@ -94,15 +96,15 @@
 Test (duties, leader_suspended)
 {
   start_two_entries ();
-  a.slept_ms += DUTY_LEASE_MS;
-  cr_expect (!duty_entry_holds (&a));
+  a.suspended_ms += DUTY_LEASE_MS;
+  cr_expect (!duty_entry_is_leader (&a));
   stop ();
 }
 
 static bool
 has_leader (void *ctx)
 {
-  return duty_entry_holds (&a) || duty_entry_holds (&b);
+  return duty_entry_is_leader (&a) || duty_entry_is_leader (&b);
 }
 
 /* The leader's machine is replaced during the lease.  The new process has the
@@ -112,13 +114,14 @@
   int64_t generation;
 
   start_two_entries ();
-  generation = wy_election_generation (a.duties);
-  b.may_hold = false;
+  generation = wy_election_generation (a.election);
+  b.is_candidate = false;
   duty_entry_kill (&a);
-  a = (struct duty_entry){ .may_hold = true, .peer = &b };
+  a = (struct duty_entry){ .is_candidate = true, .peer = &b };
   duty_entry_start (&a, "a");
-  cr_expect (platform_world_until (&duty_world, duty_entry_holds, &a));
-  cr_expect_gt (wy_election_generation (a.duties), generation);
+  cr_expect (
+      platform_fixture_run_until (&duty_fixture, duty_entry_is_leader, &a));
+  cr_expect_gt (wy_election_generation (a.election), generation);
   stop ();
 }
 
@@ -128,17 +131,17 @@
   int64_t generation;
 
   start_two_entries ();
-  generation = wy_election_generation (a.duties);
+  generation = wy_election_generation (a.election);
   duty_entry_kill (&a);
   duty_entry_kill (&b);
-  a = (struct duty_entry){ .may_hold = true, .peer = &b };
-  b = (struct duty_entry){ .may_hold = true, .peer = &a };
+  a = (struct duty_entry){ .is_candidate = true, .peer = &b };
+  b = (struct duty_entry){ .is_candidate = true, .peer = &a };
   duty_entry_start (&a, "a");
   duty_entry_start (&b, "b");
-  cr_expect (platform_world_until (&duty_world, has_leader, NULL));
-  cr_expect_gt (
-      wy_election_generation (duty_entry_holds (&a) ? a.duties : b.duties),
-      generation);
+  cr_expect (platform_fixture_run_until (&duty_fixture, has_leader, NULL));
+  cr_expect_gt (wy_election_generation (
+                    duty_entry_is_leader (&a) ? a.election : b.election),
+                generation);
   stop ();
 }
 
@@ -146,10 +149,11 @@
 Test (duties, leader_resigns)
 {
   start_two_entries ();
-  wy_election_resign (a.duties, 0, "test");
-  cr_expect (!duty_entry_holds (&a));
-  cr_expect (platform_world_until (&duty_world, duty_entry_holds, &b));
-  cr_expect (!duty_entry_holds (&a));
+  wy_election_resign (a.election, 0, "test");
+  cr_expect (!duty_entry_is_leader (&a));
+  cr_expect (
+      platform_fixture_run_until (&duty_fixture, duty_entry_is_leader, &b));
+  cr_expect (!duty_entry_is_leader (&a));
   stop ();
 }
 
@@ -183,14 +187,15 @@
   int64_t w;
 
   start_two_entries ();
-  cr_assert (platform_world_until (&duty_world, is_counted, &a));
+  cr_assert (platform_fixture_run_until (&duty_fixture, is_counted, &a));
   wy_usage_end (a.usage, counted_window, "acme", true);
-  cr_assert (platform_world_until (&duty_world, is_counted, &b));
+  cr_assert (platform_fixture_run_until (&duty_fixture, is_counted, &b));
   wy_usage_end (b.usage, counted_window, "acme", true);
   w = wy_usage_begin (b.usage, "acme");
   wy_usage_end (b.usage, w, "acme", false);
-  cr_expect (platform_world_until (&duty_world, acme_is_reported, &wanted));
-  cr_expect (platform_world_until (&duty_world, three_windows, NULL));
+  cr_expect (
+      platform_fixture_run_until (&duty_fixture, acme_is_reported, &wanted));
+  cr_expect (platform_fixture_run_until (&duty_fixture, three_windows, NULL));
   stop ();
 }
 
@@ -200,10 +205,11 @@
   int wanted = 1;
 
   start_two_entries ();
-  cr_assert (platform_world_until (&duty_world, is_counted, &b));
-  platform_world_run_ms (&duty_world, DUTY_WINDOW_MS / 4);
+  cr_assert (platform_fixture_run_until (&duty_fixture, is_counted, &b));
+  platform_fixture_run_ms (&duty_fixture, DUTY_WINDOW_MS / 4);
   duty_entry_kill (&b);
-  cr_expect (platform_world_until (&duty_world, acme_is_reported, &wanted));
+  cr_expect (
+      platform_fixture_run_until (&duty_fixture, acme_is_reported, &wanted));
   stop ();
 }
 
@@ -219,10 +225,11 @@
   f->respond_503 = 1;
   f->respond_429 = 1;
   f->lose_response = 1;
-  wy_platform_store_faults (duty_world.store)->lose_response = 2;
-  cr_assert (platform_world_until (&duty_world, is_counted, &a));
+  wy_platform_store_faults (duty_fixture.store)->lose_response = 2;
+  cr_assert (platform_fixture_run_until (&duty_fixture, is_counted, &a));
   wy_usage_end (a.usage, counted_window, "acme", true);
-  cr_expect (platform_world_until (&duty_world, acme_is_reported, &wanted));
+  cr_expect (
+      platform_fixture_run_until (&duty_fixture, acme_is_reported, &wanted));
   stop ();
 }
 
@@ -234,17 +241,18 @@
   char part[32];
 
   start_two_entries ();
-  cr_assert (platform_world_until (&duty_world, three_windows, NULL));
+  cr_assert (platform_fixture_run_until (&duty_fixture, three_windows, NULL));
   /* Counts that arrive too late for their windows.  */
   for (int64_t k = wy_usage_begin (b.usage, "x") - 6, n = 0; n < 6; n++)
     {
       snprintf (part, sizeof part, "%lld", (long long)k + n);
-      wy_platform_store_put (duty_world.store, "wy-usage", part, "z/1",
+      wy_platform_store_put (duty_fixture.store, "wy-usage", part, "z/1",
                              "{\"late\":9}");
     }
   duty_entry_kill (&a);
-  cr_expect (platform_world_until (&duty_world, duty_entry_holds, &b));
-  platform_world_run_ms (&duty_world, 2L * DUTY_WINDOW_MS);
+  cr_expect (
+      platform_fixture_run_until (&duty_fixture, duty_entry_is_leader, &b));
+  platform_fixture_run_ms (&duty_fixture, 2L * DUTY_WINDOW_MS);
   stop ();
 }
 
@@ -254,7 +262,8 @@
 {
   start_two_entries ();
   wy_platform_duties_faults (duty_platform)->silent = true;
-  cr_expect (platform_world_until (&duty_world, duty_entry_holds, &b));
+  cr_expect (
+      platform_fixture_run_until (&duty_fixture, duty_entry_is_leader, &b));
   stop ();
 }
 
@@ -264,14 +273,15 @@
   struct wy_h1_header fields[] = { { "Host", "p" },
                                    { "Duty-Holder", holder },
                                    { "Fencing-Token", generation } };
-  struct platform_answer *p = platform_world_call (
-      &duty_world, wy_platform_duties_port (duty_platform), "POST", "/usage",
+  struct platform_response *p = platform_fixture_call (
+      &duty_fixture, wy_platform_duties_port (duty_platform), "POST", "/usage",
       fields, G_N_ELEMENTS (fields), body);
   int status;
 
-  cr_assert (platform_world_until (&duty_world, platform_answer_done, p));
+  cr_assert (
+      platform_fixture_run_until (&duty_fixture, platform_response_done, p));
   status = p->status;
-  platform_answer_free (p);
+  platform_response_free (p);
   return status;
 }
 
@@ -280,7 +290,7 @@
 {
   const GPtrArray *v;
 
-  duty_world_start ();
+  duty_fixture_start ();
   v = wy_platform_duties_violations (duty_platform);
   cr_expect_eq (
       call_platform ("a", "2", "{\"window\":1,\"counts\":{\"x\":1}}"), 200);
@@ -295,5 +305,5 @@
   cr_expect_eq (v->len, 3);
   cr_expect_eq (call_platform ("b", "3", "{\"window\":-1,\"counts\":{}}"),
                 400);
-  duty_world_stop ();
+  duty_fixture_stop ();
 }
--- a/tests/test_entry_at_most_once.c
+++ b/tests/test_entry_at_most_once.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/entry_world.h"
+#include "support/entry_fixture.h"
 
 static const struct wy_http_header_field filing[]
     = { { "waxwing-idempotent", "no" },
@@ -12,14 +12,14 @@
     = { { "waxwing-idempotent", "no" } };
 
 static void
-file (struct caller *c, struct world *w)
+file (struct caller *c, struct fixture *w)
 {
   call_start (c, w, "POST", "/services/portal/filings", filing,
               G_N_ELEMENTS (filing), "{}");
 }
 
 static uint32_t
-submits (const struct world *w)
+submits (const struct fixture *w)
 {
   uint32_t n = 0;
 
@@ -29,7 +29,7 @@
 }
 
 static struct fake_agent *
-home (struct world *w)
+home (struct fixture *w)
 {
   for (uint32_t i = 0; i < w->agents; i++)
     if (w->agent[i].submits)
@@ -54,7 +54,8 @@
 {
   call_wait (c);
   cr_assert_geq (c->status, 500);
-  cr_assert (call_says (c, "\"ran\":\"unknown\""), "%s", c->body->str);
+  cr_assert (call_body_contains (c, "\"ran\":\"unknown\""), "%s",
+             c->body->str);
   cr_assert_not_null (c->retry_after);
 }
 
@@ -62,10 +63,10 @@
    only one that can know whether it ran.  */
 Test (entry_once, resends_meet_the_same_target)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 5; i++)
     {
       file (&c, &w);
@@ -78,7 +79,7 @@
   cr_assert_str_eq (home (&w)->last_id, "portal:f-17");
   cr_assert (home (&w)->last.non_idempotent);
   cr_assert_eq (home (&w)->last.issued_ms, 1700000000000);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The target dies after it took the filing and before it answered.  Whether
@@ -86,35 +87,35 @@
    it twice, and so would another target.  */
 Test (entry_once, home_lost_after_it_took_the_request)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
   file (&c, &w);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   fake_agent_stop (home (&w));
   expect_unknown (&c);
   cr_assert_eq (submits (&w), 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The same, but the target's agent is back at once as a new incarnation that
    remembers nothing.  It must not be given the filing anew.  */
 Test (entry_once, home_back_as_a_new_incarnation)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
   struct fake_agent again = { 0 };
   struct fake_agent *first;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
   file (&c, &w);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   first = home (&w);
   fake_agent_stop (first);
   fake_agent_start (&again, &w.loop, first->name, "second", first->port);
@@ -123,7 +124,7 @@
   cr_assert_eq (submits (&w), 1);
   call_free (&c);
   fake_agent_stop (&again);
-  world_end (&w);
+  fixture_stop (&w);
   fake_agent_free (&again);
 }
 
@@ -132,17 +133,17 @@
    a filing without a key can't have been, and goes to another member.  */
 Test (entry_once, home_away)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
   struct fake_agent *lost;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   file (&c, &w);
   call_wait (&c);
   call_free (&c);
   lost = home (&w);
   fake_agent_stop (lost);
-  world_wait_ms (&w, 100);
+  fixture_run_ms (&w, 100);
   file (&c, &w);
   expect_unknown (&c);
   call_free (&c);
@@ -155,29 +156,29 @@
       call_free (&c);
     }
   cr_assert_eq (lost->submits, 1);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The connection to the home goes silent after it took the filing.  The
    answer is learnt on the next connection, and the filing runs once.  */
 Test (entry_once, answer_learnt_after_silence)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
   file (&c, &w);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   for (int i = 0; i < 3; i++)
-    relay_silence (w.relay[i], true, true);
+    relay_discard (w.relay[i], true, true);
   call_wait (&c);
   cr_assert_eq (c.status, 200, "%s", c.body->str);
   cr_assert_str_eq (c.body->str, "done");
   cr_assert_eq (submits (&w), 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The connection swallows the filing itself on its way to the home.  The home,
@@ -185,18 +186,18 @@
    so it may be given to it again; it runs once.  */
 Test (entry_once, request_swallowed_on_the_way)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
-    relay_silence (w.relay[i], true, false);
+    relay_discard (w.relay[i], true, false);
   file (&c, &w);
   call_wait (&c);
   cr_assert_eq (c.status, 200, "%s", c.body->str);
   cr_assert_eq (submits (&w), 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The answer of a filing may be lost between entry and caller.  Until the
@@ -204,21 +205,21 @@
    a request without a key can't be asked for and is let go at once.  */
 Test (entry_once, answer_is_kept_for_a_resend)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   file (&c, &w);
   call_wait (&c);
   call_free (&c);
-  world_wait_ms (&w, 50);
+  fixture_run_ms (&w, 50);
   cr_assert_eq (home (&w)->acks, 0);
   call_start (&c, &w, "POST", "/services/portal/filings", keyless, 1, "{}");
   call_wait (&c);
   call_free (&c);
-  world_wait_ms (&w, 50);
+  fixture_run_ms (&w, 50);
   cr_assert_eq (w.agent[0].acks + w.agent[1].acks + w.agent[2].acks, 1);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 static void
@@ -226,7 +227,7 @@
 {
   char *id = wy_bytes_dup (f->u.submit.id);
 
-  fake_refuse (a, id, WY_RAN_NO, WY_REFUSED_BUSY, 1500);
+  fake_send_refused (a, id, WY_RAN_NO, WY_REFUSED_BUSY, 1500);
   g_free (id);
 }
 
@@ -234,21 +235,21 @@
    on, and no other target is asked.  */
 Test (entry_once, refusal_of_the_home)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = refuse;
   file (&c, &w);
   call_wait (&c);
   cr_assert_eq (c.status, 503);
-  cr_assert (call_says (&c, "\"ran\":\"no\""), "%s", c.body->str);
-  cr_assert (call_says (&c, "\"reason\":\"busy\""));
+  cr_assert (call_body_contains (&c, "\"ran\":\"no\""), "%s", c.body->str);
+  cr_assert (call_body_contains (&c, "\"reason\":\"busy\""));
   cr_assert_str_eq (c.retry_after, "2");
   cr_assert_eq (submits (&w), 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* An impatient caller sends the filing again while it still runs.  Both
@@ -256,26 +257,26 @@
    is told that the key is taken.  */
 Test (entry_once, sent_again_while_it_runs)
 {
-  struct world w;
+  struct fixture w;
   struct caller first;
   struct caller second;
   struct caller other;
   struct fake_run *r;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
   file (&first, &w);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   file (&second, &w);
   call_start (&other, &w, "POST", "/services/portal/filings", filing,
               G_N_ELEMENTS (filing), "{\"other\":1}");
   call_wait (&other);
   cr_assert_eq (other.status, 422);
   r = g_hash_table_lookup (home (&w)->runs, "portal:f-17");
-  fake_head (home (&w), r, 200, "text/plain");
-  fake_chunk (home (&w), r, 0, 4);
-  fake_end (home (&w), r, WY_RUN_DONE);
+  fake_send_head (home (&w), r, 200, "text/plain");
+  fake_send_chunk (home (&w), r, 0, 4);
+  fake_send_end (home (&w), r, WY_RUN_DONE);
   call_wait (&first);
   call_wait (&second);
   cr_assert_str_eq (first.body->str, "done");
@@ -284,60 +285,60 @@
   call_free (&first);
   call_free (&second);
   call_free (&other);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The caller of a filing goes away while it runs.  Cancelling it halfway would
    leave nobody knowing how far it got, so it goes on.  */
 Test (entry_once, caller_gone)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
   file (&c, &w);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   wy_http_call_cancel (c.call);
-  world_wait_ms (&w, 800);
+  fixture_run_ms (&w, 800);
   cr_assert_eq (home (&w)->cancels, 0);
-  cr_assert_eq (world_events (&w, "request.abandoned"), 1);
+  cr_assert_eq (fixture_count_events (&w, "request.abandoned"), 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The caller of a filing loses its connection while the answer arrives, and
    sends the filing again.  It must get the whole answer of the one run.  */
 Test (entry_once, caller_gone_and_back)
 {
-  struct world w;
+  struct fixture w;
   struct caller first;
   struct caller again;
   struct fake_run *r;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
   file (&first, &w);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   wy_http_call_cancel (first.call);
-  world_wait_ms (&w, 700);
+  fixture_run_ms (&w, 700);
   r = g_hash_table_lookup (home (&w)->runs, "portal:f-17");
-  fake_head (home (&w), r, 200, "text/plain");
-  fake_chunk (home (&w), r, 0, 2);
-  world_wait_ms (&w, 50);
+  fake_send_head (home (&w), r, 200, "text/plain");
+  fake_send_chunk (home (&w), r, 0, 2);
+  fixture_run_ms (&w, 50);
   file (&again, &w);
-  world_wait_ms (&w, 50);
-  fake_chunk (home (&w), r, 2, 4);
-  fake_end (home (&w), r, WY_RUN_DONE);
+  fixture_run_ms (&w, 50);
+  fake_send_chunk (home (&w), r, 2, 4);
+  fake_send_end (home (&w), r, WY_RUN_DONE);
   call_wait (&again);
   cr_assert_eq (again.status, 200, "%s", again.body->str);
   cr_assert_str_eq (again.body->str, "done");
   cr_assert_eq (submits (&w), 1);
   call_free (&first);
   call_free (&again);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 static void
@@ -356,27 +357,28 @@
    of its filing.  The home knows.  */
 Test (entry_once, outcome_by_identifier)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, true);
+  fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_query = tell_done;
   call_start (&c, &w, "GET", "/v1/requests/portal:f-17", NULL, 0, "");
   call_wait (&c);
   cr_assert_eq (c.status, 200);
-  cr_assert (call_says (&c, "\"state\":\"done\""), "%s", c.body->str);
-  cr_assert (call_says (&c, "\"ran\":\"yes\""));
+  cr_assert (call_body_contains (&c, "\"state\":\"done\""), "%s", c.body->str);
+  cr_assert (call_body_contains (&c, "\"ran\":\"yes\""));
   call_free (&c);
   for (int i = 0; i < 3; i++)
     {
       w.agent[i].on_query = NULL;
       fake_agent_stop (&w.agent[i]);
     }
-  world_wait_ms (&w, 50);
+  fixture_run_ms (&w, 50);
   call_start (&c, &w, "GET", "/v1/requests/portal:f-18", NULL, 0, "");
   call_wait (&c);
-  cr_assert (call_says (&c, "\"ran\":\"unknown\""), "%s", c.body->str);
+  cr_assert (call_body_contains (&c, "\"ran\":\"unknown\""), "%s",
+             c.body->str);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
--- a/tests/test_entry_issue_times.c
+++ b/tests/test_entry_issue_times.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/proc_yard.h"
+#include "support/deployment.h"
 
 #define FILINGS "/services/portal/filings"
 
@@ -18,19 +18,20 @@
         { NULL, NULL } };
 
 static char *
-file (const struct proc_yard *y, uint32_t entry, int *status)
+file (const struct test_deployment *y, uint32_t entry, int *status)
 {
-  return proc_yard_call (y, entry, FILINGS, "{\"key\":\"f\",\"value\":1}",
-                         headers, status);
+  return deployment_post (y, entry, FILINGS, "{\"key\":\"f\",\"value\":1}",
+                          headers, status);
 }
 
 static size_t
-executions (const struct proc_yard *y)
+executions (const struct test_deployment *y)
 {
   size_t n = 0;
 
-  for (int i = 0; i < YARD_TARGETS; i++)
-    n += proc_yard_count (y, YARD_SERVICE + i, "service.executed");
+  for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
+    n += deployment_count_events (y, DEPLOYMENT_SERVICE + i,
+                                  "service.executed");
   return n;
 }
 
@@ -39,13 +40,13 @@
    entry.  It expects to be served, once.  */
 Test (entry_keys, plain_key_on_a_fresh_yard, .timeout = 120)
 {
-  struct proc_yard y;
+  struct test_deployment y;
   int status;
   char *text;
 
-  proc_yard_start (&y);
+  deployment_start (&y);
   wy_sleep_ms (SETTLE_MS);
-  for (uint32_t i = 0; i < YARD_ENTRIES; i++)
+  for (uint32_t i = 0; i < DEPLOYMENT_ENTRIES; i++)
     {
       text = file (&y, i, &status);
       cr_expect_eq (status, 200, "entry %u: %s", i, text);
@@ -53,7 +54,7 @@
       g_free (text);
     }
   cr_expect_eq (executions (&y), 1);
-  proc_yard_end (&y);
+  deployment_stop_and_check (&y);
 }
 
 /* The agent that ran the filing dies with its memory and is started again.
@@ -62,29 +63,30 @@
    record the filing twice.  */
 Test (entry_keys, plain_key_after_its_target_was_restarted, .timeout = 120)
 {
-  struct proc_yard y;
+  struct test_deployment y;
   int status;
   char *text;
 
-  proc_yard_start (&y);
+  deployment_start (&y);
   wy_sleep_ms (SETTLE_MS);
   text = file (&y, 0, &status);
   cr_assert_eq (status, 200, "%s", text);
   g_free (text);
-  for (int i = 0; i < YARD_TARGETS; i++)
-    if (proc_yard_count (&y, YARD_SERVICE + i, "service.executed"))
+  for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
+    if (deployment_count_events (&y, DEPLOYMENT_SERVICE + i,
+                                 "service.executed"))
       {
-        proc_yard_kill (&y, YARD_SERVICE_AGENT + i);
-        proc_yard_restart_agent (&y, i);
+        deployment_kill (&y, DEPLOYMENT_SERVICE_AGENT + i);
+        deployment_restart_agent (&y, i);
       }
-  proc_yard_ready (&y, 1);
+  deployment_wait_ready (&y, 1);
   wy_sleep_ms (SETTLE_MS);
   text = file (&y, 1, &status);
   cr_expect_eq (status, 409, "%s", text);
   cr_expect (strstr (text, "\"ran\":\"unknown\""), "%s", text);
   g_free (text);
   cr_expect_eq (executions (&y), 1);
-  proc_yard_end (&y);
+  deployment_stop_and_check (&y);
 }
 
 /* The table service is down, so the key gets no issue time.  The filing must
@@ -92,17 +94,18 @@
    be called `not run' where it has not.  */
 Test (entry_keys, plain_key_while_the_store_is_down, .timeout = 120)
 {
-  struct proc_yard y;
+  struct test_deployment y;
   int status;
   char *text;
 
-  proc_yard_start (&y);
+  deployment_start (&y);
   wy_sleep_ms (SETTLE_MS);
-  proc_yard_fault (&y, YARD_TABLE, "{\"fault\":\"down\",\"for_ms\":600000}");
+  deployment_inject_fault (&y, DEPLOYMENT_TABLE,
+                           "{\"fault\":\"down\",\"for_ms\":600000}");
   text = file (&y, 0, &status);
   cr_expect_eq (status, 409, "%s", text);
   cr_expect (strstr (text, "\"ran\":\"unknown\""), "%s", text);
   cr_expect_eq (executions (&y), 0);
   g_free (text);
-  proc_yard_end (&y);
+  deployment_stop_and_check (&y);
 }
