--- a/tests/test_entry_processes.c
+++ b/tests/test_entry_processes.c
@@ -8,29 +8,31 @@
 #include <unistd.h>
 
 #include "base/clock.h"
-#include "support/proc_yard.h"
+#include "support/deployment.h"
 
 #define COMPLETIONS "/v1/completions"
 #define FILINGS "/services/portal/filings"
 
 static char *
-complete (struct proc_yard *y, uint32_t entry, const char *prompt, int *status)
+complete (struct test_deployment *y, uint32_t entry, const char *prompt,
+          int *status)
 {
   char *body = g_strdup_printf (
       "{\"model\":\"m\",\"prompt\":\"%s\",\"max_tokens\":4}", prompt);
-  char *text = proc_yard_call (y, entry, COMPLETIONS, body, NULL, status);
+  char *text = deployment_post (y, entry, COMPLETIONS, body, NULL, status);
 
   g_free (body);
   return text;
 }
 
 static size_t
-engines_lost (const struct proc_yard *y)
+engines_lost (const struct test_deployment *y)
 {
   size_t lost = 0;
 
-  for (int i = 0; i < YARD_TARGETS; i++)
-    lost += proc_yard_count (y, YARD_MODEL_AGENT + i, "target.down");
+  for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
+    lost += deployment_count_events (y, DEPLOYMENT_MODEL_AGENT + i,
+                                     "target.down");
   return lost;
 }
 
@@ -39,17 +41,17 @@
    third, and other callers are still answered.  */
 Test (entry_procs, request_that_crashes_engines, .timeout = 120)
 {
-  struct proc_yard y;
+  struct test_deployment y;
   int status;
   char *text;
 
-  proc_yard_start (&y);
-  for (int i = 0; i < YARD_TARGETS; i++)
-    proc_yard_fault (&y, YARD_ENGINE + i,
-                     "{\"fault\":\"crash_on\",\"value\":\"POISON\"}");
+  deployment_start (&y);
+  for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
+    deployment_inject_fault (&y, DEPLOYMENT_ENGINE + i,
+                             "{\"fault\":\"crash_on\",\"value\":\"POISON\"}");
   for (uint32_t i = 0; i < 4; i++)
     {
-      text = complete (&y, i % YARD_ENTRIES, "POISON", &status);
+      text = complete (&y, i % DEPLOYMENT_ENTRIES, "POISON", &status);
       cr_expect_geq (status, 500);
       cr_expect (strstr (text, "\"reason\":\"suspect\""), "%s", text);
       g_free (text);
@@ -59,29 +61,30 @@
   text = complete (&y, 1, "harmless", &status);
   cr_expect_eq (status, 200, "%s", text);
   g_free (text);
-  proc_yard_end (&y);
+  deployment_stop_and_check (&y);
 }
 
 /* The table service is down.  Callers must notice nothing, and an entry that
    is started meanwhile learns the configuration from the agents.  */
 Test (entry_procs, store_outage, .timeout = 120)
 {
-  struct proc_yard y;
+  struct test_deployment y;
   int status;
   char *text;
 
-  proc_yard_start (&y);
-  proc_yard_fault (&y, YARD_TABLE, "{\"fault\":\"down\",\"for_ms\":600000}");
-  proc_yard_kill (&y, YARD_ENTRY + 1);
-  proc_yard_start_entry (&y, 1);
-  proc_yard_ready (&y, 1);
-  for (uint32_t i = 0; i < YARD_ENTRIES; i++)
+  deployment_start (&y);
+  deployment_inject_fault (&y, DEPLOYMENT_TABLE,
+                           "{\"fault\":\"down\",\"for_ms\":600000}");
+  deployment_kill (&y, DEPLOYMENT_ENTRY + 1);
+  deployment_start_entry (&y, 1);
+  deployment_wait_ready (&y, 1);
+  for (uint32_t i = 0; i < DEPLOYMENT_ENTRIES; i++)
     {
       text = complete (&y, i, "hello", &status);
       cr_expect_eq (status, 200, "%s", text);
       g_free (text);
     }
-  proc_yard_end (&y);
+  deployment_stop_and_check (&y);
 }
 
 /* A filing was carried out and its answer lost with the entry that passed it
@@ -89,7 +92,7 @@
    answer of the one execution.  */
 Test (entry_procs, entry_killed_after_a_filing, .timeout = 120)
 {
-  struct proc_yard y;
+  struct test_deployment y;
   char issued[24];
   const struct wy_http_header_field headers[]
       = { { "waxwing-idempotent", "no" },
@@ -100,25 +103,26 @@
   int status;
   char *text;
 
-  proc_yard_start (&y);
+  deployment_start (&y);
   /* Past the time for which new agents can't vouch.  */
   wy_sleep_ms (1500);
   g_snprintf (issued, sizeof issued, "%lld",
               (long long)wy_clock_wall_ms (wy_clock_system ()));
-  text = proc_yard_call (&y, 0, FILINGS, "{\"key\":\"f-1\",\"value\":1}",
-                         headers, &status);
+  text = deployment_post (&y, 0, FILINGS, "{\"key\":\"f-1\",\"value\":1}",
+                          headers, &status);
   cr_expect_eq (status, 200, "%s", text);
   g_free (text);
-  proc_yard_kill (&y, YARD_ENTRY);
-  text = proc_yard_call (&y, 1, FILINGS, "{\"key\":\"f-1\",\"value\":1}",
-                         headers, &status);
+  deployment_kill (&y, DEPLOYMENT_ENTRY);
+  text = deployment_post (&y, 1, FILINGS, "{\"key\":\"f-1\",\"value\":1}",
+                          headers, &status);
   cr_expect_eq (status, 200, "%s", text);
   cr_expect (strstr (text, "\"executions\":1"), "%s", text);
   g_free (text);
-  for (int i = 0; i < YARD_TARGETS; i++)
-    executions += proc_yard_count (&y, YARD_SERVICE + i, "service.executed");
+  for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
+    executions += deployment_count_events (&y, DEPLOYMENT_SERVICE + i,
+                                           "service.executed");
   cr_expect_eq (executions, 1);
-  proc_yard_end (&y);
+  deployment_stop_and_check (&y);
 }
 
 static void
@@ -141,19 +145,19 @@
 {
   static const char body[] = "{\"model\":\"m\",\"prompt\":\"hello\","
                              "\"max_tokens\":30,\"stream\":true}";
-  struct proc_yard y;
+  struct test_deployment y;
   char *request = g_strdup_printf ("POST /v1/completions HTTP/1.1\r\n"
                                    "Content-Length: %zu\r\n\r\n%s",
                                    strlen (body), body);
   int status;
   char *text;
 
-  proc_yard_start (&y);
+  deployment_start (&y);
   for (uint32_t i = 0; i < 60; i++)
     send_and_hang_up (y.entry[0], request, i);
   text = complete (&y, 0, "hello", &status);
   cr_expect_eq (status, 200, "%s", text);
   g_free (text);
   g_free (request);
-  proc_yard_end (&y);
+  deployment_stop_and_check (&y);
 }
--- a/tests/test_entry_streams.c
+++ b/tests/test_entry_streams.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/entry_world.h"
+#include "support/entry_fixture.h"
 
 #define STREAM                                                                \
   "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":4,\"stream\":true}"
@@ -28,13 +28,13 @@
 static void
 send_part (struct fake_agent *a, const struct wy_frame *f)
 {
-  char *events = fake_events ("run-1", TOKENS);
+  char *events = fake_event_stream ("run-1", TOKENS);
   struct fake_run *r = fake_accept (a, f, "run-1", events);
 
   if (moment != BEFORE)
     {
-      fake_head (a, r, 200, "text/event-stream");
-      fake_chunk (a, r, 0, bytes_at (r));
+      fake_send_head (a, r, 200, "text/event-stream");
+      fake_send_chunk (a, r, 0, bytes_at (r));
     }
   g_free (events);
 }
@@ -43,7 +43,7 @@
 part_is_there (void *ctx)
 {
   struct caller *c = ctx;
-  char *events = fake_events ("run-1", TOKENS);
+  char *events = fake_event_stream ("run-1", TOKENS);
   size_t n = strlen (events);
 
   g_free (events);
@@ -71,18 +71,18 @@
    of the one run, and nobody may run it again.  */
 Test (entry_streams, connection_gone_silent)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
-  char *events = fake_events ("run-1", TOKENS);
+  char *events = fake_event_stream ("run-1", TOKENS);
 
   for (size_t i = 0; i < G_N_ELEMENTS (silences); i++)
     {
       moment = silences[i].moment;
-      world_start (&w, 1, false);
+      fixture_start (&w, 1, false);
       w.agent[0].on_submit = send_part;
       call_start (&c, &w, "POST", "/v1/completions", NULL, 0, STREAM);
-      world_run (&w, part_is_there, &c);
-      relay_silence (w.relay[0], silences[i].from_entry,
+      fixture_run_until (&w, part_is_there, &c);
+      relay_discard (w.relay[0], silences[i].from_entry,
                      silences[i].from_agent);
       call_wait (&c);
       cr_assert_eq (c.err, 0, "case %zu", i);
@@ -90,7 +90,7 @@
       cr_assert_eq (w.agent[0].submits, 1, "case %zu", i);
       cr_assert_geq (w.agent[0].resumes, 1, "case %zu", i);
       call_free (&c);
-      world_end (&w);
+      fixture_stop (&w);
     }
   g_free (events);
 }
@@ -98,19 +98,19 @@
 static void
 send_in_disorder (struct fake_agent *a, const struct wy_frame *f)
 {
-  char *events = fake_events ("run-1", TOKENS);
+  char *events = fake_event_stream ("run-1", TOKENS);
   struct fake_run *r = fake_accept (a, f, "run-1", events);
   struct fake_run other = { r->id, "run-0", r->body, false };
 
-  fake_head (a, r, 200, "text/event-stream");
-  fake_chunk (a, r, 0, 20);
-  fake_chunk (a, r, 0, 20);
-  fake_chunk (a, &other, 20, 40);
-  fake_chunk (a, r, 10, 30);
-  fake_chunk (a, r, 50, 60);
-  fake_chunk (a, r, 40, 50);
-  fake_end (a, &other, WY_RUN_CRASHED);
-  fake_end (a, r, WY_RUN_DONE);
+  fake_send_head (a, r, 200, "text/event-stream");
+  fake_send_chunk (a, r, 0, 20);
+  fake_send_chunk (a, r, 0, 20);
+  fake_send_chunk (a, &other, 20, 40);
+  fake_send_chunk (a, r, 10, 30);
+  fake_send_chunk (a, r, 50, 60);
+  fake_send_chunk (a, r, 40, 50);
+  fake_send_end (a, &other, WY_RUN_CRASHED);
+  fake_send_end (a, r, WY_RUN_DONE);
   g_free (events);
 }
 
@@ -119,11 +119,11 @@
    byte of its run once and in order.  */
 Test (entry_streams, chunks_twice_early_and_of_another_run)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
-  char *events = fake_events ("run-1", TOKENS);
+  char *events = fake_event_stream ("run-1", TOKENS);
 
-  world_start (&w, 1, false);
+  fixture_start (&w, 1, false);
   w.agent[0].on_submit = send_in_disorder;
   call_start (&c, &w, "POST", "/v1/completions", NULL, 0, STREAM);
   call_wait (&c);
@@ -132,11 +132,11 @@
   cr_assert_eq (w.agent[0].submits, 1);
   g_free (events);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 static uint32_t
-submits (const struct world *w)
+submits (const struct fixture *w)
 {
   uint32_t n = 0;
 
@@ -152,7 +152,7 @@
 }
 
 static uint32_t
-holder (const struct world *w)
+holder (const struct fixture *w)
 {
   return w->agent[0].submits ? 0 : 1;
 }
@@ -160,17 +160,17 @@
 /* Two agents; the one that got the request sends half of the answer and dies
    for good.  */
 static void
-lose_the_target (struct world *w, struct caller *c, const char *body)
+lose_the_target (struct fixture *w, struct caller *c, const char *body)
 {
   uint32_t i;
 
   moment = DURING;
-  world_start (w, 2, false);
+  fixture_start (w, 2, false);
   w->agent[0].on_submit = send_part;
   w->agent[1].on_submit = send_part;
   call_start (c, w, "POST", "/v1/completions", NULL, 0, body);
-  world_run (w, submitted, w);
-  world_wait_ms (w, 50);
+  fixture_run_until (w, submitted, w);
+  fixture_run_ms (w, 50);
   i = holder (w);
   w->agent[1 - i].on_submit = NULL;
   fake_agent_stop (&w->agent[i]);
@@ -182,58 +182,59 @@
    another target.  */
 Test (entry_streams, target_lost_in_a_whole_answer)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
   lose_the_target (&w, &c, WHOLE);
   cr_assert_eq (c.status, 200, "%s", c.body->str);
   cr_assert_eq (submits (&w), 2);
-  cr_assert (call_says (&c, "\"text\":\"t0 t1 \""), "%s", c.body->str);
-  cr_assert_not (call_says (&c, "run-1"));
+  cr_assert (call_body_contains (&c, "\"text\":\"t0 t1 \""), "%s",
+             c.body->str);
+  cr_assert_not (call_body_contains (&c, "run-1"));
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The same while a stream is under way.  What the caller has seen can't be
    gone on with by another run; it must see that the answer is not whole.  */
 Test (entry_streams, target_lost_in_a_stream)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
   lose_the_target (&w, &c, STREAM);
   cr_assert_neq (c.err, 0);
-  cr_assert (call_says (&c, "event: error"), "%s", c.body->str);
-  cr_assert (call_says (&c, "\"ran\":\"unknown\""));
+  cr_assert (call_body_contains (&c, "event: error"), "%s", c.body->str);
+  cr_assert (call_body_contains (&c, "\"ran\":\"unknown\""));
   cr_assert_eq (submits (&w), 1);
-  cr_assert_eq (world_events (&w, "request.broken"), 1);
+  cr_assert_eq (fixture_count_events (&w, "request.broken"), 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 static bool
 cancelled (void *ctx)
 {
-  return ((struct world *)ctx)->agent[0].cancels == 1;
+  return ((struct fixture *)ctx)->agent[0].cancels == 1;
 }
 
 /* A caller closes its connection in the middle of a stream.  The target must
    be told, or it would go on generating for nobody.  */
 Test (entry_streams, caller_gone)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
   moment = DURING;
-  world_start (&w, 1, false);
+  fixture_start (&w, 1, false);
   w.agent[0].on_submit = send_part;
   call_start (&c, &w, "POST", "/v1/completions", NULL, 0, STREAM);
-  world_run (&w, part_is_there, &c);
+  fixture_run_until (&w, part_is_there, &c);
   wy_http_call_cancel (c.call);
-  world_run (&w, cancelled, &w);
-  cr_assert_eq (world_events (&w, "request.abandoned"), 1);
+  fixture_run_until (&w, cancelled, &w);
+  cr_assert_eq (fixture_count_events (&w, "request.abandoned"), 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 enum
@@ -249,7 +250,7 @@
 
   g_string_set_size (r->body, (gsize)FLOOD_BYTES * FLOOD_MAX);
   memset (r->body->str, 'x', r->body->len);
-  fake_head (a, r, 200, "text/event-stream");
+  fake_send_head (a, r, 200, "text/event-stream");
 }
 
 static void
@@ -261,7 +262,7 @@
 static bool
 nobody_served (void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
   GString *metrics = g_string_new (NULL);
   bool none;
 
@@ -275,7 +276,7 @@
    before its answer fills the entry's memory, and its target be told.  */
 Test (entry_streams, caller_that_does_not_read)
 {
-  struct world w;
+  struct fixture w;
   uv_tcp_t tcp;
   uv_connect_t connect;
   uv_write_t write;
@@ -287,24 +288,24 @@
   const struct fake_run *r;
   size_t sent = 0;
 
-  world_start (&w, 1, false);
+  fixture_start (&w, 1, false);
   w.agent[0].on_submit = begin_flood;
   uv_tcp_init (&w.loop, &tcp);
   uv_ip4_addr ("127.0.0.1", wy_entry_port (w.entry), &a);
   uv_tcp_connect (&connect, &tcp, (struct sockaddr *)&a, on_connected);
   uv_write (&write, (uv_stream_t *)&tcp, &buf, 1, NULL);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   r = g_hash_table_lookup (w.agent[0].runs, w.agent[0].last_id);
   for (; sent < FLOOD_MAX && w.agent[0].cancels == 0; sent++)
     {
-      fake_chunk (&w.agent[0], r, sent * FLOOD_BYTES,
-                  (sent + 1) * FLOOD_BYTES);
-      world_wait_ms (&w, 10);
+      fake_send_chunk (&w.agent[0], r, sent * FLOOD_BYTES,
+                       (sent + 1) * FLOOD_BYTES);
+      fixture_run_ms (&w, 10);
     }
   cr_assert_eq (w.agent[0].cancels, 1);
   cr_assert_lt (sent, FLOOD_MAX);
-  world_run (&w, nobody_served, &w);
+  fixture_run_until (&w, nobody_served, &w);
   uv_close ((uv_handle_t *)&tcp, NULL);
-  world_end (&w);
+  fixture_stop (&w);
   g_free (request);
 }
--- a/tests/test_entry_targets.c
+++ b/tests/test_entry_targets.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/entry_world.h"
+#include "support/entry_fixture.h"
 
 #define WHOLE "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":2}"
 
@@ -12,13 +12,13 @@
     = { { "authorization", "Bearer tr" } };
 
 static void
-complete (struct caller *c, struct world *w)
+complete (struct caller *c, struct fixture *w)
 {
   call_start (c, w, "POST", "/v1/completions", NULL, 0, WHOLE);
 }
 
 static uint32_t
-submits (const struct world *w)
+submits (const struct fixture *w)
 {
   uint32_t n = 0;
 
@@ -32,7 +32,7 @@
 {
   char *id = wy_bytes_dup (f->u.submit.id);
 
-  fake_refuse (a, id, WY_RAN_NO, WY_REFUSED_BUSY, 1500);
+  fake_send_refused (a, id, WY_RAN_NO, WY_REFUSED_BUSY, 1500);
   g_free (id);
 }
 
@@ -42,17 +42,17 @@
   if (submits (a->test) == 1)
     refuse (a, f);
   else
-    fake_answer (a, f);
+    fake_send_response (a, f);
 }
 
 /* A target is full and refuses early.  The caller must not notice while
    another has room.  */
 Test (entry_targets, refused_then_taken_elsewhere)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 2, false);
+  fixture_start (&w, 2, false);
   w.agent[0].on_submit = refuse_first;
   w.agent[1].on_submit = refuse_first;
   complete (&c, &w);
@@ -61,29 +61,29 @@
   cr_assert_eq (w.agent[0].submits, 1);
   cr_assert_eq (w.agent[1].submits, 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* All targets are full.  The caller gets the refusal, proven `not run', with
    the time to come back; no target is asked twice.  */
 Test (entry_targets, all_refuse)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 3, false);
+  fixture_start (&w, 3, false);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = refuse;
   complete (&c, &w);
   call_wait (&c);
   cr_assert_eq (c.status, 503);
-  cr_assert (call_says (&c, "\"ran\":\"no\""), "%s", c.body->str);
+  cr_assert (call_body_contains (&c, "\"ran\":\"no\""), "%s", c.body->str);
   cr_assert_str_eq (c.retry_after, "2");
   for (int i = 0; i < 3; i++)
     cr_assert_leq (w.agent[i].submits, 1);
-  cr_assert_eq (world_events (&w, "request.refused"), 1);
+  cr_assert_eq (fixture_count_events (&w, "request.refused"), 1);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* Every request meets full targets for a while.  Retrying each at each target
@@ -95,10 +95,10 @@
   {
     CALLS = 60
   };
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start_with (&w, 2, false, "retry_burst: 5\nretry_percent: 10\n");
+  fixture_start_with (&w, 2, false, "retry_burst: 5\nretry_percent: 10\n");
   w.agent[0].on_submit = refuse;
   w.agent[1].on_submit = refuse;
   for (int i = 0; i < CALLS; i++)
@@ -109,7 +109,7 @@
       call_free (&c);
     }
   cr_assert_leq (submits (&w), CALLS + 5 + CALLS / 10);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 static void
@@ -130,7 +130,7 @@
 };
 
 static void
-leave (struct world *w, enum leave how)
+leave (struct fixture *w, enum leave how)
 {
   switch (how)
     {
@@ -154,15 +154,15 @@
    nothing.  */
 Test (entry_targets, leaving)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
   uint32_t before;
 
   for (int how = LEAVE_BY_FRAME; how <= LEAVE_UNLISTED; how++)
     {
-      world_start (&w, 2, false);
+      fixture_start (&w, 2, false);
       leave (&w, (enum leave)how);
-      world_wait_ms (&w, 400);
+      fixture_run_ms (&w, 400);
       before = w.agent[0].submits;
       for (int i = 0; i < 20; i++)
         {
@@ -172,44 +172,44 @@
           call_free (&c);
         }
       cr_assert_eq (w.agent[0].submits, before, "how %d", how);
-      world_end (&w);
+      fixture_stop (&w);
     }
 }
 
 /* The list is down for long.  The targets known go on being used.  */
 Test (entry_targets, list_outage)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 2, false);
-  w.list_down = true;
-  world_wait_ms (&w, 500);
+  fixture_start (&w, 2, false);
+  w.list_unavailable = true;
+  fixture_run_ms (&w, 500);
   complete (&c, &w);
   call_wait (&c);
   cr_assert_eq (c.status, 200, "%s", c.body->str);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 static bool
 knows_config (void *ctx)
 {
-  return ((struct world *)ctx)->agent[0].config_revision == 1;
+  return ((struct fixture *)ctx)->agent[0].config_revision == 1;
 }
 
 /* An agent that slept through changes of the configuration tells an old
    revision in its heartbeat and is sent the one in force.  */
 Test (entry_targets, configuration_is_pushed)
 {
-  struct world w;
+  struct fixture w;
 
-  world_start (&w, 1, false);
-  world_run (&w, knows_config, &w);
+  fixture_start (&w, 1, false);
+  fixture_run_until (&w, knows_config, &w);
   w.agent[0].config_revision = 0;
-  world_run (&w, knows_config, &w);
+  fixture_run_until (&w, knows_config, &w);
   cr_assert_eq (w.agent[0].config_revision, 1);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 static void
@@ -219,7 +219,7 @@
 
   /* The second target has to run it alone.  */
   cr_assert_eq (f->u.submit.suspect, submits (a->test) == 2);
-  fake_end (a, r, WY_RUN_CRASHED);
+  fake_send_end (a, r, WY_RUN_CRASHED);
 }
 
 /* One request crashes each target that runs it, and its caller sends it again
@@ -227,12 +227,12 @@
    working; an operator sees the block and can lift it.  */
 Test (entry_targets, request_that_crashes_targets)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
   char *fingerprint;
   char *path;
 
-  world_start (&w, 3, false);
+  fixture_start (&w, 3, false);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = crash;
   for (int i = 0; i < 3; i++)
@@ -243,10 +243,10 @@
       call_free (&c);
     }
   cr_assert_eq (submits (&w), 2);
-  cr_assert_eq (world_events (&w, "suspect.blocked"), 1);
+  cr_assert_eq (fixture_count_events (&w, "suspect.blocked"), 1);
   call_start (&c, &w, "GET", "/v1/blocks", operator, 1, "");
   call_wait (&c);
-  cr_assert (call_says (&c, "\"blocked\":true"), "%s", c.body->str);
+  cr_assert (call_body_contains (&c, "\"blocked\":true"), "%s", c.body->str);
   fingerprint = g_strndup (strstr (c.body->str, "fingerprint\":\"") + 14, 16);
   call_free (&c);
   path = g_strconcat ("/v1/blocks/", fingerprint, NULL);
@@ -262,7 +262,7 @@
   call_free (&c);
   g_free (fingerprint);
   g_free (path);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 enum
@@ -274,16 +274,16 @@
 static void
 begin_slowly (struct fake_agent *a, const struct wy_frame *f)
 {
-  char *events = fake_events ("slow", SLOW_TOKENS);
+  char *events = fake_event_stream ("slow", SLOW_TOKENS);
   struct fake_run *r = fake_accept (a, f, "slow", events);
 
-  fake_head (a, r, 200, "text/event-stream");
+  fake_send_head (a, r, 200, "text/event-stream");
   g_free (events);
 }
 
 /* Send the answer of the request that A holds, one event at a time.  */
 static void
-trickle (struct world *w, struct fake_agent *a)
+trickle (struct fixture *w, struct fake_agent *a)
 {
   struct fake_run *r = g_hash_table_lookup (a->runs, a->last_id);
   const char *text = r->body->str;
@@ -292,8 +292,8 @@
   for (const char *to; (to = strstr (from, "\n\n")); from = to)
     {
       to += 2;
-      fake_chunk (a, r, (size_t)(from - text), (size_t)(to - text));
-      world_wait_ms (w, SLOW_TOKEN_MS);
+      fake_send_chunk (a, r, (size_t)(from - text), (size_t)(to - text));
+      fixture_run_ms (w, SLOW_TOKEN_MS);
     }
 }
 
@@ -302,18 +302,18 @@
    streams give it away while they run, and new callers are kept off it.  */
 Test (entry_targets, one_slow_target)
 {
-  struct world w;
+  struct fixture w;
   struct caller c[20];
   struct caller later;
   uint32_t n = 0;
 
-  world_start (&w, 3, false);
+  fixture_start (&w, 3, false);
   w.agent[0].on_submit = begin_slowly;
   while (w.agent[0].submits == 0)
     {
       cr_assert_lt (n, G_N_ELEMENTS (c));
       complete (&c[n++], &w);
-      world_wait_ms (&w, 20);
+      fixture_run_ms (&w, 20);
     }
   trickle (&w, &w.agent[0]);
   for (uint32_t i = 0; i + 1 < n; i++)
@@ -328,13 +328,13 @@
   cr_assert_eq (w.agent[0].submits, 1);
   wy_http_call_cancel (c[n - 1].call);
   call_free (&c[n - 1]);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 static void
 accept_only (struct fake_agent *a, const struct wy_frame *f)
 {
-  char *events = fake_events ("run-1", 2);
+  char *events = fake_event_stream ("run-1", 2);
 
   fake_accept (a, f, "run-1", events);
   g_free (events);
@@ -349,7 +349,7 @@
 static void
 on_stopped (void *ctx, uint32_t cut)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->stopped = true;
   w->cut = cut;
@@ -358,7 +358,7 @@
 static bool
 is_stopped (void *ctx)
 {
-  return ((struct world *)ctx)->stopped;
+  return ((struct fixture *)ctx)->stopped;
 }
 
 static void
@@ -367,50 +367,50 @@
   struct wy_frame f = { .kind = WY_FRAME_RESUME };
 
   f.u.resume.id = wy_bytes_of (a->last_id);
-  fake_rest (a, &f);
+  fake_send_rest (a, &f);
 }
 
 /* The platform stops the entry while a request is in progress.  It must end
    after the answer, not before.  */
 Test (entry_targets, stop_waits_for_requests)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 1, false);
+  fixture_start (&w, 1, false);
   w.agent[0].on_submit = accept_only;
   complete (&c, &w);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   wy_entry_stop (w.entry, on_stopped, &w);
-  world_wait_ms (&w, 200);
+  fixture_run_ms (&w, 200);
   cr_assert_not (w.stopped);
   finish (&w.agent[0]);
   call_wait (&c);
   cr_assert_eq (c.status, 200, "%s", c.body->str);
-  world_run (&w, is_stopped, &w);
+  fixture_run_until (&w, is_stopped, &w);
   cr_assert_eq (w.cut, 0);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* The same with a target that never answers: the second signal ends the entry
    and it says what it cut off.  */
 Test (entry_targets, stop_now_says_what_it_cut)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 1, false);
+  fixture_start (&w, 1, false);
   w.agent[0].on_submit = accept_only;
   complete (&c, &w);
-  world_run (&w, submitted, &w);
+  fixture_run_until (&w, submitted, &w);
   wy_entry_stop (w.entry, on_stopped, &w);
   wy_entry_stop_now (w.entry);
-  world_run (&w, is_stopped, &w);
+  fixture_run_until (&w, is_stopped, &w);
   cr_assert_eq (w.cut, 1);
   wy_http_call_cancel (c.call);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 struct access
@@ -444,10 +444,10 @@
 /* Callers, trainers and operators get at what is theirs and no more.  */
 Test (entry_targets, roles)
 {
-  struct world w;
+  struct fixture w;
   struct caller c;
 
-  world_start (&w, 1, false);
+  fixture_start (&w, 1, false);
   for (size_t i = 0; i < G_N_ELEMENTS (accesses); i++)
     {
       call_start (&c, &w, accesses[i].method, accesses[i].path,
@@ -458,7 +458,7 @@
       call_free (&c);
     }
   cr_assert_eq (w.agent[0].orders, 1);
-  world_end (&w);
+  fixture_stop (&w);
 }
 
 /* A caller sends far too many headers.  It is told so, nothing is run, and
@@ -466,17 +466,17 @@
 Test (entry_targets, too_many_headers)
 {
   struct wy_http_header_field headers[20];
-  struct world w;
+  struct fixture w;
   struct caller c;
 
   for (size_t i = 0; i < G_N_ELEMENTS (headers); i++)
     headers[i] = (struct wy_http_header_field){ "x-filler", "1" };
-  world_start_with (&w, 1, false, "header_limit: 10\n");
+  fixture_start_with (&w, 1, false, "header_limit: 10\n");
   call_start (&c, &w, "POST", "/v1/completions", headers,
               G_N_ELEMENTS (headers), WHOLE);
   call_wait (&c);
   cr_assert_eq (c.status, 431);
   cr_assert_eq (submits (&w), 0);
   call_free (&c);
-  world_end (&w);
+  fixture_stop (&w);
 }
--- a/tests/test_gate.c
+++ b/tests/test_gate.c
@@ -7,9 +7,9 @@
 
 #include "gate/gate_state.h"
 #include "platform/config_wire.h"
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
-static struct platform_world w;
+static struct platform_fixture w;
 static struct wy_gate_settings settings;
 static struct wy_gate *gate;
 static char addresses[4][32];
@@ -33,7 +33,7 @@
 {
   for (int i = 0; i < 4; i++)
     snprintf (addresses[i], sizeof addresses[i], "127.0.0.1:%u",
-              platform_world_free_port (&w));
+              platform_fixture_free_port (&w));
 }
 
 static bool
@@ -50,9 +50,9 @@
                                .settings = &settings,
                                .on_stopped = on_stopped };
 
-  platform_world_init (&w);
-  platform_world_add_env (&w, "unused");
-  platform_world_add_replica (&w, NULL, 0);
+  platform_fixture_init (&w);
+  platform_fixture_add_env (&w, "unused");
+  platform_fixture_add_replica (&w, NULL, 0);
   choose_addresses ();
   snprintf (store, sizeof store, "127.0.0.1:%u",
             wy_platform_store_port (w.store));
@@ -80,37 +80,37 @@
       "\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1048576,"
       "\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000}}");
   cr_assert_eq (wy_gate_new (&gate, &o), 0);
-  cr_assert (platform_world_until (&w, is_ready, NULL));
+  cr_assert (platform_fixture_run_until (&w, is_ready, NULL));
 }
 
 static void
 stop (void)
 {
   wy_gate_free (gate);
-  platform_world_run_ms (&w, 50);
-  platform_world_free (&w);
+  platform_fixture_run_ms (&w, 50);
+  platform_fixture_free (&w);
 }
 
-static struct platform_answer *
+static struct platform_response *
 send_request (int listener, const char *target)
 {
   struct wy_h1_header fields[] = { { "Host", "h" }, { "Attempt-Id", "a-1" } };
   uint16_t port = (uint16_t)atoi (strchr (addresses[listener], ':') + 1);
-  struct platform_answer *a
-      = platform_world_call (&w, port, "GET", target, fields, 2, NULL);
+  struct platform_response *a
+      = platform_fixture_call (&w, port, "GET", target, fields, 2, NULL);
 
-  cr_assert (platform_world_until (&w, platform_answer_done, a));
+  cr_assert (platform_fixture_run_until (&w, platform_response_done, a));
   return a;
 }
 
 static int
 status_of (const char *target)
 {
-  struct platform_answer *a = send_request (CALLERS, target);
+  struct platform_response *a = send_request (CALLERS, target);
   int status = a->status;
 
   cr_expect_eq (a->retry_after != NULL, status == 503);
-  platform_answer_free (a);
+  platform_response_free (a);
   return status;
 }
 
@@ -123,11 +123,11 @@
   cr_expect_eq (status_of ("/p/x"), 200);
   cr_expect_eq (status_of ("/new/x"), 404);
   wy_platform_store_faults (w.store)->silent = true;
-  platform_world_run_ms (&w, 2600);
+  platform_fixture_run_ms (&w, 2600);
   cr_expect_eq (status_of ("/p/x"), 200);
   cr_expect_eq (status_of ("/new/x"), 503);
   wy_platform_store_faults (w.store)->silent = false;
-  platform_world_run_ms (&w, 1500);
+  platform_fixture_run_ms (&w, 1500);
   cr_expect_eq (status_of ("/new/x"), 404);
   stop ();
 }
@@ -136,7 +136,7 @@
    outcome.  */
 Test (gate, metrics)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   const char *text;
 
   start ();
@@ -152,19 +152,19 @@
                               "service=\"svc\",outcome=\"answered\"} 1\n"));
   cr_expect_not_null (strstr (text, "wy_gate_store_calls_ended_total{"));
   cr_expect_not_null (strstr (text, "\nwy_gate_jobs_oldest_ms 0\n"));
-  platform_answer_free (a);
+  platform_response_free (a);
   stop ();
 }
 
 /* The status shows the configuration, entries and replicas, and their age.  */
 Test (gate, status)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   json_t *doc;
 
   start ();
   cr_expect_eq (status_of ("/p/x"), 200);
-  platform_world_run_ms (&w, 800);
+  platform_fixture_run_ms (&w, 800);
   a = send_request (METRICS, "/v1/status");
   doc = json_loads (a->body->str, 0, NULL);
   cr_assert_not_null (doc, "%s", a->body->str);
@@ -180,6 +180,6 @@
   cr_expect_lt (json_integer_value (json_object_get (doc, "replicas_age_ms")),
                 2000);
   json_decref (doc);
-  platform_answer_free (a);
+  platform_response_free (a);
   stop ();
 }
--- a/tests/test_h1.c
+++ b/tests/test_h1.c
@@ -5,7 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
 /* A server that sends bytes given by the test.  */
 struct raw_server
@@ -27,7 +27,7 @@
   uv_stream_t *stream;
 };
 
-static struct platform_world w;
+static struct platform_fixture w;
 static struct raw_server raw_server;
 
 static void
@@ -112,20 +112,20 @@
   US_PER_MS = 1000
 };
 
-static struct platform_answer *
+static struct platform_response *
 start_call (uint16_t port)
 {
   static const struct wy_h1_header host = { "Host", "h" };
 
-  return platform_world_call (&w, port, "GET", "/", &host, 1, NULL);
+  return platform_fixture_call (&w, port, "GET", "/", &host, 1, NULL);
 }
 
-static struct platform_answer *
+static struct platform_response *
 call_and_wait (uint16_t port)
 {
-  struct platform_answer *a = start_call (port);
+  struct platform_response *a = start_call (port);
 
-  cr_assert (platform_world_until (&w, platform_answer_done, a));
+  cr_assert (platform_fixture_run_until (&w, platform_response_done, a));
   return a;
 }
 
@@ -177,10 +177,10 @@
 {
   for (size_t i = 0; i < sizeof faults / sizeof *faults; i++)
     {
-      struct platform_answer *a;
+      struct platform_response *a;
       uint16_t port;
 
-      platform_world_init (&w);
+      platform_fixture_init (&w);
       port = raw_start (faults[i].response);
       raw_server.close_after = faults[i].close_after;
       raw_server.reset_after = faults[i].reset_after;
@@ -188,9 +188,9 @@
       cr_expect_eq (a->err, faults[i].err, "row %zu: %d", i, a->err);
       cr_expect_str_eq (a->body->str, faults[i].body, "row %zu", i);
       cr_expect_eq (idle_connections (), faults[i].idle_after, "row %zu", i);
-      platform_answer_free (a);
+      platform_response_free (a);
       raw_stop ();
-      platform_world_free (&w);
+      platform_fixture_free (&w);
     }
 }
 
@@ -199,60 +199,60 @@
    replica.  */
 Test (h1, refused_connection_sent_nothing)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   uint16_t port;
 
-  platform_world_init (&w);
+  platform_fixture_init (&w);
   port = raw_start ("");
   raw_stop ();
-  platform_world_run_ms (&w, 5);
+  platform_fixture_run_ms (&w, 5);
   a = call_and_wait (port);
   cr_expect_eq (a->err, WY_H1_ECONNECT);
-  platform_answer_free (a);
-  platform_world_free (&w);
+  platform_response_free (a);
+  platform_fixture_free (&w);
 }
 
 /* The process stalls for longer than the connect timeout while a connection
    opens.  The call must use the connection and not fail.  */
 Test (h1, stall_while_connecting)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   uint16_t port;
 
-  platform_world_init (&w);
+  platform_fixture_init (&w);
   port = raw_start ("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  platform_world_run_ms (&w, 5);
+  platform_fixture_run_ms (&w, 5);
   a = start_call (port);
   usleep (STALL_MS * US_PER_MS);
-  cr_assert (platform_world_until (&w, platform_answer_done, a));
+  cr_assert (platform_fixture_run_until (&w, platform_response_done, a));
   cr_expect_eq (a->err, 0, "%d", a->err);
   cr_expect_eq (a->status, 200);
-  platform_answer_free (a);
+  platform_response_free (a);
   raw_stop ();
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* A replica closes an idle connection.  The next request must not be sent on
    it.  */
 Test (h1, closed_idle_connection_is_not_reused)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   uint16_t port;
 
-  platform_world_init (&w);
+  platform_fixture_init (&w);
   port = raw_start ("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   a = call_and_wait (port);
-  platform_answer_free (a);
+  platform_response_free (a);
   cr_assert_eq (idle_connections (), 1);
   uv_close ((uv_handle_t *)&raw_server.conns[0], NULL);
-  platform_world_run_ms (&w, 10);
+  platform_fixture_run_ms (&w, 10);
   cr_expect_eq (idle_connections (), 0);
   a = call_and_wait (port);
   cr_expect_eq (a->err, 0);
   cr_expect_eq (raw_server.n_conns, 2);
-  platform_answer_free (a);
+  platform_response_free (a);
   raw_stop ();
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 struct handler_state
@@ -303,7 +303,7 @@
                                     .on_request = on_request,
                                     .ctx = h };
 
-  platform_world_init (&w);
+  platform_fixture_init (&w);
   memset (h, 0, sizeof *h);
   cr_assert_eq (wy_h1_server_new (&h->server, &o), 0);
   return wy_h1_server_port (h->server);
@@ -313,20 +313,20 @@
 stop_server (struct handler_state *h)
 {
   wy_h1_server_free (h->server);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 static int
 post (uint16_t port, const char *name, const char *value, const char *body)
 {
   struct wy_h1_header fields[] = { { "Host", "h" }, { name, value } };
-  struct platform_answer *a = platform_world_call (&w, port, "POST", "/",
-                                                   fields, name ? 2 : 1, body);
+  struct platform_response *a = platform_fixture_call (
+      &w, port, "POST", "/", fields, name ? 2 : 1, body);
   int status;
 
-  cr_assert (platform_world_until (&w, platform_answer_done, a));
+  cr_assert (platform_fixture_run_until (&w, platform_response_done, a));
   status = a->status;
-  platform_answer_free (a);
+  platform_response_free (a);
   return status;
 }
 
@@ -357,19 +357,19 @@
   uint16_t port = start_server (&h);
   struct wy_h1_header host = { "Host", "h" };
   char body[61];
-  struct platform_answer *first;
+  struct platform_response *first;
 
   memset (body, 'x', sizeof body - 1);
   body[sizeof body - 1] = '\0';
   h.hold = true;
-  first = platform_world_call (&w, port, "POST", "/", &host, 1, body);
-  platform_world_run_ms (&w, 20);
+  first = platform_fixture_call (&w, port, "POST", "/", &host, 1, body);
+  platform_fixture_run_ms (&w, 20);
   cr_assert_not_null (h.held);
   cr_expect_eq (post (port, NULL, NULL, body), 503);
   h.hold = false;
   wy_h1_respond (h.held, 200, NULL, 0, "", 0);
   cr_expect_eq (post (port, NULL, NULL, body), 200);
-  platform_answer_free (first);
+  platform_response_free (first);
   stop_server (&h);
 }
 
@@ -381,14 +381,14 @@
   struct handler_state h;
   uint16_t port = start_server (&h);
   struct wy_h1_header host = { "Host", "h" };
-  struct platform_answer *a;
+  struct platform_response *a;
 
   h.hold = true;
-  a = platform_world_call (&w, port, "GET", "/", &host, 1, NULL);
-  platform_world_run_ms (&w, 20);
+  a = platform_fixture_call (&w, port, "GET", "/", &host, 1, NULL);
+  platform_fixture_run_ms (&w, 20);
   cr_assert_not_null (h.held);
-  platform_answer_free (a);
-  platform_world_run_ms (&w, 50);
+  platform_response_free (a);
+  platform_fixture_run_ms (&w, 50);
   cr_expect_eq (h.hangups, 1);
   stop_server (&h);
 }
@@ -402,7 +402,7 @@
 
   wy_h1_server_announce_close (h.server);
   cr_expect_eq (post (port, NULL, NULL, "ok"), 200);
-  platform_world_run_ms (&w, 10);
+  platform_fixture_run_ms (&w, 10);
   cr_expect_eq (wy_h1_server_connections (h.server), 0);
   stop_server (&h);
 }
@@ -417,23 +417,23 @@
   struct sockaddr_in a = platform_loopback (0);
   socklen_t n = sizeof a;
   struct wy_h1_header host = { "Host", "h" };
-  struct platform_answer *call;
+  struct platform_response *call;
   char bytes[256];
   int listener = socket (AF_INET, SOCK_STREAM, 0);
   int conn;
   ssize_t got;
 
-  platform_world_init (&w);
+  platform_fixture_init (&w);
   cr_assert_eq (bind (listener, (const struct sockaddr *)&a, sizeof a), 0);
   cr_assert_eq (listen (listener, 1), 0);
   cr_assert_eq (getsockname (listener, (struct sockaddr *)&a, &n), 0);
-  call = platform_world_call (&w, ntohs (a.sin_port), "GET", "/", &host, 1,
-                              NULL);
+  call = platform_fixture_call (&w, ntohs (a.sin_port), "GET", "/", &host, 1,
+                                NULL);
   conn = accept (listener, NULL, NULL);
-  platform_world_run_ms (&w, 30);
+  platform_fixture_run_ms (&w, 30);
   cr_assert (wy_h1_call_sent (call->call));
-  platform_answer_free (call);
-  platform_world_run_ms (&w, 30);
+  platform_response_free (call);
+  platform_fixture_run_ms (&w, 30);
   /* Bytes that arrived before can still be read.  */
   do
     got = read (conn, bytes, sizeof bytes);
@@ -442,5 +442,5 @@
   cr_expect_eq (errno, ECONNRESET);
   close (conn);
   close (listener);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -8,7 +8,7 @@
 #include "http/error.h"
 #include "http/server.h"
 
-struct world
+struct fixture
 {
   uv_loop_t loop;
   struct wy_http_server *server;
@@ -23,7 +23,7 @@
 static void
 on_pending_abort (struct wy_http_exchange *ex, void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->aborted = true;
   uv_stop (&w->loop);
@@ -32,7 +32,7 @@
 static void
 on_request (struct wy_http_exchange *ex, void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
   size_t n;
   const char *body = wy_http_body (ex, &n);
 
@@ -65,7 +65,7 @@
 static void
 on_done (void *ctx, const struct wy_http_response *r)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->err = r->err;
   w->status = r->status;
@@ -74,7 +74,7 @@
 }
 
 static void
-world_init (struct world *w)
+fixture_init (struct fixture *w)
 {
   struct wy_http_server_options o = { .loop = &w->loop,
                                       .host = "127.0.0.1",
@@ -91,7 +91,7 @@
 }
 
 static struct wy_http_call *
-fetch (struct world *w, const char *path, const char *body, uint16_t port)
+fetch (struct fixture *w, const char *path, const char *body, uint16_t port)
 {
   struct wy_http_call_options o
       = { .method = "POST",
@@ -106,9 +106,9 @@
 
 Test (http, complete_response)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   fetch (&w, "/echo?a=b", "hello", 0);
   uv_run (&w.loop, UV_RUN_DEFAULT);
   cr_assert_eq (w.err, 0);
@@ -118,9 +118,9 @@
 
 Test (http, streamed_response)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   fetch (&w, "/stream", "", 0);
   uv_run (&w.loop, UV_RUN_DEFAULT);
   cr_assert_eq (w.err, 0);
@@ -131,9 +131,9 @@
    response is incomplete.  */
 Test (http, aborted_stream_is_an_error)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   fetch (&w, "/aborted", "", 0);
   uv_run (&w.loop, UV_RUN_DEFAULT);
   cr_assert_eq (w.err, WY_HTTP_EINCOMPLETE);
@@ -143,9 +143,9 @@
    the call can safely be retried elsewhere.  */
 Test (http, refused_connection)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   fetch (&w, "/", "", 1);
   uv_run (&w.loop, UV_RUN_DEFAULT);
   cr_assert_eq (w.err, WY_HTTP_ECONNECT);
@@ -155,10 +155,10 @@
    runs.  */
 Test (http, oversized_body)
 {
-  struct world w;
+  struct fixture w;
   char body[4096];
 
-  world_init (&w);
+  fixture_init (&w);
   memset (body, 'x', sizeof body - 1);
   body[sizeof body - 1] = 0;
   fetch (&w, "/echo", body, 0);
@@ -171,10 +171,10 @@
    cancelled.  */
 Test (http, caller_disconnects_before_the_response)
 {
-  struct world w;
+  struct fixture w;
   struct wy_http_call *call;
 
-  world_init (&w);
+  fixture_init (&w);
   call = fetch (&w, "/hold", "", 0);
   uv_run (&w.loop, UV_RUN_DEFAULT);
   cr_assert_not_null (w.pending);
@@ -230,11 +230,11 @@
    connection is closed; another caller is served meanwhile.  */
 Test (http, slow_caller_gets_408_and_is_disconnected)
 {
-  struct world w;
+  struct fixture w;
   struct slow slow = { .received = g_string_new (NULL) };
   struct sockaddr_in a;
 
-  world_init (&w);
+  fixture_init (&w);
   uv_tcp_init (&w.loop, &slow.tcp);
   slow.tcp.data = &slow;
   slow.connect.data = &slow;
--- a/tests/test_jobs_orgs.c
+++ b/tests/test_jobs_orgs.c
@@ -4,7 +4,7 @@
 
 #include "jobs/record.h"
 #include "platform/request_wire.h"
-#include "support/job_world.h"
+#include "support/job_fixture.h"
 
 Test (job_orgs, keys)
 {
@@ -35,21 +35,21 @@
 Test (job_orgs, equal_names)
 {
   job_organisation = "acme";
-  job_world_start (2);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  job_world_check_all ("j1");
+  job_fixture_start (2);
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  job_fixture_check_results ("j1");
   job_organisation = "bank";
-  cr_expect_eq (job_world_status ("GET", "/api/lots/j1"), 404);
-  cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 404);
-  cr_expect_eq (job_world_status ("GET", "/api/items/j1?id=it-0"), 404);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  job_world_check_all ("j1");
-  cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
+  cr_expect_eq (job_fixture_status ("GET", "/api/lots/j1"), 404);
+  cr_expect_eq (job_fixture_status ("DELETE", "/api/lots/j1"), 404);
+  cr_expect_eq (job_fixture_status ("GET", "/api/items/j1?id=it-0"), 404);
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  job_fixture_check_results ("j1");
+  cr_expect_eq (job_fixture_status ("DELETE", "/api/lots/j1"), 200);
   job_organisation = "acme";
-  job_world_check_all ("j1");
-  cr_expect_eq (job_world_listed ("acme/j1"), JOB_ITEMS);
-  cr_expect_eq (job_world_listed ("bank/j1"), JOB_ITEMS);
-  job_world_stop ();
+  job_fixture_check_results ("j1");
+  cr_expect_eq (job_fixture_count_results ("acme/j1"), JOB_ITEMS);
+  cr_expect_eq (job_fixture_count_results ("bank/j1"), JOB_ITEMS);
+  job_fixture_stop ();
 }
 
 /* A job was accepted without an organisation.  Its submitter, which has an
@@ -57,13 +57,13 @@
 Test (job_orgs, job_without_organisation)
 {
   job_organisation = "";
-  job_world_start (2);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  job_world_check_all ("j1");
+  job_fixture_start (2);
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  job_fixture_check_results ("j1");
   job_organisation = "acme";
-  job_world_check_all ("j1");
-  cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
-  job_world_stop ();
+  job_fixture_check_results ("j1");
+  cr_expect_eq (job_fixture_status ("DELETE", "/api/lots/j1"), 200);
+  job_fixture_stop ();
 }
 
 /* The entry that takes a job over doesn't need a key: the organisation is read
@@ -71,14 +71,14 @@
 Test (job_orgs, takeover)
 {
   job_organisation = "acme";
-  job_world_start (1);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  job_world_stop_entry ();
-  job_world.env.holder = "n2/1";
-  job_world.env.node = "n2";
-  job_world_start_entry ();
-  job_world_check_all ("j1");
+  job_fixture_start (1);
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  job_fixture_stop_entry ();
+  job_fixture.env.holder = "n2/1";
+  job_fixture.env.node = "n2";
+  job_fixture_start_entry ();
+  job_fixture_check_results ("j1");
   job_organisation = "bank";
-  cr_expect_eq (job_world_status ("GET", "/api/lots/j1"), 404);
-  job_world_stop ();
+  cr_expect_eq (job_fixture_status ("GET", "/api/lots/j1"), 404);
+  job_fixture_stop ();
 }
--- a/tests/test_jobs_takeover.c
+++ b/tests/test_jobs_takeover.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/job_world.h"
+#include "support/job_fixture.h"
 
 /* An entry crashes with half of a job done.  Its successor must list the
    remaining results after the existing ones, and none twice.  */
@@ -11,22 +11,22 @@
   json_t *first;
   json_t *again;
 
-  job_world_start (1);
-  wy_platform_replica_faults (job_world.replicas[0])->stall_streams = 2;
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  first = job_world_await ("j1", 0);
-  job_world_stop_entry ();
-  g_free ((char *)job_world.env.holder);
-  job_world.env.holder = g_strdup ("n1/2");
-  job_world_start_entry ();
-  job_world_check_all ("j1");
-  again = job_world_result ("j1", 0);
+  job_fixture_start (1);
+  wy_platform_replica_faults (job_fixture.replicas[0])->stall_streams = 2;
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  first = job_fixture_await_result ("j1", 0);
+  job_fixture_stop_entry ();
+  g_free ((char *)job_fixture.env.holder);
+  job_fixture.env.holder = g_strdup ("n1/2");
+  job_fixture_start_entry ();
+  job_fixture_check_results ("j1");
+  again = job_fixture_result ("j1", 0);
   cr_expect (json_equal (first, again));
-  cr_expect_eq (*job_world.env.count.jobs_taken_over, 1);
-  cr_expect_eq (job_world_listed ("j1"), JOB_ITEMS);
+  cr_expect_eq (*job_fixture.env.count.jobs_taken_over, 1);
+  cr_expect_eq (job_fixture_count_results ("j1"), JOB_ITEMS);
   json_decref (first);
   json_decref (again);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* An entry crashes while a long item runs.  Its successor must continue from
@@ -39,23 +39,23 @@
   };
   int64_t resumed_at;
 
-  platform_world_init (&job_world);
-  platform_world_add_env (&job_world, "n1");
-  platform_world_set_routing (&job_world, WY_ROUTE_JOB, 3);
-  platform_world_add_replica (&job_world, "m", LONG_EVENTS);
-  job_world_start_entry ();
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  platform_world_run_ms (&job_world, 1500);
-  job_world_stop_entry ();
-  platform_world_run_ms (&job_world, 50);
-  g_free ((char *)job_world.env.holder);
-  job_world.env.holder = g_strdup ("n1/2");
-  job_world_start_entry ();
-  platform_world_run_ms (&job_world, 1000);
-  resumed_at = wy_platform_replica_last_resume (job_world.replicas[0]);
+  platform_fixture_init (&job_fixture);
+  platform_fixture_add_env (&job_fixture, "n1");
+  platform_fixture_set_routing (&job_fixture, WY_ROUTE_JOB, 3);
+  platform_fixture_add_replica (&job_fixture, "m", LONG_EVENTS);
+  job_fixture_start_entry ();
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  platform_fixture_run_ms (&job_fixture, 1500);
+  job_fixture_stop_entry ();
+  platform_fixture_run_ms (&job_fixture, 50);
+  g_free ((char *)job_fixture.env.holder);
+  job_fixture.env.holder = g_strdup ("n1/2");
+  job_fixture_start_entry ();
+  platform_fixture_run_ms (&job_fixture, 1000);
+  resumed_at = wy_platform_replica_last_resume (job_fixture.replicas[0]);
   cr_expect_gt (resumed_at, 20, "resumed after event %lld",
                 (long long)resumed_at);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* Another entry has taken the job over while this one was suspended.  The
@@ -65,25 +65,25 @@
   char *record;
   char *other;
 
-  job_world_start (1);
-  wy_platform_replica_faults (job_world.replicas[0])->stall_streams
+  job_fixture_start (1);
+  wy_platform_replica_faults (job_fixture.replicas[0])->stall_streams
       = JOB_ITEMS;
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  record = wy_platform_store_value (job_world.store, WY_JOBS_TABLE, "j1",
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  record = wy_platform_store_value (job_fixture.store, WY_JOBS_TABLE, "j1",
                                     WY_JOB_ROW_KEY);
   cr_assert_not_null (record);
   other = g_strdup (record);
   strstr (other, "n1/1")[1] = '9';
-  wy_platform_store_put (job_world.store, WY_MEMBERS_TABLE, "0", "n9",
+  wy_platform_store_put (job_fixture.store, WY_MEMBERS_TABLE, "0", "n9",
                          "{\"holder\":\"n9/1\",\"beat\":1}");
-  wy_platform_store_put (job_world.store, WY_JOBS_TABLE, "j1", WY_JOB_ROW_KEY,
-                         other);
-  platform_world_run_ms (&job_world, 1200);
+  wy_platform_store_put (job_fixture.store, WY_JOBS_TABLE, "j1",
+                         WY_JOB_ROW_KEY, other);
+  platform_fixture_run_ms (&job_fixture, 1200);
   cr_expect_eq (wy_jobs_running (job_entry.jobs), 0);
-  cr_expect_eq (job_world_listed ("j1"), 0);
+  cr_expect_eq (job_fixture_count_results ("j1"), 0);
   g_free (record);
   g_free (other);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* The store rejects the calls of another entry, which reaches it through peers
@@ -93,22 +93,22 @@
 {
   char *record;
 
-  job_world_start (2);
-  wy_platform_store_put (job_world.store, WY_MEMBERS_TABLE, "0", "n9",
+  job_fixture_start (2);
+  wy_platform_store_put (job_fixture.store, WY_MEMBERS_TABLE, "0", "n9",
                          "{\"holder\":\"n9/1\",\"address\":\"127.0.0.1:1\","
                          "\"cpu_share\":1000000,\"relayed\":true,"
                          "\"beat\":1}");
-  platform_world_run_ms (&job_world, 500);
+  platform_fixture_run_ms (&job_fixture, 500);
   cr_expect_eq (wy_members_count_alive (job_entry.members), 2);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  record = wy_platform_store_value (job_world.store, WY_JOBS_TABLE, "j1",
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  record = wy_platform_store_value (job_fixture.store, WY_JOBS_TABLE, "j1",
                                     WY_JOB_ROW_KEY);
   cr_assert_not_null (record);
   cr_expect_not_null (strstr (record, "n1/1"), "%s", record);
   g_free (record);
-  job_world_check_all ("j1");
-  cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
-  job_world_stop ();
+  job_fixture_check_results ("j1");
+  cr_expect_eq (*job_fixture.env.count.jobs_taken_over, 0);
+  job_fixture_stop ();
 }
 
 static void
@@ -119,7 +119,8 @@
                                  "\"beat\":1}",
                                  node, cpu_share);
 
-  wy_platform_store_put (job_world.store, WY_MEMBERS_TABLE, "0", node, value);
+  wy_platform_store_put (job_fixture.store, WY_MEMBERS_TABLE, "0", node,
+                         value);
   g_free (value);
 }
 
@@ -131,18 +132,18 @@
 {
   char node[8];
 
-  job_world_start (2);
+  job_fixture_start (2);
   for (int i = 0; i < 30; i++)
     {
       g_snprintf (node, sizeof node, "w%d", i);
       put_entry (node, "0.2");
     }
-  platform_world_run_ms (&job_world, 500);
+  platform_fixture_run_ms (&job_fixture, 500);
   cr_expect_eq (wy_members_count_alive (job_entry.members), 31);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  job_world_check_all ("j1");
-  cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
-  job_world_stop ();
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  job_fixture_check_results ("j1");
+  cr_expect_eq (*job_fixture.env.count.jobs_taken_over, 0);
+  job_fixture_stop ();
 }
 
 /* A holder fails.  Entries with enough processor time must take its jobs over
@@ -152,18 +153,18 @@
 {
   char node[8];
 
-  job_world_start (1);
-  platform_world_run_ms (&job_world, 500);
+  job_fixture_start (1);
+  platform_fixture_run_ms (&job_fixture, 500);
   cr_expect_eq (wy_members_rank (job_entry.members, "j1"), 0);
   for (int i = 0; i < 10; i++)
     {
       g_snprintf (node, sizeof node, "s%d", i);
       put_entry (node, "5");
     }
-  platform_world_run_ms (&job_world, 500);
+  platform_fixture_run_ms (&job_fixture, 500);
   cr_expect_eq (wy_members_count_alive (job_entry.members), 11);
   cr_expect_geq (wy_members_rank (job_entry.members, "j1"), 10 * 10);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 static bool
@@ -181,29 +182,29 @@
 {
   struct wy_platform_store_faults *f;
 
-  job_world_start (1);
-  f = wy_platform_store_faults (job_world.store);
-  wy_platform_store_put (job_world.store, WY_MEMBERS_TABLE, "0", "n9",
+  job_fixture_start (1);
+  f = wy_platform_store_faults (job_fixture.store);
+  wy_platform_store_put (job_fixture.store, WY_MEMBERS_TABLE, "0", "n9",
                          "{\"holder\":\"n9/1\",\"beat\":1}");
-  platform_world_run_ms (&job_world, 500);
+  platform_fixture_run_ms (&job_fixture, 500);
   cr_expect_eq (wy_members_count_alive (job_entry.members), 2);
   f->silent = true;
-  platform_world_run_ms (&job_world, 2500);
+  platform_fixture_run_ms (&job_fixture, 2500);
   f->silent = false;
-  cr_assert (platform_world_until (&job_world, store_is_back, NULL));
-  platform_world_run_ms (&job_world, 700);
+  cr_assert (platform_fixture_run_until (&job_fixture, store_is_back, NULL));
+  platform_fixture_run_ms (&job_fixture, 700);
   cr_expect_eq (wy_members_count_alive (job_entry.members), 2);
   /* The entry still writes no heartbeat and is considered failed in the
      end.  */
-  platform_world_run_ms (&job_world, 1600);
+  platform_fixture_run_ms (&job_fixture, 1600);
   cr_expect_eq (wy_members_count_alive (job_entry.members), 1);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 static bool
 all_results_are_listed (void *ctx)
 {
-  return job_world_listed ("j1") == JOB_ITEMS;
+  return job_fixture_count_results ("j1") == JOB_ITEMS;
 }
 
 /* All results are listed, and the response to the write that marks the job as
@@ -213,21 +214,22 @@
 {
   struct wy_platform_store_faults *f;
 
-  job_world_start (2);
-  f = wy_platform_store_faults (job_world.store);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
+  job_fixture_start (2);
+  f = wy_platform_store_faults (job_fixture.store);
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
   f->stall_feed = true;
-  cr_assert (platform_world_until (&job_world, all_results_are_listed, NULL));
+  cr_assert (
+      platform_fixture_run_until (&job_fixture, all_results_are_listed, NULL));
   f->lose_response = 4;
-  platform_world_run_ms (&job_world, 700);
-  cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
+  platform_fixture_run_ms (&job_fixture, 700);
+  cr_expect_eq (*job_fixture.env.count.jobs_taken_over, 0);
   f->stall_feed = false;
-  platform_world_run_ms (&job_world, 1500);
-  cr_expect_eq (*job_world.env.count.jobs_taken_over, 0);
-  cr_expect (strstr (wy_platform_store_value (job_world.store, WY_JOBS_TABLE,
+  platform_fixture_run_ms (&job_fixture, 1500);
+  cr_expect_eq (*job_fixture.env.count.jobs_taken_over, 0);
+  cr_expect (strstr (wy_platform_store_value (job_fixture.store, WY_JOBS_TABLE,
                                               "j1", WY_JOB_ROW_KEY),
                      "done"));
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* The trainer ends its job while items run.  No further run may start, and
@@ -236,50 +238,50 @@
 {
   uint32_t runs;
 
-  job_world_start (1);
-  wy_platform_replica_faults (job_world.replicas[0])->stall_streams
+  job_fixture_start (1);
+  wy_platform_replica_faults (job_fixture.replicas[0])->stall_streams
       = JOB_ITEMS;
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  platform_world_run_ms (&job_world, 30);
-  cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
-  platform_world_run_ms (&job_world, 50);
-  runs = wy_platform_replica_runs (job_world.replicas[0]);
-  platform_world_run_ms (&job_world, 400);
-  cr_expect_eq (wy_platform_replica_runs (job_world.replicas[0]), runs);
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  platform_fixture_run_ms (&job_fixture, 30);
+  cr_expect_eq (job_fixture_status ("DELETE", "/api/lots/j1"), 200);
+  platform_fixture_run_ms (&job_fixture, 50);
+  runs = wy_platform_replica_runs (job_fixture.replicas[0]);
+  platform_fixture_run_ms (&job_fixture, 400);
+  cr_expect_eq (wy_platform_replica_runs (job_fixture.replicas[0]), runs);
   cr_expect_eq (wy_jobs_running (job_entry.jobs), 0);
-  cr_expect_eq (job_world_status ("GET", "/api/lots/j1?after=0"), 200);
-  job_world_stop ();
+  cr_expect_eq (job_fixture_status ("GET", "/api/lots/j1?after=0"), 200);
+  job_fixture_stop ();
 }
 
 /* Results may be read for a limited time; then the job must be removed, or the
    store fills up and accepts no more jobs.  */
 Test (jobs, expired_job_is_removed)
 {
-  job_world_start (2);
-  cr_expect_eq (job_world_submit ("j1", 1), 202);
-  job_world_check_all ("j1");
-  cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
-  cr_expect_gt (wy_platform_store_object_count (job_world.store), 0);
+  job_fixture_start (2);
+  cr_expect_eq (job_fixture_submit ("j1", 1), 202);
+  job_fixture_check_results ("j1");
+  cr_expect_eq (job_fixture_status ("DELETE", "/api/lots/j1"), 200);
+  cr_expect_gt (wy_platform_store_object_count (job_fixture.store), 0);
   /* As if it had been accepted long ago.  */
   {
-    char *value = wy_platform_store_value (job_world.store, WY_JOBS_TABLE,
+    char *value = wy_platform_store_value (job_fixture.store, WY_JOBS_TABLE,
                                            "j1", WY_JOB_ROW_KEY);
     json_t *doc = json_loads (value, 0, NULL);
     char *old;
 
     json_object_set_new (doc, "accepted_ms", json_integer (1));
     old = json_dumps (doc, JSON_COMPACT);
-    wy_platform_store_put (job_world.store, WY_JOBS_TABLE, "j1",
+    wy_platform_store_put (job_fixture.store, WY_JOBS_TABLE, "j1",
                            WY_JOB_ROW_KEY, old);
     free (old);
     free (value);
     json_decref (doc);
   }
-  platform_world_run_ms (&job_world, 3500);
+  platform_fixture_run_ms (&job_fixture, 3500);
   cr_expect_eq (
-      wy_platform_store_row_count (job_world.store, WY_JOBS_TABLE, "j1"), 0);
-  cr_expect_eq (job_world_listed ("j1"), 0);
-  cr_expect_eq (wy_platform_store_object_count (job_world.store), 0, "%u left",
-                wy_platform_store_object_count (job_world.store));
-  job_world_stop ();
+      wy_platform_store_row_count (job_fixture.store, WY_JOBS_TABLE, "j1"), 0);
+  cr_expect_eq (job_fixture_count_results ("j1"), 0);
+  cr_expect_eq (wy_platform_store_object_count (job_fixture.store), 0,
+                "%u left", wy_platform_store_object_count (job_fixture.store));
+  job_fixture_stop ();
 }
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -250,7 +250,7 @@
   uint32_t lost;
 };
 
-struct world
+struct fixture
 {
   uv_loop_t loop;
   struct fake_table *table;
@@ -271,7 +271,7 @@
 }
 
 static void
-start (struct world *w, int i)
+start (struct fixture *w, int i)
 {
   struct holder *h = &w->h[i];
   char name[16];
@@ -297,7 +297,7 @@
 }
 
 static void
-stop (struct world *w, int i)
+stop (struct fixture *w, int i)
 {
   wy_lease_free (w->h[i].lease);
   wy_store_free (w->h[i].store);
@@ -306,17 +306,17 @@
 static bool
 first_holds (void *ctx)
 {
-  return wy_lease_valid (((struct world *)ctx)->h[0].lease);
+  return wy_lease_valid (((struct fixture *)ctx)->h[0].lease);
 }
 
 static bool
 second_holds (void *ctx)
 {
-  return wy_lease_valid (((struct world *)ctx)->h[1].lease);
+  return wy_lease_valid (((struct fixture *)ctx)->h[1].lease);
 }
 
 static void
-world_init (struct world *w, uint32_t ttl_ms)
+fixture_init (struct fixture *w, uint32_t ttl_ms)
 {
   memset (w, 0, sizeof *w);
   w->ttl_ms = ttl_ms;
@@ -328,19 +328,19 @@
 }
 
 static void
-world_free (struct world *w)
+fixture_free (struct fixture *w)
 {
   stop (w, 0);
   stop (w, 1);
-  close_loop (&w->loop);
+  drain_loop (&w->loop);
   fake_table_free (w->table);
 }
 
 Test (lease, stays_with_one_holder_and_is_handed_over_when_released)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, 3000);
+  fixture_init (&w, 3000);
   run_for (&w.loop, 1500);
   cr_assert_eq (w.h[0].acquired, 1);
   cr_assert_eq (w.h[0].lost, 0);
@@ -349,44 +349,44 @@
   cr_assert (run_until (&w.loop, second_holds, &w));
   cr_assert_eq (wy_lease_fencing_token (w.h[1].lease), 2);
   cr_assert_eq (w.h[0].lost, 0);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 static bool
 is_released (void *ctx)
 {
   return json_is_true (json_object_get (
-      fake_table_get (((struct world *)ctx)->table, "lease/x"), "released"));
+      fake_table_get (((struct fixture *)ctx)->table, "lease/x"), "released"));
 }
 
 /* The holder is stopped while a renewal is in progress.  Guards against a
    lease that is not released then, for whose end the next holder must wait. */
 Test (lease, released_during_a_renewal)
 {
-  struct world w;
+  struct fixture w;
   uint32_t txns;
 
-  world_init (&w, 3000);
-  w.table->slow_ms = 200;
+  fixture_init (&w, 3000);
+  w.table->delay_ms = 200;
   txns = w.table->txns;
   while (w.table->txns == txns)
     run_for (&w.loop, 5);
   wy_lease_release (w.h[0].lease);
   cr_assert (run_until (&w.loop, is_released, &w));
-  w.table->slow_ms = 0;
+  w.table->delay_ms = 0;
   cr_assert (run_until (&w.loop, second_holds, &w));
   run_for (&w.loop, 300);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* A store outage is longer than the lease.  The holder stops, and later one
    process holds the lease, with a higher fencing token.  */
 Test (lease, outage_longer_than_the_lease)
 {
-  struct world w;
+  struct fixture w;
   int64_t token;
 
-  world_init (&w, 400);
+  fixture_init (&w, 400);
   token = wy_lease_fencing_token (w.h[0].lease);
   w.table->down = true;
   run_for (&w.loop, 600);
@@ -398,22 +398,22 @@
   cr_assert_neq (first_holds (&w), second_holds (&w));
   cr_assert_gt (wy_lease_fencing_token (w.h[first_holds (&w) ? 0 : 1].lease),
                 token);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The response to acquiring the lease is lost.  The row shows the holder.  */
 Test (lease, lost_response_to_acquiring)
 {
-  struct world w;
+  struct fixture w;
 
   memset (&w, 0, sizeof w);
   w.ttl_ms = 3000;
   uv_loop_init (&w.loop);
   w.table = fake_table_new (&w.loop);
-  w.table->lose_next = 1;
+  w.table->lose_responses = 1;
   start (&w, 0);
   start (&w, 1);
   cr_assert (run_until (&w.loop, first_holds, &w));
   cr_assert_not (second_holds (&w));
-  world_free (&w);
+  fixture_free (&w);
 }
--- a/tests/test_members_fleet.c
+++ b/tests/test_members_fleet.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "gate/members_state.h"
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
 enum
 {
@@ -26,7 +26,7 @@
   char address[32];
 };
 
-static struct platform_world w;
+static struct platform_fixture w;
 static struct entry entries[ENTRIES_MAX];
 static uint32_t n_entries;
 static uint32_t expected_alive;
@@ -97,7 +97,7 @@
 start_fleet (uint32_t n, uint32_t clock_slowdown)
 {
   slowdown = clock_slowdown;
-  platform_world_init (&w);
+  platform_fixture_init (&w);
   n_entries = n;
   expected_alive = n;
   for (uint32_t i = 0; i < n; i++)
@@ -109,7 +109,7 @@
       snprintf (e->address, sizeof e->address, "127.0.0.1:%u", 1000 + i);
       start_entry (e, 1);
     }
-  cr_assert (platform_world_until (&w, all_agree, NULL));
+  cr_assert (platform_fixture_run_until (&w, all_agree, NULL));
 }
 
 static void
@@ -118,7 +118,7 @@
   for (uint32_t i = 0; i < n_entries; i++)
     if (entries[i].members)
       kill_entry (&entries[i]);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 static uint64_t
@@ -155,10 +155,10 @@
   uint64_t n_polls;
 
   start_fleet (n, SLOWDOWN);
-  platform_world_run_ms (&w, MEASURED_MS);
+  platform_fixture_run_ms (&w, MEASURED_MS);
   rows = rows_read ();
   n_polls = polls ();
-  platform_world_run_ms (&w, MEASURED_MS);
+  platform_fixture_run_ms (&w, MEASURED_MS);
   rows = rows_read () - rows;
   n_polls = polls () - n_polls;
   stop_fleet ();
@@ -190,13 +190,13 @@
   for (int i = 3; i < 7; i++)
     kill_entry (&entries[i]);
   expected_alive = 28;
-  cr_assert (platform_world_until (&w, all_agree, NULL));
+  cr_assert (platform_fixture_run_until (&w, all_agree, NULL));
   cr_expect (wy_members_holder_is_gone (entries[0].members, "e3/1"));
   for (int i = 3; i < 7; i++)
     start_entry (&entries[i], 2);
   expected_alive = 32;
-  cr_assert (platform_world_until (&w, all_agree, NULL));
-  cr_expect (platform_world_until (&w, knows_holder, NULL));
+  cr_assert (platform_fixture_run_until (&w, all_agree, NULL));
+  cr_expect (platform_fixture_run_until (&w, knows_holder, NULL));
   cr_expect (wy_members_holder_is_gone (entries[0].members, "e3/1"));
   stop_fleet ();
 }
@@ -221,9 +221,9 @@
   wy_members_partition (entries[3].members->position, part);
   wy_platform_store_put (w.store, WY_MEMBERS_TABLE, part, entries[3].node,
                          "{\"holder\":\"e3/1\",\"failed\":true}");
-  cr_assert (platform_world_until (&w, has_rewritten, part));
-  cr_assert (platform_world_until (&w, all_agree, NULL));
-  cr_expect (platform_world_until (&w, knows_holder, NULL));
+  cr_assert (platform_fixture_run_until (&w, has_rewritten, part));
+  cr_assert (platform_fixture_run_until (&w, all_agree, NULL));
+  cr_expect (platform_fixture_run_until (&w, knows_holder, NULL));
   stop_fleet ();
 }
 
--- a/tests/test_members_time.c
+++ b/tests/test_members_time.c
@@ -5,7 +5,7 @@
 
 #include "base/id.h"
 #include "gate/members.h"
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
 enum
 {
@@ -14,7 +14,7 @@
   ENTRIES = 7
 };
 
-static struct platform_world w;
+static struct platform_fixture w;
 static struct wy_members *members;
 
 static void
@@ -56,9 +56,9 @@
 {
   struct wy_members_options o = { .env = &w.env, .address = "127.0.0.1:2" };
 
-  platform_world_init (&w);
-  platform_world_add_env (&w, "own");
-  platform_world_set_routing (&w, WY_ROUTE_IDEMPOTENT, 1);
+  platform_fixture_init (&w);
+  platform_fixture_add_env (&w, "own");
+  platform_fixture_set_routing (&w, WY_ROUTE_IDEMPOTENT, 1);
   members = wy_members_new (&o);
 }
 
@@ -66,7 +66,7 @@
 stop (void)
 {
   wy_members_free (members);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* The clocks of two entries have stepped.  Guards against usage windows that
@@ -76,8 +76,8 @@
   start ();
   for (int i = 0; i < ENTRIES; i++)
     report (i, EPOCH_MS + (i < 2 ? STEP_MS : i), 7, 0);
-  cr_assert (platform_world_until (&w, knows_all, NULL));
-  platform_world_run_ms (&w, 300);
+  cr_assert (platform_fixture_run_until (&w, knows_all, NULL));
+  platform_fixture_run_ms (&w, 300);
   cr_expect_geq (wy_members_epoch_ms (members), EPOCH_MS);
   cr_expect_leq (wy_members_epoch_ms (members), EPOCH_MS + ENTRIES);
   stop ();
@@ -93,8 +93,8 @@
   wy_members_watch_load (members, true);
   for (int i = 0; i < ENTRIES; i++)
     report (i, EPOCH_MS, i == 3 ? 6 : i == 4 ? -1 : 8, 0.5);
-  cr_assert (platform_world_until (&w, knows_all, NULL));
-  cr_assert (platform_world_until (&w, knows_load, NULL));
+  cr_assert (platform_fixture_run_until (&w, knows_all, NULL));
+  cr_assert (platform_fixture_run_until (&w, knows_load, NULL));
   cr_expect_eq (wy_members_usage_complete (members), 6);
   cr_expect_float_eq (wy_members_busy_slots (members, "svc", "z1"), 3.5,
                       0.001);
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -6,9 +6,9 @@
 #include "orders/orderer_state.h"
 #include "platform/config_wire.h"
 #include "platform/replica_wire.h"
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
-static struct platform_world w;
+static struct platform_fixture w;
 static struct wy_orders_settings settings;
 static struct wy_orderer_daemon *d;
 static char target[32];
@@ -39,9 +39,9 @@
 {
   struct wy_platform_replica *r;
 
-  platform_world_init (&w);
-  platform_world_add_env (&w, "unused");
-  r = platform_world_add_replica (&w, "m", 1);
+  platform_fixture_init (&w);
+  platform_fixture_add_env (&w, "unused");
+  r = platform_fixture_add_replica (&w, "m", 1);
   wy_platform_replica_faults (r)->order_load_ms = 30;
   snprintf (target, sizeof target, "127.0.0.1:%u",
             wy_platform_replica_port (r));
@@ -60,7 +60,7 @@
 stop (void)
 {
   wy_orderer_daemon_free (d);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 static bool
@@ -87,7 +87,7 @@
 static bool
 gets_loaded (int64_t version)
 {
-  return platform_world_until (&w, has_version, &version);
+  return platform_fixture_run_until (&w, has_version, &version);
 }
 
 Test (orders, requested_version_is_loaded_once)
@@ -95,7 +95,7 @@
   start ();
   request_version (2);
   cr_expect (gets_loaded (2));
-  platform_world_run_ms (&w, 300);
+  platform_fixture_run_ms (&w, 300);
   cr_expect_eq (wy_platform_replica_orders (w.replicas[0]), 1);
   request_version (3);
   cr_expect (gets_loaded (3));
@@ -111,7 +111,7 @@
   wy_platform_replica_faults (w.replicas[0])->lose_order_response = 1;
   request_version (2);
   cr_expect (gets_loaded (2));
-  platform_world_run_ms (&w, 300);
+  platform_fixture_run_ms (&w, 300);
   cr_expect_eq (wy_platform_replica_orders (w.replicas[0]), 1);
   stop ();
 }
@@ -129,7 +129,7 @@
   before
       = wy_platform_store_value (w.store, "wy-orderers", target, "generation");
   wy_orderer_daemon_free (d);
-  platform_world_run_ms (&w, 20);
+  platform_fixture_run_ms (&w, 20);
   start_daemon ();
   request_version (3);
   cr_expect (gets_loaded (3));
@@ -161,10 +161,10 @@
   start ();
   wy_platform_replica_faults (w.replicas[0])->order_load_ms = 60000;
   request_version (2);
-  cr_assert (platform_world_until (&w, has_ordered, NULL));
+  cr_assert (platform_fixture_run_until (&w, has_ordered, NULL));
   wy_platform_replica_faults (w.replicas[0])->order_load_ms = 0;
   wy_platform_replica_restart (w.replicas[0]);
-  cr_assert (platform_world_until (&w, has_cleared_order, NULL));
+  cr_assert (platform_fixture_run_until (&w, has_cleared_order, NULL));
   cr_expect_lt (wy_orderer_now_ms (d) - ordered_ms, 1500);
   cr_expect (gets_loaded (2));
   stop ();
@@ -174,12 +174,12 @@
    must not send orders; once the store is reachable, it must.  */
 Test (orders, no_order_without_a_generation)
 {
-  platform_world_init (&w);
-  platform_world_free (&w);
+  platform_fixture_init (&w);
+  platform_fixture_free (&w);
   start ();
   wy_platform_store_faults (w.store)->respond_503 = 1000000;
   request_version (2);
-  platform_world_run_ms (&w, 300);
+  platform_fixture_run_ms (&w, 300);
   cr_expect_eq (wy_platform_replica_orders (w.replicas[0]), 0);
   wy_platform_store_faults (w.store)->respond_503 = 0;
   cr_expect (gets_loaded (2));
@@ -190,28 +190,28 @@
 Test (orders, metrics)
 {
   char metrics[32];
-  struct platform_answer *a;
+  struct platform_response *a;
   struct wy_h1_header host = { "Host", "m" };
 
   start ();
   wy_orderer_daemon_free (d);
-  platform_world_run_ms (&w, 50);
+  platform_fixture_run_ms (&w, 50);
   snprintf (metrics, sizeof metrics, "127.0.0.1:%u",
-            platform_world_free_port (&w));
+            platform_fixture_free_port (&w));
   settings.metrics = metrics;
   start_daemon ();
   request_version (2);
   cr_expect (gets_loaded (2));
-  platform_world_run_ms (&w, 300);
-  a = platform_world_call (&w, wy_h1_server_port (d->metrics.server), "GET",
-                           "/metrics", &host, 1, NULL);
-  cr_assert (platform_world_until (&w, platform_answer_done, a));
+  platform_fixture_run_ms (&w, 300);
+  a = platform_fixture_call (&w, wy_h1_server_port (d->metrics.server), "GET",
+                             "/metrics", &host, 1, NULL);
+  cr_assert (platform_fixture_run_until (&w, platform_response_done, a));
   cr_expect_eq (a->status, 200);
   cr_expect_not_null (strstr (a->body->str, "\nwy_orderer_version_held 2\n"),
                       "%s", a->body->str);
   cr_expect_not_null (
       strstr (a->body->str, "wy_orderer_orders_total{outcome=\"accepted\"}"));
-  platform_answer_free (a);
+  platform_response_free (a);
   stop ();
 }
 
@@ -223,12 +223,12 @@
 
   start ();
   wy_orderer_daemon_free (d);
-  platform_world_run_ms (&w, 50);
+  platform_fixture_run_ms (&w, 50);
   entry = wy_platform_replica_row_value (w.replicas[0], "svc", "ready", NULL);
   wy_platform_store_delete (w.store, WY_REPLICA_TABLE, "", "i-1");
   start_daemon ();
   request_version (2);
-  platform_world_run_ms (&w, 700);
+  platform_fixture_run_ms (&w, 700);
   cr_expect_eq (wy_platform_replica_connections (w.replicas[0]), 0);
   wy_platform_store_put (w.store, WY_REPLICA_TABLE, "", "i-1", entry);
   cr_expect (gets_loaded (2));
@@ -265,10 +265,10 @@
 {
   start ();
   wy_orderer_daemon_free (d);
-  platform_world_run_ms (&w, 50);
+  platform_fixture_run_ms (&w, 50);
   list_others ("127.0.0.1");
   start_daemon ();
-  platform_world_run_ms (&w, 500);
+  platform_fixture_run_ms (&w, 500);
   cr_assert_not_null (d);
   cr_expect_str_eq (d->id, "i-1");
   cr_expect_eq (d->replicas, OTHERS + 1);
@@ -321,7 +321,7 @@
 
   start ();
   wy_orderer_daemon_free (d);
-  platform_world_run_ms (&w, 50);
+  platform_fixture_run_ms (&w, 50);
   for (uint64_t i = 0; i < ENTRIES; i++)
     {
       uint64_t position = wy_hash64 (&i, sizeof i, 0);
@@ -334,7 +334,7 @@
                              "127.0.0.1:9");
     }
   start_daemon ();
-  cr_assert (platform_world_until (&w, has_relays, NULL));
+  cr_assert (platform_fixture_run_until (&w, has_relays, NULL));
   wy_rows_stats (d->rows, &s);
   cr_expect_geq (d->n_relays, 4);
   cr_expect_leq (
--- a/tests/test_proxy.c
+++ b/tests/test_proxy.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 #include "gate/proxy.h"
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
-static struct platform_world w;
+static struct platform_fixture w;
 static struct wy_h1_server *server;
 
 static void
@@ -25,9 +25,9 @@
           .limits = { 65536, 1 << 20, 1000, 10000, 1 << 24 },
           .on_request = on_request };
 
-  platform_world_init (&w);
-  platform_world_add_env (&w, "n1");
-  platform_world_set_routing (&w, kind, attempts);
+  platform_fixture_init (&w);
+  platform_fixture_add_env (&w, "n1");
+  platform_fixture_set_routing (&w, kind, attempts);
   cr_assert_eq (wy_h1_server_new (&server, &o), 0);
 }
 
@@ -35,26 +35,26 @@
 stop (void)
 {
   wy_h1_server_free (server);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
-static struct platform_answer *
+static struct platform_response *
 start_request (const char *time_left_ms)
 {
   struct wy_h1_header fields[] = { { "Host", "h" },
                                    { "Attempt-Id", "a-1" },
                                    { "Deadline-Milliseconds", time_left_ms } };
 
-  return platform_world_call (&w, wy_h1_server_port (server), "POST", "/p/x",
-                              fields, 3, "hello");
+  return platform_fixture_call (&w, wy_h1_server_port (server), "POST", "/p/x",
+                                fields, 3, "hello");
 }
 
-static struct platform_answer *
+static struct platform_response *
 send_request (const char *time_left_ms)
 {
-  struct platform_answer *a = start_request (time_left_ms);
+  struct platform_response *a = start_request (time_left_ms);
 
-  cr_assert (platform_world_until (&w, platform_answer_done, a));
+  cr_assert (platform_fixture_run_until (&w, platform_response_done, a));
   return a;
 }
 
@@ -139,11 +139,11 @@
 {
   for (size_t i = 0; i < sizeof rows / sizeof *rows; i++)
     {
-      struct platform_answer *a;
+      struct platform_response *a;
 
       start (rows[i].kind, 2);
       inject (wy_platform_replica_faults (
-                  platform_world_add_replica (&w, NULL, 0)),
+                  platform_fixture_add_replica (&w, NULL, 0)),
               rows[i].fault);
       /* The second replica is in another availability zone, so that the faulty
          one is chosen first.  */
@@ -152,7 +152,7 @@
         {
           struct wy_replica far = wy_targets_find (w.env.targets, "i-1")->info;
 
-          platform_world_add_replica (&w, NULL, 0);
+          platform_fixture_add_replica (&w, NULL, 0);
           far = wy_targets_find (w.env.targets, "i-2")->info;
           g_strlcpy (far.availability_zone, "far",
                      sizeof far.availability_zone);
@@ -164,7 +164,7 @@
         cr_expect_str_eq (a->body->str, "hello", "row %zu", i);
       cr_expect_eq (total_runs (), rows[i].runs, "row %zu: %u runs", i,
                     total_runs ());
-      platform_answer_free (a);
+      platform_response_free (a);
       stop ();
     }
 }
@@ -173,7 +173,7 @@
    at its deadline.  */
 Test (proxy, no_target_fails_at_once)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   int64_t started_ms;
 
   start (WY_ROUTE_IDEMPOTENT, 2);
@@ -182,7 +182,7 @@
   cr_expect_eq (a->status, 503);
   cr_expect_not_null (a->retry_after);
   cr_expect_lt (wy_clock_mono_ms (wy_clock_system ()) - started_ms, 5000);
-  platform_answer_free (a);
+  platform_response_free (a);
   stop ();
 }
 
@@ -190,17 +190,17 @@
    that does not claim that the request has not run.  */
 Test (proxy, unresponsive_replicas_time_out)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
 
   start (WY_ROUTE_IDEMPOTENT, 2);
   for (int i = 0; i < 2; i++)
-    wy_platform_replica_faults (platform_world_add_replica (&w, NULL, 0))
+    wy_platform_replica_faults (platform_fixture_add_replica (&w, NULL, 0))
         ->silent
         = true;
   a = send_request ("500");
   cr_expect_eq (a->status, 504);
-  cr_expect_null (a->stamp);
-  platform_answer_free (a);
+  cr_expect_null (a->response_stamp);
+  platform_response_free (a);
   stop ();
 }
 
@@ -208,20 +208,21 @@
    second replica's response long before the deadline.  */
 Test (proxy, unresponsive_replica_is_hedged)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   struct wy_replica far;
 
   start (WY_ROUTE_IDEMPOTENT, 2);
-  wy_platform_replica_faults (platform_world_add_replica (&w, NULL, 0))->silent
+  wy_platform_replica_faults (platform_fixture_add_replica (&w, NULL, 0))
+      ->silent
       = true;
-  platform_world_add_replica (&w, NULL, 0);
+  platform_fixture_add_replica (&w, NULL, 0);
   far = wy_targets_find (w.env.targets, "i-2")->info;
   g_strlcpy (far.availability_zone, "far", sizeof far.availability_zone);
   wy_targets_set (w.env.targets, &far);
   a = send_request ("1900");
   cr_expect_eq (a->status, 200);
   cr_expect_eq (*w.env.count.hedges, 1);
-  platform_answer_free (a);
+  platform_response_free (a);
   stop ();
 }
 
@@ -230,23 +231,24 @@
    for the hedge.  */
 Test (proxy, unresponsive_replica_is_avoided)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   struct wy_replica far;
 
   start (WY_ROUTE_IDEMPOTENT, 2);
-  wy_platform_replica_faults (platform_world_add_replica (&w, NULL, 0))->silent
+  wy_platform_replica_faults (platform_fixture_add_replica (&w, NULL, 0))
+      ->silent
       = true;
-  platform_world_add_replica (&w, NULL, 0);
+  platform_fixture_add_replica (&w, NULL, 0);
   far = wy_targets_find (w.env.targets, "i-2")->info;
   g_strlcpy (far.availability_zone, "far", sizeof far.availability_zone);
   wy_targets_set (w.env.targets, &far);
   a = send_request ("1900");
-  platform_answer_free (a);
+  platform_response_free (a);
   cr_assert_eq (*w.env.count.hedges, 1);
   a = send_request ("1900");
   cr_expect_eq (a->status, 200);
   cr_expect_eq (*w.env.count.hedges, 1);
-  platform_answer_free (a);
+  platform_response_free (a);
   stop ();
 }
 
@@ -254,7 +256,7 @@
    event complete and once, from any replica, and a regular end.  */
 Test (proxy, interrupted_stream_resumes_on_another_replica)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   GString *want = g_string_new (NULL);
   char text[64];
 
@@ -262,7 +264,7 @@
   for (int i = 0; i < 2; i++)
     {
       struct wy_platform_replica_faults *f = wy_platform_replica_faults (
-          platform_world_add_replica (&w, "m", 8));
+          platform_fixture_add_replica (&w, "m", 8));
 
       f->abort_streams = 1;
       f->abort_after_events = 3;
@@ -276,7 +278,7 @@
   cr_expect_eq (a->status, 200);
   cr_expect_str_eq (a->body->str, want->str);
   g_string_free (want, TRUE);
-  platform_answer_free (a);
+  platform_response_free (a);
   stop ();
 }
 
@@ -295,14 +297,14 @@
 /* When the caller hangs up, the run on the replica must be cancelled.  */
 Test (proxy, hangup_reaches_the_replica)
 {
-  struct platform_answer *a;
+  struct platform_response *a;
   struct wy_platform_replica *r;
 
   start (WY_ROUTE_STREAM, 2);
-  r = platform_world_add_replica (&w, "m", 1000);
+  r = platform_fixture_add_replica (&w, "m", 1000);
   a = start_request ("1900");
-  cr_assert (platform_world_until (&w, something_runs, r));
-  platform_answer_free (a);
-  cr_expect (platform_world_until (&w, nothing_runs, r));
+  cr_assert (platform_fixture_run_until (&w, something_runs, r));
+  platform_response_free (a);
+  cr_expect (platform_fixture_run_until (&w, nothing_runs, r));
   stop ();
 }
--- a/tests/test_results.c
+++ b/tests/test_results.c
@@ -6,7 +6,7 @@
 
 #include "jobs/staleness.h"
 #include "jobs/result_rows.h"
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
 enum
 {
@@ -156,24 +156,24 @@
    each version.  */
 Test (staleness, rows_do_not_grow_with_entries)
 {
-  static struct platform_world w;
+  static struct platform_fixture w;
   char node[16];
   struct wy_staleness *staleness[ENTRIES];
 
-  platform_world_init (&w);
-  platform_world_add_env (&w, node);
+  platform_fixture_init (&w);
+  platform_fixture_add_env (&w, node);
   for (int i = 0; i < ENTRIES; i++)
     {
       snprintf (node, sizeof node, "e%d", i);
       staleness[i] = wy_staleness_new (&w.env);
       wy_staleness_version_announced (staleness[i], "m", 5);
       wy_staleness_job_accepted (staleness[i], "m", 4);
-      platform_world_run_ms (&w, 5);
+      platform_fixture_run_ms (&w, 5);
     }
-  platform_world_run_ms (&w, 100);
+  platform_fixture_run_ms (&w, 100);
   cr_expect_eq (wy_platform_store_row_count (w.store, WY_STALENESS_TABLE, "m"),
                 1);
   for (int i = 0; i < ENTRIES; i++)
     wy_staleness_free (staleness[i]);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "rows/rows.h"
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
 struct result
 {
@@ -14,7 +14,7 @@
   int64_t version;
 };
 
-static struct platform_world w;
+static struct platform_fixture w;
 
 static void
 on_result (void *ctx, const struct wy_rows_result *r)
@@ -46,15 +46,15 @@
   struct result r = { 0 };
 
   wy_rows_tx (w.env.rows, &tx, on_result, &r);
-  cr_assert (platform_world_until (&w, is_done, &r));
+  cr_assert (platform_fixture_run_until (&w, is_done, &r));
   return r;
 }
 
 static void
 start_world (void)
 {
-  platform_world_init (&w);
-  platform_world_add_env (&w, "n1");
+  platform_fixture_init (&w);
+  platform_fixture_add_env (&w, "n1");
 }
 
 Test (rows, condition_must_hold)
@@ -67,7 +67,7 @@
   cr_expect_gt (r.version, 0);
   cr_expect_eq (write_row ("k", "2", 0).err, WY_ROWS_ECONFLICT);
   cr_expect_eq (write_row ("k", "2", r.version).err, 0);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* Jobs are dated by the store's clock, since the clocks of the entries differ.
@@ -82,7 +82,7 @@
   now_ms = wy_rows_store_now_ms (w.env.rows);
   cr_expect_gt (now_ms, 0);
   cr_expect_leq (ABS (now_ms - (int64_t)uv_now (&w.loop)), 1000);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* The store rejects a call, is over its rate limit, loses its response or
@@ -106,7 +106,7 @@
   cr_expect_eq (write_row ("b", "1", 0).err, WY_ROWS_EUNKNOWN);
   f->silent = false;
   cr_expect_eq (write_row ("b", "1", 0).err, 0);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 static void
@@ -127,7 +127,7 @@
 put_object (const char *name, const char *bytes, size_t n, struct result *r)
 {
   wy_rows_put_object (w.env.rows, name, bytes, n, on_result, r);
-  platform_world_run_ms (&w, 20);
+  platform_fixture_run_ms (&w, 20);
 }
 
 /* The store stops responding and recovers.  Calls sent in between get no
@@ -145,10 +145,10 @@
   start_with_clock (&clock);
   wy_platform_store_faults (w.store)->silent = true;
   wy_rows_tx (w.env.rows, &tx, on_result, &old);
-  platform_world_run_ms (&w, 20);
+  platform_fixture_run_ms (&w, 20);
   wy_clock_manual_advance (&clock, 500);
   wy_rows_tx (w.env.rows, &tx, on_result, &young);
-  platform_world_run_ms (&w, 20);
+  platform_fixture_run_ms (&w, 20);
   wy_platform_store_faults (w.store)->silent = false;
   wy_clock_manual_advance (&clock, 200);
   write_row ("b", "1", 0);
@@ -156,7 +156,7 @@
   cr_expect_eq (old.err, WY_ROWS_EUNKNOWN);
   /* Not sent early enough to count as lost.  */
   cr_expect (!young.done);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* The response to a put of a job's body is lost.  Its timeout must depend on
@@ -177,15 +177,15 @@
   put_object ("small", bytes, 1, &small);
   put_object ("large", bytes, LARGE_BYTES, &large);
   wy_clock_manual_advance (&clock, 2100);
-  platform_world_run_ms (&w, 250);
+  platform_fixture_run_ms (&w, 250);
   cr_expect (small.done);
   cr_expect_eq (small.err, WY_ROWS_EUNKNOWN);
   cr_expect (!large.done);
   wy_clock_manual_advance (&clock, 2100);
-  platform_world_run_ms (&w, 250);
+  platform_fixture_run_ms (&w, 250);
   cr_expect (large.done);
   g_free (bytes);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* On a slow store an object takes longer than many rows.  Rows with a response
@@ -206,7 +206,7 @@
   write_row ("b", "1", 0);
   write_row ("c", "1", 0);
   cr_expect (object.done);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* The store performs a write long after its sender has given it up and has
@@ -223,11 +223,11 @@
   f->delay_tx_ms = 60;
   cr_expect_eq (write_row ("a", "old", 0).err, WY_ROWS_EUNKNOWN);
   cr_expect_eq (write_row ("a", "new", 0).err, 0);
-  platform_world_run_ms (&w, 120);
+  platform_fixture_run_ms (&w, 120);
   value = wy_platform_store_value (w.store, "t", "", "a");
   cr_expect_str_eq (value, "new");
   g_free (value);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 static struct wy_rows *peer_rows;
@@ -296,7 +296,7 @@
   wy_rows_free (peer_rows);
   wy_h1_server_free (rejecting);
   wy_h1_server_free (relay);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* The store rejects the peer that forwards a call as well.  The call was not
@@ -329,7 +329,7 @@
   wy_rows_free (peer_rows);
   wy_h1_server_free (rejecting);
   wy_h1_server_free (relay);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* Many processes start at once, and some calls of each are over the store's
@@ -351,5 +351,5 @@
   cr_expect_eq (stats.relayed, 0);
   cr_expect (stats.direct_ok);
   cr_expect_eq (write_row ("a", "1", 0).err, 0);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
--- a/tests/test_scores.c
+++ b/tests/test_scores.c
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/job_world.h"
+#include "support/job_fixture.h"
 
 /* In base64: a body that the stand-in scores, and one that it fails to
    score.  */
@@ -21,30 +21,30 @@
 static void
 start (int scorers)
 {
-  job_world_start (1);
+  job_fixture_start (1);
   for (int i = 0; i < scorers; i++)
-    platform_world_add_scorer (&job_world, "h");
+    platform_fixture_add_scorer (&job_fixture, "h");
 }
 
 static void
 submit (const char *scorer_body)
 {
-  char *body = job_world_scored_body ("h", scorer_body);
+  char *body = job_fixture_scored_body ("h", scorer_body);
 
-  cr_assert_eq (job_world_submit_body ("j1", body), 202);
+  cr_assert_eq (job_fixture_submit_body ("j1", body), 202);
   g_free (body);
 }
 
 static struct wy_platform_replica_faults *
 faults (int replica)
 {
-  return wy_platform_replica_faults (job_world.replicas[replica]);
+  return wy_platform_replica_faults (job_fixture.replicas[replica]);
 }
 
 static uint32_t
 runs (int replica)
 {
-  return wy_platform_replica_runs (job_world.replicas[replica]);
+  return wy_platform_replica_runs (job_fixture.replicas[replica]);
 }
 
 /* Check that each result has the stamp of the response to its own item's
@@ -52,15 +52,15 @@
 static void
 check_scores (void)
 {
-  job_world_check_all ("j1");
+  job_fixture_check_results ("j1");
   for (uint32_t n = 0; n < JOB_ITEMS; n++)
     {
-      json_t *r = job_world_await ("j1", n);
-      char *own = g_strdup_printf ("sc-%s.", job_world_text (r, "id") + 3);
+      json_t *r = job_fixture_await_result ("j1", n);
+      char *own = g_strdup_printf ("sc-%s.", job_fixture_string (r, "id") + 3);
 
-      cr_expect (g_str_has_prefix (job_world_text (r, "score"), own),
-                 "%s has the score %s", job_world_text (r, "id"),
-                 job_world_text (r, "score"));
+      cr_expect (g_str_has_prefix (job_fixture_string (r, "score"), own),
+                 "%s has the score %s", job_fixture_string (r, "id"),
+                 job_fixture_string (r, "score"));
       g_free (own);
       json_decref (r);
     }
@@ -70,17 +70,17 @@
 texts_are_complete (void *ctx)
 {
   return runs (ENGINE) >= JOB_ITEMS
-         && wy_platform_replica_running (job_world.replicas[ENGINE]) == 0;
+         && wy_platform_replica_running (job_fixture.replicas[ENGINE]) == 0;
 }
 
 static void
 start_successor (void)
 {
-  job_world_stop_entry ();
-  platform_world_run_ms (&job_world, 50);
-  g_free ((char *)job_world.env.holder);
-  job_world.env.holder = g_strdup ("n1/2");
-  job_world_start_entry ();
+  job_fixture_stop_entry ();
+  platform_fixture_run_ms (&job_fixture, 50);
+  g_free ((char *)job_fixture.env.holder);
+  job_fixture.env.holder = g_strdup ("n1/2");
+  job_fixture_start_entry ();
 }
 
 Test (scores, each_text_has_its_own_score)
@@ -90,7 +90,7 @@
   check_scores ();
   cr_expect_eq (runs (ENGINE), JOB_ITEMS);
   cr_expect_eq (runs (SCORER) + runs (OTHER_SCORER), JOB_ITEMS);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* The scoring service rejects calls, loses responses, cuts connections,
@@ -110,8 +110,8 @@
   submit (SCORED);
   check_scores ();
   cr_expect_eq (runs (ENGINE), JOB_ITEMS);
-  cr_expect_geq (*job_world.env.count.score_calls_failed, 10);
-  job_world_stop ();
+  cr_expect_geq (*job_fixture.env.count.score_calls_failed, 10);
+  job_fixture_stop ();
 }
 
 /* The service itself fails to score a text each time.  The item must be given
@@ -123,16 +123,16 @@
   submit (UNSCORED);
   for (uint32_t n = 0; n < JOB_ITEMS; n++)
     {
-      json_t *r = job_world_await ("j1", n);
+      json_t *r = job_fixture_await_result ("j1", n);
 
-      cr_expect_str_eq (job_world_text (r, "state"), "abandoned");
+      cr_expect_str_eq (job_fixture_string (r, "state"), "abandoned");
       cr_expect_null (json_object_get (r, "score"));
       json_decref (r);
     }
   /* Three attempts by the job's route, two by the scorer's.  */
   cr_expect_eq (runs (SCORER) + runs (OTHER_SCORER), 3 * JOB_ITEMS);
   cr_expect_eq (runs (ENGINE), JOB_ITEMS);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 static char *
@@ -166,18 +166,18 @@
 
   start (2);
   faults (SCORER)->response_ms = 50;
-  wy_targets_find (job_world.env.targets, "i-3")->avoid_until_ms = INT64_MAX;
-  cr_assert_eq (job_world_submit_body ("j1", body), 202);
+  wy_targets_find (job_fixture.env.targets, "i-3")->avoid_until_ms = INT64_MAX;
+  cr_assert_eq (job_fixture_submit_body ("j1", body), 202);
   for (uint32_t n = 0; n < OTHERS; n++)
     {
-      json_t *r = job_world_await ("j1", n);
+      json_t *r = job_fixture_await_result ("j1", n);
 
-      cr_expect_str_eq (job_world_text (r, "state"), "completed");
+      cr_expect_str_eq (job_fixture_string (r, "state"), "completed");
       json_decref (r);
     }
   cr_expect_eq (runs (SCORER), FAILING + OTHERS);
   g_free (body);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* A replica accepts calls and never responds.  Each call must be hedged at
@@ -191,8 +191,8 @@
   submit (SCORED);
   check_scores ();
   cr_expect_eq (runs (ENGINE), JOB_ITEMS);
-  cr_expect_gt (*job_world.env.count.score_hedges, 0);
-  job_world_stop ();
+  cr_expect_gt (*job_fixture.env.count.score_hedges, 0);
+  job_fixture_stop ();
 }
 
 /* The holder of a job crashes while all its texts wait for their scores.  Its
@@ -203,14 +203,15 @@
   start (1);
   faults (SCORER)->silent = true;
   submit (SCORED);
-  cr_assert (platform_world_until (&job_world, texts_are_complete, NULL));
+  cr_assert (
+      platform_fixture_run_until (&job_fixture, texts_are_complete, NULL));
   /* Two intervals between checkpoints.  */
-  platform_world_run_ms (&job_world, 1200);
+  platform_fixture_run_ms (&job_fixture, 1200);
   faults (SCORER)->silent = false;
   start_successor ();
   check_scores ();
   cr_expect_eq (runs (ENGINE), JOB_ITEMS, "%u texts generated", runs (ENGINE));
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* The trainer ends its job while scores are requested.  No further call for it
@@ -222,14 +223,15 @@
   start (1);
   faults (SCORER)->response_ms = 200;
   submit (SCORED);
-  cr_assert (platform_world_until (&job_world, texts_are_complete, NULL));
-  cr_expect_eq (job_world_status ("DELETE", "/api/lots/j1"), 200);
-  platform_world_run_ms (&job_world, 50);
+  cr_assert (
+      platform_fixture_run_until (&job_fixture, texts_are_complete, NULL));
+  cr_expect_eq (job_fixture_status ("DELETE", "/api/lots/j1"), 200);
+  platform_fixture_run_ms (&job_fixture, 50);
   calls = runs (SCORER);
-  platform_world_run_ms (&job_world, 800);
+  platform_fixture_run_ms (&job_fixture, 800);
   cr_expect_eq (runs (SCORER), calls);
-  cr_expect_eq (wy_platform_replica_running (job_world.replicas[SCORER]), 0);
-  job_world_stop ();
+  cr_expect_eq (wy_platform_replica_running (job_fixture.replicas[SCORER]), 0);
+  job_fixture_stop ();
 }
 
 /* A scorer's host is unknown, or its route leads to jobs.  The submitter must
@@ -237,18 +239,18 @@
    listed.  */
 Test (scores, scorers_without_a_route)
 {
-  char *unknown = job_world_scored_body ("elsewhere", SCORED);
-  char *known = job_world_scored_body ("h", SCORED);
+  char *unknown = job_fixture_scored_body ("elsewhere", SCORED);
+  char *known = job_fixture_scored_body ("h", SCORED);
 
   start (0);
-  cr_expect_eq (job_world_submit_body ("j1", unknown), 400);
-  cr_expect_eq (job_world_submit_body ("j2", known), 400);
-  platform_world_add_scorer (&job_world, "h");
-  cr_expect_eq (job_world_submit_body ("j1", known), 202);
+  cr_expect_eq (job_fixture_submit_body ("j1", unknown), 400);
+  cr_expect_eq (job_fixture_submit_body ("j2", known), 400);
+  platform_fixture_add_scorer (&job_fixture, "h");
+  cr_expect_eq (job_fixture_submit_body ("j1", known), 202);
   check_scores ();
   g_free (unknown);
   g_free (known);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* The scorer's route is removed while texts wait, and added again.  The items
@@ -259,22 +261,23 @@
   struct wy_routing *without;
 
   start (1);
-  with = job_world.env.routing;
-  job_world.env.routing = NULL;
-  platform_world_set_routing (&job_world, WY_ROUTE_JOB, 3);
-  without = job_world.env.routing;
-  job_world.env.routing = with;
+  with = job_fixture.env.routing;
+  job_fixture.env.routing = NULL;
+  platform_fixture_set_routing (&job_fixture, WY_ROUTE_JOB, 3);
+  without = job_fixture.env.routing;
+  job_fixture.env.routing = with;
   faults (SCORER)->respond_not_run = 1000;
   submit (SCORED);
-  cr_assert (platform_world_until (&job_world, texts_are_complete, NULL));
-  job_world.env.routing = without;
-  platform_world_run_ms (&job_world, 400);
+  cr_assert (
+      platform_fixture_run_until (&job_fixture, texts_are_complete, NULL));
+  job_fixture.env.routing = without;
+  platform_fixture_run_ms (&job_fixture, 400);
   faults (SCORER)->respond_not_run = 0;
-  job_world.env.routing = with;
+  job_fixture.env.routing = with;
   check_scores ();
   cr_expect_eq (runs (ENGINE), JOB_ITEMS);
   wy_routing_free (without);
-  job_world_stop ();
+  job_fixture_stop ();
 }
 
 /* Callers use the service interactively while a whole step waits for its
@@ -287,10 +290,10 @@
   submit (SCORED);
   for (int k = 0; k < 200 && wy_jobs_running (job_entry.jobs); k++)
     {
-      cr_assert_lt (wy_platform_replica_running (job_world.replicas[SCORER]),
+      cr_assert_lt (wy_platform_replica_running (job_fixture.replicas[SCORER]),
                     4);
-      platform_world_run_ms (&job_world, 3);
+      platform_fixture_run_ms (&job_fixture, 3);
     }
   check_scores ();
-  job_world_stop ();
+  job_fixture_stop ();
 }
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -7,7 +7,7 @@
 #include "store/client.h"
 #include "support/fake_table.h"
 
-struct world
+struct fixture
 {
   uv_loop_t loop;
   struct fake_table *table;
@@ -20,7 +20,7 @@
 };
 
 static void
-world_init (struct world *w, uint32_t timeout_ms)
+fixture_init (struct fixture *w, uint32_t timeout_ms)
 {
   struct wy_store_options o = { .clock = wy_clock_system (), .seed = 7 };
   const struct wy_trace_options t
@@ -39,10 +39,10 @@
 }
 
 static void
-world_free (struct world *w)
+fixture_free (struct fixture *w)
 {
   wy_store_free (w->store);
-  close_loop (&w->loop);
+  drain_loop (&w->loop);
   fake_table_free (w->table);
   wy_trace_free (w->trace);
   g_free (w->conflict);
@@ -51,7 +51,7 @@
 static void
 on_done (void *ctx, const struct wy_store_result *r)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->answers++;
   w->ok += r->err == 0;
@@ -65,7 +65,7 @@
 }
 
 static void
-start_write (struct world *w, const char *key, int64_t rev, const char *op)
+start_write (struct fixture *w, const char *key, int64_t rev, const char *op)
 {
   json_t *value = json_pack ("{s:s}", "op", op);
   struct wy_store_condition c = { key, rev };
@@ -82,7 +82,7 @@
 }
 
 static void
-start_read (struct world *w)
+start_read (struct fixture *w)
 {
   const char *keys[] = { "a" };
   struct wy_store_read r = { .cause = "test", .keys = keys, .n_keys = 1 };
@@ -93,23 +93,23 @@
 static bool
 answered (void *ctx)
 {
-  return ((struct world *)ctx)->answers > 0;
+  return ((struct fixture *)ctx)->answers > 0;
 }
 
 static bool
 is_down (void *ctx)
 {
-  return wy_store_is_down (((struct world *)ctx)->store);
+  return wy_store_is_down (((struct fixture *)ctx)->store);
 }
 
 static bool
 is_back (void *ctx)
 {
-  return !wy_store_is_down (((struct world *)ctx)->store);
+  return !wy_store_is_down (((struct fixture *)ctx)->store);
 }
 
 static bool
-timeline_has (struct world *w, const char *event)
+timeline_has (struct fixture *w, const char *event)
 {
   GString *s = g_string_new (NULL);
   char *needle = g_strdup_printf ("\"ev\":\"%s\"", event);
@@ -124,9 +124,9 @@
 
 Test (store, write_then_conflict_shows_the_row_that_came_first)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, 0);
+  fixture_init (&w, 0);
   start_write (&w, "a", 0, "first");
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, 0);
@@ -136,7 +136,7 @@
   cr_assert_eq (w.err, WY_STORE_ECONFLICT);
   cr_assert_str_eq (w.conflict, "first");
   cr_assert_str_eq (fake_table_text (w.table, "a", "op"), "first");
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The table carries a write out and the connection breaks before the answer.
@@ -144,63 +144,63 @@
    is done twice.  */
 Test (store, lost_answer_is_settled_by_the_operation_id)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, 0);
-  w.table->lose_next = 1;
+  fixture_init (&w, 0);
+  w.table->lose_responses = 1;
   start_write (&w, "a", 0, "mine");
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.table->txns, 2);
   cr_assert_eq (w.table->rev, 1);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The connection breaks before the table has read the write.  A user who is
    told "done" finds nothing.  */
 Test (store, write_that_never_arrived_is_sent_again)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, 0);
-  w.table->drop_next = 1;
+  fixture_init (&w, 0);
+  w.table->drop_requests = 1;
   start_write (&w, "a", 0, "mine");
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.table->rev, 1);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* All answers are lost for as long as the call may last.  The write may have
    been carried out, and saying "not written" would be a lie.  */
 Test (store, write_without_any_answer_is_unknown)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, 0);
-  w.table->drop_next = 1000;
+  fixture_init (&w, 0);
+  w.table->drop_requests = 1000;
   start_write (&w, "a", 0, "mine");
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, WY_STORE_EUNKNOWN);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The table takes longer for an answer than one waits.  The write was carried
    out all the same.  */
 Test (store, write_that_timed_out_is_settled)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, 100);
-  w.table->slow_ms = 300;
+  fixture_init (&w, 100);
+  w.table->delay_ms = 300;
   start_write (&w, "a", 0, "mine");
   run_for (&w.loop, 120);
-  w.table->slow_ms = 0;
+  w.table->delay_ms = 0;
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.table->rev, 1);
   run_for (&w.loop, 300);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The table is down.  Callers must hear so at once and not wait for a timeout
@@ -208,10 +208,10 @@
    once.  */
 Test (store, outage_is_told_at_once_and_nothing_piles_up)
 {
-  struct world w;
+  struct fixture w;
   uint32_t refused;
 
-  world_init (&w, 0);
+  fixture_init (&w, 0);
   w.table->down = true;
   for (int i = 0; i < 5; i++)
     start_read (&w);
@@ -237,30 +237,30 @@
   start_read (&w);
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, 0);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The service says that it is asked too often.  Going on at the same pace
    keeps it refusing.  */
 Test (store, rate_limit_holds_all_calls_until_its_time)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, 0);
-  w.table->limit = 1;
+  fixture_init (&w, 0);
+  w.table->calls_until_429 = 1;
   start_read (&w);
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.table->reads, 1);
   cr_assert_not (timeline_has (&w, "store.outage"));
-  world_free (&w);
+  fixture_free (&w);
 }
 
 Test (store, objects_are_stored_and_read)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, 0);
+  fixture_init (&w, 0);
   wy_store_put_object (w.store, "test", "x/y", "bytes", 5, on_done, &w);
   cr_assert (run_until (&w.loop, answered, &w));
   w.answers = 0;
@@ -271,7 +271,7 @@
   wy_store_get_object (w.store, "test", "x/z", on_done, &w);
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, WY_STORE_EMISSING);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 Test (store, bad_address_is_refused)
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -4,15 +4,15 @@
 #include <string.h>
 
 #include "rows/watch.h"
-#include "support/platform_world.h"
+#include "support/platform_fixture.h"
 
-static struct platform_world w;
+static struct platform_fixture w;
 
 static void
 start_world (void)
 {
-  platform_world_init (&w);
-  platform_world_add_env (&w, "n1");
+  platform_fixture_init (&w);
+  platform_fixture_add_env (&w, "n1");
 }
 
 struct observed_table
@@ -59,7 +59,7 @@
 {
   f->expected_key = key;
   f->expected_value = value;
-  return platform_world_until (&w, has_expected, f);
+  return platform_fixture_run_until (&w, has_expected, f);
 }
 
 static struct wy_watch *
@@ -99,7 +99,7 @@
   wy_platform_store_delete (w.store, "t", "", "a");
   cr_expect (wait_for_value (&f, "/a", NULL));
   faults->silent = true;
-  platform_world_run_ms (&w, 50);
+  platform_fixture_run_ms (&w, 50);
   wy_platform_store_delete (w.store, "t", "", "b");
   wy_platform_store_put (w.store, "t", "", "c", "1");
   faults->compact_history = true;
@@ -107,7 +107,7 @@
   cr_expect (wait_for_value (&f, "/c", "1"));
   cr_expect (wait_for_value (&f, "/b", NULL));
   wy_watch_free (watch);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* A feed call gets no response and its connection stays open.  A change made
@@ -123,16 +123,16 @@
   wy_platform_store_put (w.store, "t", "", "a", "1");
   cr_expect (wait_for_value (&f, "/a", "1"));
   wy_platform_store_faults (w.store)->stall_feed = true;
-  platform_world_run_ms (&w, 50);
+  platform_fixture_run_ms (&w, 50);
   wy_platform_store_put (w.store, "t", "", "a", "2");
   wy_platform_store_put (w.store, "t", "", "b", "2");
   start_ms = wy_clock_mono_ms (wy_clock_system ());
   while (wy_clock_mono_ms (wy_clock_system ()) - start_ms < 1000)
-    platform_world_run_ms (&w, 50);
+    platform_fixture_run_ms (&w, 50);
   wy_platform_store_faults (w.store)->stall_feed = false;
   cr_expect (wait_for_value (&f, "/b", "2"));
   wy_watch_free (watch);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 Test (watch, all_partitions_of_a_table)
@@ -149,7 +149,7 @@
   wy_platform_store_put (w.store, "t", "p3", "k", "3");
   cr_expect (wait_for_value (&f, "p3/k", "3"));
   wy_watch_free (watch);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 static bool
@@ -186,7 +186,7 @@
   cr_expect_eq (g_hash_table_size (f.rows), ROWS);
   wy_watch_free (t);
   g_hash_table_destroy (f.rows);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
 
 /* All processes start at once and read a table of many partitions; a third of
@@ -217,13 +217,13 @@
     }
   wy_rows_stats (w.env.rows, &before);
   watch = start_watch (&f, true);
-  cr_assert (platform_world_until (&w, has_any, &f));
+  cr_assert (platform_fixture_run_until (&w, has_any, &f));
   wy_platform_store_faults (w.store)->respond_429 = REJECTED;
-  cr_assert (platform_world_until (&w, is_synced, &f));
+  cr_assert (platform_fixture_run_until (&w, is_synced, &f));
   cr_expect_eq (g_hash_table_size (f.rows), PARTITIONS);
   wy_rows_stats (w.env.rows, &after);
   cr_expect_leq (after.calls - before.calls,
                  PARTITIONS + REJECTED + OTHER_CALLS);
   wy_watch_free (watch);
-  platform_world_free (&w);
+  platform_fixture_free (&w);
 }
--- a/tests/test_yard_batch.c
+++ b/tests/test_yard_batch.c
@@ -2,14 +2,14 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/yard_world.h"
+#include "support/yard_fixture.h"
 
 #define STEP_1 "yard/y/trainer/t/step/1"
 
 static bool
 is_fixed (void *ctx)
 {
-  struct yard_world *w = ctx;
+  struct yard_fixture *w = ctx;
 
   return !strcmp (fake_table_text (w->table, STEP_1, "state"), "fixed");
 }
@@ -17,7 +17,7 @@
 static bool
 told_fixed (void *ctx)
 {
-  return yard_events (ctx, 0, "step.fixed") > 0;
+  return yard_count_events (ctx, 0, "step.fixed") > 0;
 }
 
 static uint32_t
@@ -44,111 +44,111 @@
 
 Test (batch, step_is_submitted_fixed_handed_and_acknowledged)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   char *ids;
   char *again;
 
-  yard_world_init (&w, 1);
-  yard_world_add (&w, 0);
+  yard_fixture_init (&w, 1);
+  yard_fixture_start_entry (&w, 0);
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
-  ids = yard_ids (&w);
+  ids = yard_sample_ids (&w);
   cr_assert_eq (lines_of (ids), 4);
   cr_assert_eq (json_integer_value (json_object_get (w.body, "oldest")), 1);
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
-  again = yard_ids (&w);
+  again = yard_sample_ids (&w);
   cr_assert_str_eq (ids, again);
   cr_assert_eq (yard_ack (&w, 0, 1), 200);
   cr_assert_eq (yard_ack (&w, 0, 1), 200);
   cr_assert_eq (yard_batch (&w, 0, 1), 410);
-  cr_assert_eq (yard_events (&w, 0, "step.submitted"), 1);
-  cr_assert_eq (yard_events (&w, 0, "step.fixed"), 1);
-  cr_assert_eq (yard_events (&w, 0, "step.handed"), 2);
-  cr_assert_eq (yard_events (&w, 0, "step.acked"), 1);
+  cr_assert_eq (yard_count_events (&w, 0, "step.submitted"), 1);
+  cr_assert_eq (yard_count_events (&w, 0, "step.fixed"), 1);
+  cr_assert_eq (yard_count_events (&w, 0, "step.handed"), 2);
+  cr_assert_eq (yard_count_events (&w, 0, "step.acked"), 1);
   g_free (ids);
   g_free (again);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* The transaction that fixes a batch takes effect and its answer is lost.
    Fixed again with other samples, the trainer would get one step twice.  */
 Test (batch, lost_answer_of_the_fixing_transaction)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   uint32_t started;
 
-  yard_world_init (&w, 1);
-  yard_world_add (&w, 0);
+  yard_fixture_init (&w, 1);
+  yard_fixture_start_entry (&w, 0);
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
-  w.table->lose_write = "step/1";
+  w.table->lose_response_key_suffix = "step/1";
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
-  cr_assert_null (w.table->lose_write, "no answer was lost");
+  cr_assert_null (w.table->lose_response_key_suffix, "no answer was lost");
   cr_assert (run_until (&w.loop, told_fixed, &w));
   started = w.entry[0].runner.started;
   run_for (&w.loop, 100);
-  cr_assert_eq (yard_events (&w, 0, "step.fixed"), 1);
+  cr_assert_eq (yard_count_events (&w, 0, "step.fixed"), 1);
   cr_assert_eq (w.entry[0].runner.started, started);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* The entry that fixed a batch dies before the trainer asks.  The trainer
    gets the same batch from another entry, and nothing is sampled twice.  */
 Test (batch, sampler_dies_between_fixing_and_handing_out)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   char *fixed;
 
-  yard_world_init (&w, 1);
-  yard_world_add (&w, 0);
+  yard_fixture_init (&w, 1);
+  yard_fixture_start_entry (&w, 0);
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   cr_assert (run_until (&w.loop, is_fixed, &w));
   fixed = g_strdup (fake_table_text (w.table, STEP_1, "batch"));
-  yard_world_drop (&w, 0);
-  yard_world_add (&w, 1);
+  yard_fixture_crash_entry (&w, 0);
+  yard_fixture_start_entry (&w, 1);
   cr_assert_eq (yard_batch (&w, 1, 1), 200);
   cr_assert_str_eq (fake_table_text (w.table, STEP_1, "batch"), fixed);
   cr_assert_eq (w.entry[1].runner.started, 0);
   g_free (fixed);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* The entry dies with a step half done.  Its samples are lost, and the next
    holder issues them again, so the trainer waits but gets a whole batch.  */
 Test (batch, sampler_dies_with_samples_under_way)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   json_int_t fence;
 
-  yard_world_init (&w, 1);
-  yard_world_add (&w, 0);
-  w.entry[0].runner.held = true;
+  yard_fixture_init (&w, 1);
+  yard_fixture_start_entry (&w, 0);
+  w.entry[0].runner.hold_outcomes = true;
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   while (w.entry[0].runner.started < 4)
     run_for (&w.loop, 5);
   fence = json_integer_value (json_object_get (
       fake_table_get (w.table, "lease/sampler/y/t/fence"), "fence"));
-  yard_world_drop (&w, 0);
-  yard_world_add (&w, 1);
+  yard_fixture_crash_entry (&w, 0);
+  yard_fixture_start_entry (&w, 1);
   cr_assert_eq (yard_batch (&w, 1, 1), 200);
   cr_assert_geq (w.entry[1].runner.started, 4);
   cr_assert_gt (json_integer_value (json_object_get (
                     fake_table_get (w.table, STEP_1), "fence")),
                 fence);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* A version was published before anybody saw the fixed batch, and its samples
    are now older than the bound.  They must not be trained on.  */
 Test (batch, too_old_before_the_first_hand_out_is_made_anew)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   char *old;
   char *ids;
   gsize n;
 
-  yard_world_init (&w, 0);
-  yard_world_add (&w, 0);
+  yard_fixture_init (&w, 0);
+  yard_fixture_start_entry (&w, 0);
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   cr_assert (run_until (&w.loop, is_fixed, &w));
   old = json_dumps (
@@ -160,13 +160,13 @@
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
   cr_assert_eq (json_integer_value (json_object_get (w.body, "oldest")), 2);
   cr_assert_eq (json_integer_value (json_object_get (w.body, "current")), 2);
-  ids = yard_ids (&w);
+  ids = yard_sample_ids (&w);
   n = lines_of (ids);
   cr_assert_eq (n, 4);
   cr_assert_not (share_a_line (ids, old), "a sample was delivered twice");
   free (old);
   g_free (ids);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* The trainer read its batch, published, and reads again after a restart.
@@ -174,10 +174,10 @@
    batch is too old to be trained on now.  */
 Test (batch, handed_out_batch_is_never_replaced)
 {
-  struct yard_world w;
+  struct yard_fixture w;
 
-  yard_world_init (&w, 0);
-  yard_world_add (&w, 0);
+  yard_fixture_init (&w, 0);
+  yard_fixture_start_entry (&w, 0);
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
   cr_assert_eq (
@@ -186,40 +186,40 @@
   cr_assert_eq (yard_batch (&w, 0, 1), 409);
   cr_assert_str_eq (fake_table_text (w.table, STEP_1, "state"), "handed");
   cr_assert_eq (yard_ack (&w, 0, 1), 200);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* An engine lost count of what made its tokens.  The sample can't be
    attributed, and another is issued in its place.  */
 Test (batch, unproven_samples_are_dropped_and_back_filled)
 {
-  struct yard_world w;
+  struct yard_fixture w;
 
-  yard_world_init (&w, 1);
-  yard_world_add (&w, 0);
-  w.entry[0].runner.unproven_next = 2;
+  yard_fixture_init (&w, 1);
+  yard_fixture_start_entry (&w, 0);
+  w.entry[0].runner.gap_next = 2;
   w.entry[0].runner.crash_next = 1;
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
   cr_assert_eq (json_array_size (json_object_get (w.body, "samples")), 4);
-  cr_assert_eq (yard_count (&w, 0, "\"reason\":\"unproven\""), 2);
-  cr_assert_eq (yard_count (&w, 0, "\"reason\":\"crashed\""), 1);
-  cr_assert_eq (yard_count (&w, 0, "\"from\":1,"), 0);
-  yard_world_free (&w);
+  cr_assert_eq (yard_count_text (&w, 0, "\"reason\":\"unproven\""), 2);
+  cr_assert_eq (yard_count_text (&w, 0, "\"reason\":\"crashed\""), 1);
+  cr_assert_eq (yard_count_text (&w, 0, "\"from\":1,"), 0);
+  yard_fixture_free (&w);
 }
 
 /* Weights are swapped while samples run.  Each names both versions, and its
    age counts from the older.  */
 Test (batch, swap_in_mid_sample_gives_two_segments)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   const json_t *sample;
   const json_t *segments;
 
-  yard_world_init (&w, 1);
-  yard_world_add (&w, 0);
+  yard_fixture_init (&w, 1);
+  yard_fixture_start_entry (&w, 0);
   w.entry[0].runner.version = 2;
-  w.entry[0].runner.swap_next = 100;
+  w.entry[0].runner.mixed_versions_next = 100;
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
   cr_assert_eq (json_integer_value (json_object_get (w.body, "oldest")), 1);
@@ -229,22 +229,22 @@
   cr_assert_eq (json_integer_value (
                     json_object_get (json_array_get (segments, 1), "version")),
                 2);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* Engines refuse for a while because callers come first.  Refused samples
    keep their place and cost the step none of its spares.  */
 Test (batch, refused_samples_are_started_again)
 {
-  struct yard_world w;
+  struct yard_fixture w;
 
-  yard_world_init (&w, 1);
-  yard_world_add (&w, 0);
+  yard_fixture_init (&w, 1);
+  yard_fixture_start_entry (&w, 0);
   w.entry[0].runner.refuse_next = 40;
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
   cr_assert_eq (w.entry[0].runner.refuse_next, 0);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 Test (batch, bad_submissions_are_refused_with_the_reason)
@@ -271,13 +271,13 @@
     { "/v1/yards/x/weights", "{\"version\":1}", 404 },
     { "/v1/yards/y/weights", "{\"version\":0}", 422 },
   };
-  struct yard_world w;
+  struct yard_fixture w;
 
-  yard_world_init (&w, 1);
-  yard_world_add (&w, 0);
+  yard_fixture_init (&w, 1);
+  yard_fixture_start_entry (&w, 0);
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     cr_assert_eq (yard_call (&w, 0, "POST", cases[i].path, cases[i].body),
                   cases[i].status, "case %zu: %d", i, w.status);
   cr_assert_eq (yard_batch (&w, 0, 9), 404);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
--- a/tests/test_yard_rollout.c
+++ b/tests/test_yard_rollout.c
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "support/yard_world.h"
+#include "support/yard_fixture.h"
 
 #define TARGETS 6
 
@@ -132,11 +132,11 @@
 }
 
 static void
-init (struct yard_world *w, struct orderer *o)
+init (struct yard_fixture *w, struct orderer *o)
 {
   memset (o, 0, sizeof *o);
-  yard_world_init (w, 1);
-  w->ttl_ms = 3000;
+  yard_fixture_init (w, 1);
+  w->lease_ttl_ms = 3000;
   o->loop = &w->loop;
   o->base.order = order;
   o->base.targets = targets;
@@ -149,7 +149,7 @@
       o->target[i].version = 1;
     }
   w->orderer = &o->base;
-  yard_world_add (w, 0);
+  yard_fixture_start_entry (w, 0);
 }
 
 static uint32_t
@@ -175,14 +175,14 @@
 }
 
 static int
-publish_2 (struct yard_world *w)
+publish_2 (struct yard_fixture *w)
 {
   return yard_call (w, 0, "POST", "/v1/yards/y/weights", "{\"version\":2}");
 }
 
 Test (rollout, new_version_comes_to_all_targets_in_waves)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   struct orderer o;
   uint32_t from_store = 0;
   uint32_t from_peer = 0;
@@ -200,14 +200,14 @@
   cr_assert_lt (o.activating_max, TARGETS);
   cr_assert_eq (o.orders, 2 * TARGETS);
   run_for (&w.loop, 100);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* A swap fails twice.  The old version stays in force there, and the order is
    given again.  */
 Test (rollout, failed_swap_is_tried_again)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   struct orderer o;
 
   init (&w, &o);
@@ -216,7 +216,7 @@
   cr_assert (run_until (&w.loop, all_at_2, &o));
   cr_assert_eq (o.orders, 2 * TARGETS + 2);
   run_for (&w.loop, 100);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* All agents were restarted and each asks for its first order once more.
@@ -224,7 +224,7 @@
    make the new version late.  */
 Test (rollout, confirmation_is_no_failure)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   struct orderer o;
   uint32_t from_store = 0;
 
@@ -239,14 +239,14 @@
   cr_assert_eq (from_store, 4);
   cr_assert_eq (o.orders, 3 * TARGETS);
   run_for (&w.loop, 100);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* One target can't load weights at all, and others would get theirs from it.
    They come to the new version without it, and it is not asked for ever.  */
 Test (rollout, broken_target_holds_up_nobody)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   struct orderer o;
   uint32_t orders;
 
@@ -260,14 +260,14 @@
   cr_assert_leq (orders, 2 * (TARGETS - 1) + 4);
   run_for (&w.loop, 1000);
   cr_assert_leq (o.orders, orders + 1);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
 
 /* An engine restarts and comes back with the weights of its image.  Samples
    made there would be old without end.  */
 Test (rollout, target_that_restarts_with_old_weights_is_brought_up)
 {
-  struct yard_world w;
+  struct yard_fixture w;
   struct orderer o;
 
   init (&w, &o);
@@ -278,5 +278,5 @@
   o.target[3].staged = 0;
   cr_assert (run_until (&w.loop, all_at_2, &o));
   run_for (&w.loop, 100);
-  yard_world_free (&w);
+  yard_fixture_free (&w);
 }
--- a/tests/test_yard_scorer.c
+++ b/tests/test_yard_scorer.c
@@ -5,7 +5,7 @@
 #include "support/fake_table.h"
 #include "yard/scorer.h"
 
-struct world
+struct fixture
 {
   uv_loop_t loop;
   struct wy_yard_env env;
@@ -21,7 +21,7 @@
 static void
 on_request (struct wy_http_exchange *ex, void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->calls++;
   if (w->fail_next > 0)
@@ -36,7 +36,7 @@
 static void
 on_scored (void *ctx, int err, double score)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   w->answers++;
   w->err = err;
@@ -44,7 +44,7 @@
 }
 
 static void
-world_init (struct world *w, bool with_service)
+fixture_init (struct fixture *w, bool with_service)
 {
   const struct wy_http_server_options o = { .loop = &w->loop,
                                             .host = "127.0.0.1",
@@ -66,16 +66,16 @@
 }
 
 static void
-world_free (struct world *w)
+fixture_free (struct fixture *w)
 {
   wy_scorer_free (w->scorer);
   wy_http_server_free (w->server);
-  close_loop (&w->loop);
+  drain_loop (&w->loop);
   wy_http_client_free (w->env.o.http);
 }
 
 static struct wy_score_job *
-start (struct world *w)
+start (struct fixture *w)
 {
   const struct wy_score_request r = { .sample = "s",
                                       .prompt = "p",
@@ -89,7 +89,7 @@
 static bool
 answered (void *ctx)
 {
-  struct world *w = ctx;
+  struct fixture *w = ctx;
 
   wy_scorer_run (w->scorer);
   return w->answers > 0;
@@ -99,25 +99,25 @@
    is scored a little later and not thrown away.  */
 Test (scorer, failures_are_retried)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, true);
+  fixture_init (&w, true);
   w.fail_next = 3;
   start (&w);
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_float_eq (w.score, 0.5, 1e-9);
   cr_assert_eq (w.calls, 4);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 /* The service fails on and on, with many samples waiting.  Each sample has
    its share of repeats and no more, or the service would be flooded.  */
 Test (scorer, repeats_have_a_budget)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, true);
+  fixture_init (&w, true);
   w.fail_next = UINT32_MAX;
   for (int i = 0; i < 200; i++)
     start (&w);
@@ -129,15 +129,15 @@
   cr_assert_geq (w.calls, 200);
   cr_assert_leq (w.calls, 200 + 200 + 64, "%u calls", w.calls);
   w.fail_next = 0;
-  world_free (&w);
+  fixture_free (&w);
 }
 
 Test (scorer, cancelled_job_calls_nobody)
 {
-  struct world w;
+  struct fixture w;
   struct wy_score_job *j;
 
-  world_init (&w, true);
+  fixture_init (&w, true);
   j = start (&w);
   wy_scorer_run (w.scorer);
   wy_score_job_cancel (j);
@@ -145,17 +145,17 @@
   run_for (&w.loop, 50);
   wy_scorer_run (w.scorer);
   cr_assert_eq (w.answers, 0);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 Test (scorer, yard_without_a_service_scores_zero)
 {
-  struct world w;
+  struct fixture w;
 
-  world_init (&w, false);
+  fixture_init (&w, false);
   start (&w);
   cr_assert (run_until (&w.loop, answered, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.calls, 0);
-  world_free (&w);
+  fixture_free (&w);
 }
