--- a/src/store/call.c
+++ b/src/store/call.c
@@ -2,8 +2,9 @@
 
    A call whose connection breaks, or that times out, may have been carried
    out.  Sending a transaction again is safe because it is conditional: if the
-   first attempt took effect, the second fails its condition, and the failed
-   row holds our operation id, by which we know that the write is ours.  */
+   first attempt took effect, the condition of the second fails, and the row
+   that is returned contains the operation id of the call, which shows that
+   the write is its own.  */
 #include "store/call.h"
 
 #include <stdlib.h>
@@ -14,14 +15,14 @@
 enum
 {
   STATUS_OK = 200,
-  STATUS_MISSING = 404,
+  STATUS_NOT_FOUND = 404,
   STATUS_CONFLICT = 409,
-  STATUS_LIMIT = 429,
-  STATUS_DOWN = 503,
+  STATUS_TOO_MANY = 429,
+  STATUS_UNAVAILABLE = 503,
   BACKOFF_MIN_MS = 50,
   BACKOFF_MAX_MS = 2000,
-  /* A 429 without Retry-After; the service counts by the second.  */
-  LIMIT_WAIT_MS = 1000
+  /* After a 429 without Retry-After; the service's limit is per second.  */
+  RATE_LIMIT_WAIT_MS = 1000
 };
 
 static struct wy_store_row *
@@ -47,9 +48,11 @@
   return rows;
 }
 
+/* Whether one of ROWS was written by an earlier attempt of C; if so, *REV is
+   its revision.  */
 static bool
-own_write (const struct wy_store_call *c, const struct wy_store_row *rows,
-           size_t n, int64_t *rev)
+find_own_write (const struct wy_store_call *c, const struct wy_store_row *rows,
+                size_t n, int64_t *rev)
 {
   for (size_t i = 0; i < n; i++)
     {
@@ -67,23 +70,23 @@
 }
 
 static void
-give_txn (struct wy_store_call *c, const json_t *answer,
-          struct wy_store_result *r)
+complete_txn (struct wy_store_call *c, const json_t *body,
+              struct wy_store_result *r)
 {
   struct wy_store_row *rows;
   int64_t rev;
 
   if (c->status == STATUS_OK)
     {
-      r->rev = json_integer_value (json_object_get (answer, "rev"));
-      r->err = r->rev > 0 ? 0 : WY_STORE_EANSWER;
+      r->rev = json_integer_value (json_object_get (body, "rev"));
+      r->err = r->rev > 0 ? 0 : WY_STORE_ERESPONSE;
       c->on_done (c->ctx, r);
       return;
     }
-  rows = parse_rows (json_object_get (answer, "failed"), &r->n_rows);
+  rows = parse_rows (json_object_get (body, "failed"), &r->n_rows);
   r->rows = rows;
   r->err = WY_STORE_ECONFLICT;
-  if (own_write (c, rows, r->n_rows, &rev))
+  if (find_own_write (c, rows, r->n_rows, &rev))
     {
       r->err = 0;
       r->rev = rev;
@@ -95,44 +98,44 @@
 }
 
 static void
-give_read (struct wy_store_call *c, const json_t *answer,
-           struct wy_store_result *r)
+complete_read (struct wy_store_call *c, const json_t *body,
+               struct wy_store_result *r)
 {
   struct wy_store_row *rows
-      = parse_rows (json_object_get (answer, "rows"), &r->n_rows);
+      = parse_rows (json_object_get (body, "rows"), &r->n_rows);
 
   r->rows = rows;
-  r->rev = json_integer_value (json_object_get (answer, "rev"));
-  r->err = json_is_array (json_object_get (answer, "rows")) ? 0
-                                                            : WY_STORE_EANSWER;
+  r->rev = json_integer_value (json_object_get (body, "rev"));
+  r->err = json_is_array (json_object_get (body, "rows")) ? 0
+                                                          : WY_STORE_ERESPONSE;
   c->on_done (c->ctx, r);
   g_free (rows);
 }
 
-/* Give the caller the answer that C holds, whose status is 200, 404 or
-   409.  */
+/* Pass the response of C, whose status is 200, 404 or 409, to its
+   callback.  */
 void
-wy_store_call_give (struct wy_store_call *c)
+wy_store_call_complete (struct wy_store_call *c)
 {
   struct wy_store_result r = { 0 };
-  json_t *answer = NULL;
+  json_t *body = NULL;
 
   switch (c->kind)
     {
     case WY_STORE_CALL_TXN:
     case WY_STORE_CALL_READ:
-      answer = json_loadb (c->answer->str, c->answer->len, 0, NULL);
+      body = json_loadb (c->response->str, c->response->len, 0, NULL);
       if (c->kind == WY_STORE_CALL_TXN)
-        give_txn (c, answer, &r);
+        complete_txn (c, body, &r);
       else
-        give_read (c, answer, &r);
-      json_decref (answer);
+        complete_read (c, body, &r);
+      json_decref (body);
       break;
     case WY_STORE_CALL_PUT:
     case WY_STORE_CALL_GET:
-      r.err = c->status == STATUS_OK ? 0 : WY_STORE_EMISSING;
-      r.data = c->answer->str;
-      r.size_bytes = c->answer->len;
+      r.err = c->status == STATUS_OK ? 0 : WY_STORE_ENOTFOUND;
+      r.data = c->response->str;
+      r.size_bytes = c->response->len;
       c->on_done (c->ctx, &r);
       break;
     case WY_STORE_CALL_PROBE:
@@ -140,17 +143,20 @@
     }
 }
 
-/* The error for a call that is given up now.  */
+/* The error of C if it ends without a further attempt.  */
 int
-wy_store_call_failed (const struct wy_store_call *c)
+wy_store_call_error (const struct wy_store_call *c)
 {
-  if (c->uncertain)
+  if (c->maybe_applied)
     return WY_STORE_EUNKNOWN;
-  return c->status == STATUS_LIMIT ? WY_STORE_ELIMIT : WY_STORE_EDOWN;
+  return c->status == STATUS_TOO_MANY ? WY_STORE_ELIMIT
+                                      : WY_STORE_EUNAVAILABLE;
 }
 
+/* Whether the attempt of C that ended with ERR gave a result that no retry
+   would change.  */
 static bool
-definite (const struct wy_store_call *c, int err)
+is_final (const struct wy_store_call *c, int err)
 {
   if (err)
     return false;
@@ -160,7 +166,7 @@
       return true;
     case STATUS_CONFLICT:
       return c->kind == WY_STORE_CALL_TXN;
-    case STATUS_MISSING:
+    case STATUS_NOT_FOUND:
       return c->kind == WY_STORE_CALL_GET;
     default:
       return false;
@@ -177,54 +183,57 @@
   return wait / 2 + wy_rng_below (&c->store->rng, wait);
 }
 
-/* Put C back to wait for its next attempt, or give it up.  */
+/* Queue C for its next attempt, or let it fail if the store is down, its
+   deadline is near, or the retry budget is used up.  */
 static void
-again (struct wy_store_call *c)
+retry_or_fail (struct wy_store_call *c)
 {
   struct wy_store *s = c->store;
   int64_t now = wy_clock_mono_ms (s->o.clock);
 
   c->due_ms = now + backoff_ms (c);
-  if (c->due_ms < s->hold_ms)
-    c->due_ms = s->hold_ms + wy_rng_below (&s->rng, LIMIT_WAIT_MS);
-  if (s->outage.down || c->due_ms >= c->deadline_ms
-      || wy_retry_take (&s->retries))
+  if (c->due_ms < s->rate_limited_until_ms)
+    c->due_ms = s->rate_limited_until_ms
+                + wy_rng_below (&s->rng, RATE_LIMIT_WAIT_MS);
+  if (s->breaker.is_open || c->due_ms >= c->deadline_ms
+      || wy_retry_take (&s->retry_budget))
     {
-      wy_store_call_finish (c, wy_store_call_failed (c));
+      wy_store_call_fail (c, wy_store_call_error (c));
       return;
     }
-  if (s->retried)
-    ++*s->retried;
+  if (s->n_retries)
+    ++*s->n_retries;
   g_queue_push_tail_link (&s->waiting, &c->link);
   wy_store_wake (s);
 }
 
 static void
-begin_outage (struct wy_store *s)
+on_breaker_opened (struct wy_store *s)
 {
   wy_trace_event (s->o.trace, "store.outage", NULL);
-  if (s->outages)
-    ++*s->outages;
+  if (s->n_outages)
+    ++*s->n_outages;
   wy_store_wake (s);
 }
 
 static void
-note_answer (struct wy_store_call *c, int err)
+record_response (struct wy_store_call *c, int err)
 {
   struct wy_store *s = c->store;
   int64_t now = wy_clock_mono_ms (s->o.clock);
 
-  if (err || c->status >= STATUS_DOWN)
+  if (err || c->status >= STATUS_UNAVAILABLE)
     {
-      if (wy_outage_failed (&s->outage, &s->rng,
-                            c->kind == WY_STORE_CALL_PROBE, now))
-        begin_outage (s);
+      if (wy_circuit_breaker_record_failure (
+              &s->breaker, &s->rng, c->kind == WY_STORE_CALL_PROBE, now))
+        on_breaker_opened (s);
       return;
     }
-  if (wy_outage_answered (&s->outage))
+  if (wy_circuit_breaker_record_response (&s->breaker))
     wy_trace_event (s->o.trace, "store.back", NULL);
-  if (c->status == STATUS_LIMIT)
-    s->hold_ms = now + (c->retry_after_ms ? c->retry_after_ms : LIMIT_WAIT_MS);
+  if (c->status == STATUS_TOO_MANY)
+    s->rate_limited_until_ms
+        = now + (c->retry_after_ms ? c->retry_after_ms : RATE_LIMIT_WAIT_MS);
 }
 
 static void
@@ -234,28 +243,28 @@
   struct wy_store *s = c->store;
 
   c->http = NULL;
-  g_queue_unlink (&s->flying, &c->link);
-  note_answer (c, err);
+  g_queue_unlink (&s->in_flight, &c->link);
+  record_response (c, err);
   wy_store_wake (s);
   if (c->kind == WY_STORE_CALL_PROBE)
     {
       wy_store_call_free (c);
       return;
     }
-  if (definite (c, err))
+  if (is_final (c, err))
     {
-      wy_store_call_give (c);
+      wy_store_call_complete (c);
       wy_store_call_free (c);
       return;
     }
   if (err && err != WY_HTTP_ECONNECT)
-    c->uncertain = c->kind == WY_STORE_CALL_TXN;
-  if (!err && c->status != STATUS_LIMIT && c->status < STATUS_DOWN)
+    c->maybe_applied = c->kind == WY_STORE_CALL_TXN;
+  if (!err && c->status != STATUS_TOO_MANY && c->status < STATUS_UNAVAILABLE)
     {
-      wy_store_call_finish (c, WY_STORE_EANSWER);
+      wy_store_call_fail (c, WY_STORE_ERESPONSE);
       return;
     }
-  again (c);
+  retry_or_fail (c);
 }
 
 static void
@@ -274,10 +283,10 @@
 static void
 on_data (void *ctx, const char *p, size_t n)
 {
-  g_string_append_len (((struct wy_store_call *)ctx)->answer, p, (gssize)n);
+  g_string_append_len (((struct wy_store_call *)ctx)->response, p, (gssize)n);
 }
 
-/* Make one attempt at C, which is in no queue.  */
+/* Send one attempt of C, which must be in no queue.  */
 void
 wy_store_call_send (struct wy_store_call *c)
 {
@@ -305,14 +314,14 @@
   c->attempts++;
   c->status = 0;
   c->retry_after_ms = 0;
-  g_string_truncate (c->answer, 0);
-  g_queue_push_tail_link (&s->flying, &c->link);
+  g_string_truncate (c->response, 0);
+  g_queue_push_tail_link (&s->in_flight, &c->link);
   c->http = wy_http_call_start (s->http, &o);
 }
 
-/* Give the caller ERR and free C, which is in no queue.  */
+/* Report ERR to the callback of C, which must be in no queue, and free C.  */
 void
-wy_store_call_finish (struct wy_store_call *c, int err)
+wy_store_call_fail (struct wy_store_call *c, int err)
 {
   struct wy_store_result r
       = { .err = err, .retry_after_ms = wy_store_retry_after_ms (c->store) };
@@ -321,7 +330,7 @@
   wy_store_call_free (c);
 }
 
-/* Free C, which is in no queue.  */
+/* Free C, which must be in no queue.  */
 void
 wy_store_call_free (struct wy_store_call *c)
 {
@@ -330,6 +339,6 @@
   g_free (c->op);
   g_free (c->path);
   g_string_free (c->body, TRUE);
-  g_string_free (c->answer, TRUE);
+  g_string_free (c->response, TRUE);
   g_free (c);
 }
--- a/src/store/call.h
+++ b/src/store/call.h
@@ -1,5 +1,5 @@
-/* One call to the table service or the object store, with its attempts.
-   Inside the package only.  */
+/* A call to the table service or the object store, with its attempts.
+   Internal to this module.  */
 #ifndef WY_STORE_CALL_H
 #define WY_STORE_CALL_H
 
@@ -9,8 +9,8 @@
 #include "decide/retry.h"
 #include "http/client.h"
 #include "store/circuit_breaker.h"
-#include "store/rate_limiter.h"
 #include "store/client.h"
+#include "store/rate_limiter.h"
 
 enum wy_store_call_kind
 {
@@ -35,17 +35,17 @@
   struct wy_http_client *http;
   uv_timer_t timer;
   struct wy_rng rng;
-  struct wy_rate reads;
-  struct wy_rate writes;
-  struct wy_retry_budget retries;
-  struct wy_outage outage;
-  int64_t hold_ms;            /* the service asked us to wait until then */
-  GQueue waiting;             /* struct wy_store_call */
-  GQueue flying;              /* struct wy_store_call */
-  GHashTable *calls_by_cause; /* char * -> uint64_t *, into the metrics */
-  uint64_t *retried;
-  uint64_t *outages;
-  uint32_t pollers; /* processes that poll the same rows; 0: not known */
+  struct wy_rate_limiter reads;
+  struct wy_rate_limiter writes;
+  struct wy_retry_budget retry_budget;
+  struct wy_circuit_breaker breaker;
+  int64_t rate_limited_until_ms; /* as the service asked; holds all calls */
+  GQueue waiting;                /* struct wy_store_call */
+  GQueue in_flight;              /* struct wy_store_call */
+  GHashTable *calls_by_cause;    /* char * -> uint64_t *, in the metrics */
+  uint64_t *n_retries;
+  uint64_t *n_outages;
+  uint32_t pollers; /* processes that poll the same rows; 0: unknown */
 };
 
 struct wy_store_call
@@ -60,12 +60,12 @@
   int64_t deadline_ms;
   int64_t due_ms;
   uint32_t attempts;
-  bool uncertain; /* an earlier attempt may have been carried out */
-  int refused;    /* answer this without an attempt */
+  bool maybe_applied; /* an earlier attempt may have been carried out */
+  int local_err;      /* complete with this error, without an attempt */
   struct wy_http_call *http;
   int status;
   uint32_t retry_after_ms;
-  GString *answer;
+  GString *response;
   void (*on_done) (void *ctx, const struct wy_store_result *r);
   void *ctx;
 };
@@ -74,10 +74,10 @@
                                          enum wy_store_call_kind kind,
                                          const char *cause);
 void wy_store_call_send (struct wy_store_call *c);
-void wy_store_call_finish (struct wy_store_call *c, int err);
+void wy_store_call_fail (struct wy_store_call *c, int err);
 void wy_store_call_free (struct wy_store_call *c);
-void wy_store_call_give (struct wy_store_call *c);
-int wy_store_call_failed (const struct wy_store_call *c);
+void wy_store_call_complete (struct wy_store_call *c);
+int wy_store_call_error (const struct wy_store_call *c);
 void wy_store_wake (struct wy_store *s);
 
 #endif
--- a/src/store/circuit_breaker.c
+++ b/src/store/circuit_breaker.c
@@ -1,72 +1,77 @@
-/* Outage of the store.
+/* Circuit breaker for the calls to the store.
 
-   When the store is down, calls that wait for their timeouts hold memory and
-   keep callers waiting for an answer that won't come, and on its return all
-   of them are sent at once.  One notices by the store falling over again the
-   moment it is back.  So an outage is a state: calls are answered at once as
-   not carried out, and one probe at a time asks whether the store is back.  */
+   While the store is down, calls that wait for their timeouts hold memory and
+   delay their callers, and when the store is back all of them are sent at
+   once and overload it again.  So the breaker opens after several failures:
+   while it is open, calls fail immediately as not carried out, and only
+   single probes are sent until the store responds.  */
 #include "store/circuit_breaker.h"
 
-/* Failures without an answer in between that make an outage.  With half of
-   all answers lost, five in a row come once in 32 calls; that is a store one
-   can work with, and an outage more is cheap: the next probe ends it.  */
+/* Consecutive failures that open the breaker.  If half of all responses are
+   lost, five in a row occur once in 32 calls; such a store is still usable,
+   and an unnecessary outage ends with the next probe.  */
 #define FAILURES_MAX 5
-/* A store that restarts is back within a second, so the first probes are
-   close together; later ones cost an entry one call every two seconds.  */
+/* A store that restarts is back within a second, so the first probes follow
+   each other closely; later ones cost an entry one call every two seconds.  */
 #define PROBE_MIN_MS 250
 #define PROBE_MAX_MS 2000
 
 static void
-plan_probe (struct wy_outage *o, struct wy_rng *rng, int64_t now_ms)
+schedule_probe (struct wy_circuit_breaker *b, struct wy_rng *rng,
+                int64_t now_ms)
 {
-  o->probing = false;
-  o->wait_ms = o->wait_ms ? o->wait_ms * 2 : PROBE_MIN_MS;
-  if (o->wait_ms > PROBE_MAX_MS)
-    o->wait_ms = PROBE_MAX_MS;
-  /* Jitter, so that the probes of many processes don't fall together.  */
-  o->probe_ms = now_ms + o->wait_ms / 2 + wy_rng_below (rng, o->wait_ms);
+  b->probing = false;
+  b->probe_wait_ms = b->probe_wait_ms ? b->probe_wait_ms * 2 : PROBE_MIN_MS;
+  if (b->probe_wait_ms > PROBE_MAX_MS)
+    b->probe_wait_ms = PROBE_MAX_MS;
+  /* Jitter, so that the probes of many processes don't coincide.  */
+  b->next_probe_ms
+      = now_ms + b->probe_wait_ms / 2 + wy_rng_below (rng, b->probe_wait_ms);
 }
 
-/* A call, or the PROBE, brought no answer.  True when this begins an
-   outage.  A call from before the outage must not plan a probe: there would
-   be two.  */
+/* Record a call without a response; PROBE: it was the probe.  Returns whether
+   this opens the breaker.  While it is open, only the probe schedules the next
+   one: calls sent before the outage would schedule further ones.  */
 bool
-wy_outage_failed (struct wy_outage *o, struct wy_rng *rng, bool probe,
-                  int64_t now_ms)
+wy_circuit_breaker_record_failure (struct wy_circuit_breaker *b,
+                                   struct wy_rng *rng, bool probe,
+                                   int64_t now_ms)
 {
-  o->failures++;
-  if (o->down)
+  b->n_failures++;
+  if (b->is_open)
     {
       if (probe)
-        plan_probe (o, rng, now_ms);
+        schedule_probe (b, rng, now_ms);
       return false;
     }
-  if (o->failures < FAILURES_MAX)
+  if (b->n_failures < FAILURES_MAX)
     return false;
-  o->down = true;
-  o->wait_ms = 0;
-  plan_probe (o, rng, now_ms);
+  b->is_open = true;
+  b->probe_wait_ms = 0;
+  schedule_probe (b, rng, now_ms);
   return true;
 }
 
-/* An answer came, whatever it says.  True when this ends an outage.  */
+/* Record a response, whatever its content.  Returns whether this closes the
+   breaker.  */
 bool
-wy_outage_answered (struct wy_outage *o)
+wy_circuit_breaker_record_response (struct wy_circuit_breaker *b)
 {
-  bool was_down = o->down;
+  bool was_open = b->is_open;
 
-  o->failures = 0;
-  o->down = false;
-  o->probing = false;
-  return was_down;
+  b->n_failures = 0;
+  b->is_open = false;
+  b->probing = false;
+  return was_open;
 }
 
-/* Whether to send a probe now; if so it counts as sent.  */
+/* Whether the caller is to send a probe now.  If so, the probe is recorded as
+   sent.  */
 bool
-wy_outage_probe (struct wy_outage *o, int64_t now_ms)
+wy_circuit_breaker_probe (struct wy_circuit_breaker *b, int64_t now_ms)
 {
-  if (!o->down || o->probing || now_ms < o->probe_ms)
+  if (!b->is_open || b->probing || now_ms < b->next_probe_ms)
     return false;
-  o->probing = true;
+  b->probing = true;
   return true;
 }
--- a/src/store/circuit_breaker.h
+++ b/src/store/circuit_breaker.h
@@ -1,4 +1,4 @@
-/* Whether the store counts as down, and when to try it again.  */
+/* Circuit breaker for the calls to the store.  */
 #ifndef WY_STORE_CIRCUIT_BREAKER_H
 #define WY_STORE_CIRCUIT_BREAKER_H
 
@@ -7,18 +7,19 @@
 
 #include "base/rng.h"
 
-struct wy_outage
+struct wy_circuit_breaker
 {
-  bool down;
+  bool is_open; /* the store counts as down */
   bool probing;
-  uint32_t failures; /* one after another */
-  uint32_t wait_ms;
-  int64_t probe_ms; /* when the next probe is due */
+  uint32_t n_failures; /* consecutive */
+  uint32_t probe_wait_ms;
+  int64_t next_probe_ms;
 };
 
-bool wy_outage_failed (struct wy_outage *o, struct wy_rng *rng, bool probe,
-                       int64_t now_ms);
-bool wy_outage_answered (struct wy_outage *o);
-bool wy_outage_probe (struct wy_outage *o, int64_t now_ms);
+bool wy_circuit_breaker_record_failure (struct wy_circuit_breaker *b,
+                                        struct wy_rng *rng, bool probe,
+                                        int64_t now_ms);
+bool wy_circuit_breaker_record_response (struct wy_circuit_breaker *b);
+bool wy_circuit_breaker_probe (struct wy_circuit_breaker *b, int64_t now_ms);
 
 #endif
--- a/src/store/client.c
+++ b/src/store/client.c
@@ -1,4 +1,5 @@
-/* Client of the table service and the object store: queue and pacing.  */
+/* Client of the table service and the object store: wait queue, rate limit
+   and connections.  */
 #include "store/client.h"
 
 #include <stdlib.h>
@@ -8,27 +9,27 @@
 
 enum
 {
-  /* The service is known to answer after 5 s at times; a timeout below that
-     would turn a slow store into one that is down.  */
+  /* The service responds after 5 s at times; a shorter timeout would treat a
+     slow store as one that is down.  */
   CALL_TIMEOUT_MS = 8000,
-  /* A tenth of what the service gives: ten entries at most speak to it.  */
+  /* A tenth of the service's limits: at most ten entries call it.  */
   READS_PER_S = 200,
   WRITES_PER_S = 40,
-  /* Six seconds of writes; a caller whose call would wait longer is better
-     told at once.  */
+  /* Six seconds of writes; a call that would wait longer fails at once.  */
   QUEUE_LIMIT = 256,
-  /* Connections open to the store; enough for 12 calls a second at 5 s.  */
-  FLYING_MAX = 64,
-  /* Each call earns one retry, so that a store that loses half its answers
-     is still usable and the retries never more than double the load.  */
+  /* Open connections to the store; enough for 12 calls per second that take
+     5 s each.  */
+  IN_FLIGHT_MAX = 64,
+  /* One retry per call, so that a store that loses half its responses is
+     still usable and the retries at most double the load.  */
   RETRY_PERCENT = 100,
   RETRY_BURST = 20,
-  /* A lower bound for what callers are told to wait.  */
+  /* Lower limit of the Retry-After for callers.  */
   RETRY_AFTER_MIN_MS = 1000,
-  /* Processes that may poll a row at full pace.  The platform answers about
-     two thousand reads a second to all; each of some hundred entries reading
-     a handful of rows a second would take them alone.  */
-  FULL_PACE_POLLERS = 16,
+  /* Processes that may poll a row at the full rate.  The service handles about
+     two thousand reads per second in total; a hundred entries that each poll
+     several rows per second would use them all.  */
+  FULL_RATE_POLLERS = 16,
   PORT_MAX = 65535
 };
 
@@ -50,13 +51,13 @@
 }
 
 static uint32_t
-or_default (uint32_t given, uint32_t fallback)
+value_or_default (uint32_t given, uint32_t fallback)
 {
   return given ? given : fallback;
 }
 
 static void
-count (struct wy_store *s, const struct wy_store_call *c)
+count_attempt (struct wy_store *s, const struct wy_store_call *c)
 {
   static const char *const kinds[] = { "txn", "read", "put", "get", "probe" };
   uint64_t *n;
@@ -84,23 +85,23 @@
 }
 
 static void
-probe (struct wy_store *s)
+send_probe (struct wy_store *s)
 {
   struct wy_store_call *c
       = wy_store_call_new (s, WY_STORE_CALL_PROBE, "probe");
 
   c->path = g_strdup ("/read");
   g_string_assign (c->body, "{\"keys\":[]}");
-  count (s, c);
+  count_attempt (s, c);
   wy_store_call_send (c);
 }
 
-/* Take the calls that are to be answered without an attempt out of the queue
-   first: their callers may start new ones.  */
+/* Fail the calls that get no attempt.  They are taken out of the wait queue
+   first because their callbacks may start new calls.  */
 static void
-answer_refused (struct wy_store *s)
+fail_without_attempt (struct wy_store *s)
 {
-  GQueue refused = G_QUEUE_INIT;
+  GQueue failed = G_QUEUE_INIT;
   GList *next;
   GList *l;
 
@@ -109,24 +110,25 @@
       struct wy_store_call *c = l->data;
 
       next = l->next;
-      if (s->outage.down && !c->refused)
-        c->refused = wy_store_call_failed (c);
-      if (!c->refused)
+      if (s->breaker.is_open && !c->local_err)
+        c->local_err = wy_store_call_error (c);
+      if (!c->local_err)
         continue;
       g_queue_unlink (&s->waiting, l);
-      g_queue_push_tail_link (&refused, l);
+      g_queue_push_tail_link (&failed, l);
     }
-  while ((l = g_queue_pop_head_link (&refused)))
+  while ((l = g_queue_pop_head_link (&failed)))
     {
       struct wy_store_call *c = l->data;
 
-      wy_store_call_finish (c, c->refused);
+      wy_store_call_fail (c, c->local_err);
     }
 }
 
-static void arm (struct wy_store *s, int64_t wait_ms);
+static void start_timer (struct wy_store *s, int64_t wait_ms);
 
-/* Send what may go now; how long until something else may.  */
+/* Send the calls that are due.  Returns the milliseconds until another call
+   is due, or -1 if none waits for a point in time.  */
 static int64_t
 send_due (struct wy_store *s, int64_t now)
 {
@@ -136,14 +138,17 @@
   for (GList *l = s->waiting.head; l; l = next)
     {
       struct wy_store_call *c = l->data;
-      int64_t due = c->due_ms > s->hold_ms ? c->due_ms : s->hold_ms;
+      int64_t due = c->due_ms > s->rate_limited_until_ms
+                        ? c->due_ms
+                        : s->rate_limited_until_ms;
       int64_t after = due - now;
 
       next = l->next;
-      if (s->flying.length >= FLYING_MAX)
+      if (s->in_flight.length >= IN_FLIGHT_MAX)
         break;
       if (after <= 0)
-        after = wy_rate_take (is_write (c) ? &s->writes : &s->reads, now);
+        after = wy_rate_limiter_take (is_write (c) ? &s->writes : &s->reads,
+                                      now);
       if (after > 0)
         {
           if (wait < 0 || after < wait)
@@ -151,7 +156,7 @@
           continue;
         }
       g_queue_unlink (&s->waiting, l);
-      count (s, c);
+      count_attempt (s, c);
       wy_store_call_send (c);
     }
   return wait;
@@ -164,35 +169,35 @@
   int64_t now = wy_clock_mono_ms (s->o.clock);
   int64_t wait;
 
-  answer_refused (s);
-  if (wy_outage_probe (&s->outage, now))
-    probe (s);
+  fail_without_attempt (s);
+  if (wy_circuit_breaker_probe (&s->breaker, now))
+    send_probe (s);
   wait = send_due (s, now);
-  if (s->outage.down && !s->outage.probing)
+  if (s->breaker.is_open && !s->breaker.probing)
     {
-      int64_t until = s->outage.probe_ms - now;
+      int64_t until = s->breaker.next_probe_ms - now;
       if (wait < 0 || until < wait)
         wait = until > 0 ? until : 0;
     }
   if (wait >= 0 && !uv_is_active ((uv_handle_t *)&s->timer))
-    arm (s, wait);
+    start_timer (s, wait);
 }
 
 static void
-arm (struct wy_store *s, int64_t wait_ms)
+start_timer (struct wy_store *s, int64_t wait_ms)
 {
   uv_update_time (s->o.loop);
   uv_timer_start (&s->timer, on_timer, (uint64_t)wait_ms, 0);
 }
 
-/* Look at the queue as soon as the loop comes round.  */
+/* Process the wait queue in the next iteration of the event loop.  */
 void
 wy_store_wake (struct wy_store *s)
 {
-  arm (s, 0);
+  start_timer (s, 0);
 }
 
-/* Connect to the services that O names; no call is made yet.  Returns 0 or
+/* Create a client of the services in O; this makes no call.  Returns 0 or
    WY_STORE_EADDRESS.  */
 int
 wy_store_new (struct wy_store **out, const struct wy_store_options *o)
@@ -209,23 +214,24 @@
       g_free (s);
       return WY_STORE_EADDRESS;
     }
-  s->o.call_timeout_ms = or_default (o->call_timeout_ms, CALL_TIMEOUT_MS);
-  s->o.reads_per_s = or_default (o->reads_per_s, READS_PER_S);
-  s->o.writes_per_s = or_default (o->writes_per_s, WRITES_PER_S);
-  s->o.queue_limit = or_default (o->queue_limit, QUEUE_LIMIT);
+  s->o.call_timeout_ms
+      = value_or_default (o->call_timeout_ms, CALL_TIMEOUT_MS);
+  s->o.reads_per_s = value_or_default (o->reads_per_s, READS_PER_S);
+  s->o.writes_per_s = value_or_default (o->writes_per_s, WRITES_PER_S);
+  s->o.queue_limit = value_or_default (o->queue_limit, QUEUE_LIMIT);
   s->http = wy_http_client_new (o->loop, s->o.call_timeout_ms);
   wy_rng_seed (&s->rng, o->seed);
-  wy_rate_init (&s->reads, s->o.reads_per_s, s->o.reads_per_s, now);
-  wy_rate_init (&s->writes, s->o.writes_per_s, s->o.writes_per_s, now);
-  wy_retry_init (&s->retries, &retry);
+  wy_rate_limiter_init (&s->reads, s->o.reads_per_s, s->o.reads_per_s, now);
+  wy_rate_limiter_init (&s->writes, s->o.writes_per_s, s->o.writes_per_s, now);
+  wy_retry_init (&s->retry_budget, &retry);
   s->calls_by_cause
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   if (o->metrics)
     {
-      s->retried = wy_metrics_counter (o->metrics, "wy_store_retries_total",
-                                       "Calls to the store sent again.");
-      s->outages = wy_metrics_counter (o->metrics, "wy_store_outages_total",
-                                       "Outages of the store seen.");
+      s->n_retries = wy_metrics_counter (o->metrics, "wy_store_retries_total",
+                                         "Calls to the store sent again.");
+      s->n_outages = wy_metrics_counter (o->metrics, "wy_store_outages_total",
+                                         "Outages of the store seen.");
     }
   uv_timer_init (o->loop, &s->timer);
   s->timer.data = s;
@@ -233,27 +239,27 @@
   return 0;
 }
 
-/* N processes poll the rows that this one polls.  */
+/* Set the number of processes that poll the same rows as this one to N.  */
 void
 wy_store_set_pollers (struct wy_store *s, uint32_t n)
 {
   s->pollers = n;
 }
 
-/* How long to wait before a row that all of them poll is polled again, when
-   few would wait BASE_MS.  The more there are the longer each waits, so that
-   all together ask no oftener; what one learns the others hear from it over
-   the agents.  */
+/* The polling interval of a row that all these processes poll; BASE_MS: the
+   interval if they are few.  The interval grows with their number, so that
+   the total rate stays the same; a process that reads a change passes it to
+   the others through the agents.  */
 uint32_t
 wy_store_poll_interval_ms (const struct wy_store *s, uint32_t base_ms)
 {
-  if (s->pollers <= FULL_PACE_POLLERS)
+  if (s->pollers <= FULL_RATE_POLLERS)
     return base_ms;
-  return (uint32_t)((uint64_t)base_ms * s->pollers / FULL_PACE_POLLERS);
+  return (uint32_t)((uint64_t)base_ms * s->pollers / FULL_RATE_POLLERS);
 }
 
 static void
-drop_all (GQueue *q)
+fail_all (GQueue *q)
 {
   GList *l;
 
@@ -267,9 +273,9 @@
       if (c->kind == WY_STORE_CALL_PROBE)
         wy_store_call_free (c);
       else
-        wy_store_call_finish (c, c->kind == WY_STORE_CALL_TXN && c->attempts
-                                     ? WY_STORE_EUNKNOWN
-                                     : WY_STORE_EDOWN);
+        wy_store_call_fail (c, c->kind == WY_STORE_CALL_TXN && c->attempts
+                                   ? WY_STORE_EUNKNOWN
+                                   : WY_STORE_EUNAVAILABLE);
     }
 }
 
@@ -285,37 +291,37 @@
   g_free (s);
 }
 
-/* Give up all calls, whose callers are told so and must not start others, and
-   free S.  */
+/* Fail all calls, whose callbacks must not start new ones, and free S.  */
 void
 wy_store_free (struct wy_store *s)
 {
-  drop_all (&s->flying);
-  drop_all (&s->waiting);
+  fail_all (&s->in_flight);
+  fail_all (&s->waiting);
   uv_close ((uv_handle_t *)&s->timer, on_timer_closed);
 }
 
-/* Whether the store counts as down.  */
+/* Whether the store is down, that is, the circuit breaker is open.  */
 bool
 wy_store_is_down (const struct wy_store *s)
 {
-  return s->outage.down;
+  return s->breaker.is_open;
 }
 
-/* What to tell a caller that has to come back because of the store.  */
+/* The Retry-After for a caller whose request failed because of the store.  */
 uint32_t
 wy_store_retry_after_ms (const struct wy_store *s)
 {
   int64_t now = wy_clock_mono_ms (s->o.clock);
-  int64_t at = s->outage.down ? s->outage.probe_ms : s->hold_ms;
+  int64_t at = s->breaker.is_open ? s->breaker.next_probe_ms
+                                  : s->rate_limited_until_ms;
 
   return at - now > RETRY_AFTER_MIN_MS ? (uint32_t)(at - now)
                                        : RETRY_AFTER_MIN_MS;
 }
 
-/* Whether no call of S waits for its turn or its answer.  */
+/* Whether S has no call that waits or is in flight.  */
 bool
 wy_store_is_idle (const struct wy_store *s)
 {
-  return s->flying.length == 0 && s->waiting.length == 0;
+  return s->in_flight.length == 0 && s->waiting.length == 0;
 }
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -1,8 +1,9 @@
 /* Client of the table service and the object store.
 
-   Every call is answered once, and never before the function that starts it
-   returns.  A transaction carries an operation id that at least one of the
-   rows it writes holds as "op": a lost answer is settled by it.  */
+   The callback of each call comes exactly once, and never before the function
+   that starts the call returns.  A transaction has an operation id, which at
+   least one of the rows it writes has to contain as "op": by it the client
+   finds out whether a transaction whose response was lost took effect.  */
 #ifndef WY_STORE_CLIENT_H
 #define WY_STORE_CLIENT_H
 
@@ -29,11 +30,11 @@
   const char *table;          /* "host:port" */
   const char *objects;        /* "host:port" */
   uint64_t seed;              /* of the jitter */
-  /* 0 in any of these: the default, see table.c.  */
+  /* 0 in any of these: the default, see client.c.  */
   uint32_t call_timeout_ms; /* one attempt */
-  uint32_t reads_per_s;     /* this process's share of the service */
+  uint32_t reads_per_s;     /* this process's share of the limit */
   uint32_t writes_per_s;
-  uint32_t queue_limit; /* calls waiting; more are refused */
+  uint32_t queue_limit; /* waiting calls; further ones fail */
 };
 
 struct wy_store_row
@@ -52,7 +53,7 @@
   size_t n_rows;
   const void *data; /* of an object, followed by a NUL */
   size_t size_bytes;
-  uint32_t retry_after_ms; /* with EDOWN, EUNKNOWN and ELIMIT */
+  uint32_t retry_after_ms; /* 0 with ECONFLICT and ENOTFOUND */
 };
 
 struct wy_store_condition
@@ -69,14 +70,14 @@
 
 struct wy_store_txn
 {
-  const char *cause; /* what it is for, in the metrics; a literal */
-  const char *op;
+  const char *cause; /* purpose, for the metrics; a literal */
+  const char *op;    /* operation id, unique */
   const struct wy_store_condition *conditions;
   size_t n_conditions;
   const struct wy_store_write *writes;
   size_t n_writes;
-  uint32_t total_timeout_ms; /* for all attempts; 0: the default */
-  bool urgent; /* goes before all waiting calls: lease renewals */
+  uint32_t total_timeout_ms; /* of all attempts; 0: the default */
+  bool urgent; /* sent before all waiting calls: lease renewals */
 };
 
 struct wy_store_read
--- a/src/store/error.c
+++ b/src/store/error.c
@@ -1,7 +1,7 @@
-/* Texts of the store's errors.  */
+/* Error texts of the store client.  */
 #include "store/error.h"
 
-/* What ERR means, for logs and answers.  */
+/* The text of ERR, for logs and responses.  */
 const char *
 wy_store_strerror (int err)
 {
@@ -10,20 +10,20 @@
     case 0:
       return "ok";
     case WY_STORE_ECONFLICT:
-      return "a condition does not hold";
-    case WY_STORE_EDOWN:
-      return "the store does not answer";
+      return "a condition of the transaction failed";
+    case WY_STORE_EUNAVAILABLE:
+      return "the store is unavailable";
     case WY_STORE_EUNKNOWN:
       return "the write may have been carried out";
     case WY_STORE_ELIMIT:
       return "too many calls to the store";
-    case WY_STORE_EANSWER:
-      return "the store's answer makes no sense";
-    case WY_STORE_EMISSING:
+    case WY_STORE_ERESPONSE:
+      return "unexpected response from the store";
+    case WY_STORE_ENOTFOUND:
       return "no such object";
     case WY_STORE_EADDRESS:
-      return "not an address of the form host:port";
+      return "the store address is not host:port";
     default:
-      return "unknown error of the store";
+      return "unknown store error";
     }
 }
--- a/src/store/operations.c
+++ b/src/store/operations.c
@@ -1,14 +1,14 @@
-/* Calls to the table service and the object store, as their callers see
-   them.  */
+/* Operations on the table service and the object store: builds the calls and
+   queues them.  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "store/call.h"
 
-/* For all attempts at one call; two that time out and one more.  */
-#define BUDGET_MS 20000
+/* For all attempts of one call: two that time out and a third.  */
+#define TOTAL_TIMEOUT_MS 20000
 
-/* A call of KIND that is in no queue.  */
+/* Create a call of KIND, which is in no queue yet.  */
 struct wy_store_call *
 wy_store_call_new (struct wy_store *s, enum wy_store_call_kind kind,
                    const char *cause)
@@ -20,8 +20,8 @@
   c->cause = cause;
   c->link.data = c;
   c->body = g_string_new (NULL);
-  c->answer = g_string_new (NULL);
-  c->deadline_ms = wy_clock_mono_ms (s->o.clock) + BUDGET_MS;
+  c->response = g_string_new (NULL);
+  c->deadline_ms = wy_clock_mono_ms (s->o.clock) + TOTAL_TIMEOUT_MS;
   return c;
 }
 
@@ -32,11 +32,11 @@
 
   if (budget_ms)
     c->deadline_ms = wy_clock_mono_ms (s->o.clock) + budget_ms;
-  wy_retry_request (&s->retries);
-  if (s->outage.down)
-    c->refused = WY_STORE_EDOWN;
+  wy_retry_request (&s->retry_budget);
+  if (s->breaker.is_open)
+    c->local_err = WY_STORE_EUNAVAILABLE;
   else if (s->waiting.length >= s->o.queue_limit && !urgent)
-    c->refused = WY_STORE_ELIMIT;
+    c->local_err = WY_STORE_ELIMIT;
   if (urgent)
     g_queue_push_head_link (&s->waiting, &c->link);
   else
@@ -54,9 +54,9 @@
   json_decref (json);
 }
 
-/* Carry out T, which is copied.  ON_DONE is told 0, WY_STORE_ECONFLICT with
-   the rows whose conditions failed, or that it was not or may have been
-   carried out.  */
+/* Carry out T, which is copied.  ON_DONE gets 0, WY_STORE_ECONFLICT with the
+   rows whose conditions failed, WY_STORE_EUNKNOWN if T may have been carried
+   out, or another error if it was not.  */
 void
 wy_store_txn (struct wy_store *s, const struct wy_store_txn *t,
               void (*on_done) (void *ctx, const struct wy_store_result *r),
@@ -83,8 +83,8 @@
   enqueue (c, t->total_timeout_ms, t->urgent);
 }
 
-/* Read the rows that R names; keys that are absent may be missing from the
-   answer.  */
+/* Read the rows of the keys or of the prefix in R.  Absent rows may be missing
+   from the result.  */
 void
 wy_store_read (struct wy_store *s, const struct wy_store_read *r,
                void (*on_done) (void *ctx, const struct wy_store_result *r),
@@ -107,8 +107,8 @@
   enqueue (c, r->total_timeout_ms, r->urgent);
 }
 
-/* Store the SIZE_BYTES at P as object KEY.  Writing the same bytes twice does
-   no harm, so a lost answer is settled by writing again.  */
+/* Store the SIZE_BYTES at P as object KEY.  The operation is idempotent: it is
+   sent again when a response is lost.  */
 void
 wy_store_put_object (struct wy_store *s, const char *cause, const char *key,
                      const void *p, size_t size_bytes,
@@ -125,7 +125,7 @@
   enqueue (c, 0, false);
 }
 
-/* Read object KEY; WY_STORE_EMISSING when there is none.  */
+/* Read object KEY.  ON_DONE gets WY_STORE_ENOTFOUND if there is none.  */
 void
 wy_store_get_object (struct wy_store *s, const char *cause, const char *key,
                      void (*on_done) (void *ctx,
@@ -140,7 +140,7 @@
   enqueue (c, 0, false);
 }
 
-/* The row KEY among those of R, or NULL when it is absent.  */
+/* The row KEY of R, or NULL if it is absent.  */
 const struct wy_store_row *
 wy_store_find_row (const struct wy_store_result *r, const char *key)
 {
--- a/src/store/rate_limiter.h
+++ b/src/store/rate_limiter.h
@@ -1,19 +1,19 @@
-/* Pacing of calls: a bucket that fills at a steady rate.  */
+/* Rate limit for the calls to the store: a token bucket.  */
 #ifndef WY_STORE_RATE_LIMITER_H
 #define WY_STORE_RATE_LIMITER_H
 
 #include <stdint.h>
 
-struct wy_rate
+struct wy_rate_limiter
 {
   uint32_t per_s;
   uint32_t burst;
-  double saved;
-  int64_t seen_ms;
+  double tokens; /* one per call */
+  int64_t updated_ms;
 };
 
-void wy_rate_init (struct wy_rate *r, uint32_t per_s, uint32_t burst,
-                   int64_t now_ms);
-uint32_t wy_rate_take (struct wy_rate *r, int64_t now_ms);
+void wy_rate_limiter_init (struct wy_rate_limiter *r, uint32_t per_s,
+                           uint32_t burst, int64_t now_ms);
+uint32_t wy_rate_limiter_take (struct wy_rate_limiter *r, int64_t now_ms);
 
 #endif
--- a/src/yard/batch_delivery.c
+++ b/src/yard/batch_delivery.c
@@ -1,22 +1,24 @@
-/* Trainers read the batch of a step and acknowledge it.
-
-   A fixed batch that nobody has seen is checked against the newest version
-   once more; one that has become too old goes back to be made anew.  The
-   first hand-out is written to the row, on the condition that no version was
-   published since the check, before the trainer gets a byte.  From then on
-   the batch stays the same: the trainer may be training on it.  If versions
-   move on past the bound before it is acknowledged, it is not handed out
-   again, and the trainer is told to acknowledge and go on.  */
+/* Delivers the batch of a step to its trainer, and handles the
+   acknowledgement.
+
+   A committed batch that has not been delivered is checked against the newest
+   version again; a stale one is discarded, and the step is sampled again.  The
+   first delivery is recorded in the row (state "handed"), on the condition
+   that no version has been published since the check, before the trainer gets
+   any data.  From then on the batch never changes, since the trainer may be
+   training on it.  If it becomes stale before it is acknowledged, it is not
+   delivered again, and the trainer is asked to acknowledge the step and to
+   continue with the next one.  */
 #include "yard/trainer_api.h"
 
 static json_t *
-sample_ids (const struct wy_trainer_call *c)
+sample_ids (const struct wy_trainer_request *c)
 {
   return json_incref (c->row.samples);
 }
 
 static void
-hand_out (struct wy_trainer_call *c)
+deliver_batch (struct wy_trainer_request *c)
 {
   json_t *samples = json_object_get (c->batch, "samples");
 
@@ -25,7 +27,7 @@
       c->yard, "trainer", c->trainer, "step", (json_int_t)c->step, "samples",
       sample_ids (c), "oldest", (json_int_t)c->row.oldest, "current",
       (json_int_t)c->current, "bound", (json_int_t)c->row.bound);
-  wy_trainer_answer (
+  wy_trainer_respond (
       c, WY_STATUS_OK,
       json_pack ("{s:I, s:I, s:I, s:O}", "step", (json_int_t)c->step,
                  "current", (json_int_t)c->current, "oldest",
@@ -35,101 +37,102 @@
 static void on_batch_rows (void *ctx, const struct wy_store_result *r);
 
 static void
-on_handed (void *ctx, const struct wy_store_result *r)
+on_marked_handed (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
 
   if (r->err == WY_STORE_ECONFLICT)
     {
-      /* Another entry handed it out, or a version was published.  */
-      wy_trainer_read (c, on_batch_rows);
+      /* Another entry has delivered it, or a version has been published.  */
+      wy_trainer_read_rows (c, on_batch_rows);
       return;
     }
   if (r->err)
     {
-      wy_trainer_store_problem (c, r);
+      wy_trainer_respond_store_error (c, r);
       return;
     }
-  hand_out (c);
+  deliver_batch (c);
 }
 
 static void
 on_batch_object (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
 
   if (r->err)
     {
-      wy_trainer_store_problem (c, r);
+      wy_trainer_respond_store_error (c, r);
       return;
     }
   json_decref (c->batch);
   c->batch = json_loadb (r->data, r->size_bytes, 0, NULL);
   if (!json_is_array (json_object_get (c->batch, "samples")))
     {
-      wy_trainer_problem (c, WY_STATUS_UNAVAILABLE, "The batch can't be read",
-                          NULL);
+      wy_trainer_respond_problem (c, WY_STATUS_UNAVAILABLE,
+                                  "Invalid batch object", NULL);
       return;
     }
   if (c->row.state == WY_STEP_HANDED)
     {
-      hand_out (c);
+      deliver_batch (c);
       return;
     }
   c->row.state = WY_STEP_HANDED;
   c->row.current = c->current;
-  wy_trainer_write_step (c, "hand-out", true, on_handed);
+  wy_trainer_write_step (c, "hand-out", true, on_marked_handed);
 }
 
 static void
-on_returned (void *ctx, const struct wy_store_result *r)
+on_discarded (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
 
   if (r->err && r->err != WY_STORE_ECONFLICT)
-    wy_trainer_store_problem (c, r);
+    wy_trainer_respond_store_error (c, r);
   else
-    wy_trainer_wait (c);
+    wy_trainer_respond_pending (c);
 }
 
-/* The batch is too old before anybody has seen it: its samples are lost, and
-   the step is sampled anew.  */
+/* Discard the stale batch, which has not been delivered: its samples are lost,
+   and the step is sampled again.  */
 static void
-return_batch (struct wy_trainer_call *c)
+discard_batch (struct wy_trainer_request *c)
 {
   c->row.state = WY_STEP_SUBMITTED;
   c->row.attempt++;
-  wy_trainer_write_step (c, "return", false, on_returned);
+  wy_trainer_write_step (c, "return", false, on_discarded);
 }
 
 static void
-give_batch (struct wy_trainer_call *c)
+respond_with_batch (struct wy_trainer_request *c)
 {
   bool stale = wy_step_row_stale (&c->row, c->current);
 
   switch (c->row.state)
     {
     case WY_STEP_SUBMITTED:
-      wy_trainer_wait (c);
+      wy_trainer_respond_pending (c);
       return;
     case WY_STEP_ACKNOWLEDGED:
-      wy_trainer_problem (c, WY_STATUS_GONE, "Step is over",
-                          "The step has been acknowledged.");
+      wy_trainer_respond_problem (c, WY_STATUS_GONE, "Step is finished",
+                                  "The step has been acknowledged.");
       return;
     case WY_STEP_FIXED:
       if (stale)
         {
-          return_batch (c);
+          discard_batch (c);
           return;
         }
       break;
     case WY_STEP_HANDED:
       if (stale)
         {
-          wy_trainer_problem (c, WY_STATUS_CONFLICT, "Batch is too old",
-                              "The batch was handed out before and versions "
-                              "have moved on past the bound; acknowledge the "
-                              "step and go on.");
+          wy_trainer_respond_problem (
+              c, WY_STATUS_CONFLICT, "Batch is too old",
+              "The batch was delivered before and is now older "
+              "than the staleness bound; acknowledge the step "
+              "and continue with the next one.");
           return;
         }
       break;
@@ -140,34 +143,34 @@
 static void
 on_batch_rows (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
 
   if (r->err)
-    wy_trainer_store_problem (c, r);
-  else if (wy_trainer_take_rows (c, r))
-    wy_trainer_problem (c, WY_STATUS_UNAVAILABLE, "The step can't be read",
-                        NULL);
+    wy_trainer_respond_store_error (c, r);
+  else if (wy_trainer_parse_rows (c, r))
+    wy_trainer_respond_problem (c, WY_STATUS_UNAVAILABLE, "Invalid step row",
+                                NULL);
   else if (!c->has_row && c->step <= c->floor)
-    wy_trainer_problem (c, WY_STATUS_GONE, "Step is over",
-                        "The step has been acknowledged.");
+    wy_trainer_respond_problem (c, WY_STATUS_GONE, "Step is finished",
+                                "The step has been acknowledged.");
   else if (!c->has_row)
-    wy_trainer_problem (c, WY_STATUS_NOT_FOUND, "No such step", NULL);
+    wy_trainer_respond_problem (c, WY_STATUS_NOT_FOUND, "No such step", NULL);
   else
-    give_batch (c);
+    respond_with_batch (c);
 }
 
 /* GET .../steps/S/batch  */
 void
-wy_trainer_batch (struct wy_trainer_call *c)
+wy_trainer_batch (struct wy_trainer_request *c)
 {
-  wy_trainer_read (c, on_batch_rows);
+  wy_trainer_read_rows (c, on_batch_rows);
 }
 
 static void
-acknowledged (struct wy_trainer_call *c)
+respond_acknowledged (struct wy_trainer_request *c)
 {
-  wy_trainer_answer (c, WY_STATUS_OK,
-                     json_pack ("{s:I}", "step", (json_int_t)c->step));
+  wy_trainer_respond (c, WY_STATUS_OK,
+                      json_pack ("{s:I}", "step", (json_int_t)c->step));
 }
 
 static void on_ack_rows (void *ctx, const struct wy_store_result *r);
@@ -175,26 +178,26 @@
 static void
 on_acked (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
 
   if (r->err == WY_STORE_ECONFLICT)
     {
-      wy_trainer_read (c, on_ack_rows);
+      wy_trainer_read_rows (c, on_ack_rows);
       return;
     }
   if (r->err)
     {
-      wy_trainer_store_problem (c, r);
+      wy_trainer_respond_store_error (c, r);
       return;
     }
   wy_trace_event (c->trace, "step.acked", "{s:s, s:s, s:I}", "yard", c->yard,
                   "trainer", c->trainer, "step", (json_int_t)c->step);
-  wy_yard_changed (c->owner, c->yard, c->trainer);
-  acknowledged (c);
+  wy_yard_row_changed (c->owner, c->yard, c->trainer);
+  respond_acknowledged (c);
 }
 
 static bool
-is_over (const struct wy_trainer_call *c)
+is_acknowledged (const struct wy_trainer_request *c)
 {
   return c->has_row ? c->row.state == WY_STEP_ACKNOWLEDGED
                     : c->step <= c->floor;
@@ -203,20 +206,21 @@
 static void
 on_ack_rows (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
 
   if (r->err)
-    wy_trainer_store_problem (c, r);
-  else if (wy_trainer_take_rows (c, r))
-    wy_trainer_problem (c, WY_STATUS_UNAVAILABLE, "The step can't be read",
-                        NULL);
-  else if (is_over (c))
-    acknowledged (c);
+    wy_trainer_respond_store_error (c, r);
+  else if (wy_trainer_parse_rows (c, r))
+    wy_trainer_respond_problem (c, WY_STATUS_UNAVAILABLE, "Invalid step row",
+                                NULL);
+  else if (is_acknowledged (c))
+    respond_acknowledged (c);
   else if (!c->has_row)
-    wy_trainer_problem (c, WY_STATUS_NOT_FOUND, "No such step", NULL);
+    wy_trainer_respond_problem (c, WY_STATUS_NOT_FOUND, "No such step", NULL);
   else if (c->row.state != WY_STEP_HANDED)
-    wy_trainer_problem (c, WY_STATUS_CONFLICT, "Nothing to acknowledge",
-                        "The batch has not been handed out.");
+    wy_trainer_respond_problem (c, WY_STATUS_CONFLICT,
+                                "Nothing to acknowledge",
+                                "The batch has not been delivered.");
   else
     {
       c->row.state = WY_STEP_ACKNOWLEDGED;
@@ -226,7 +230,7 @@
 
 /* POST .../steps/S/ack  */
 void
-wy_trainer_ack (struct wy_trainer_call *c)
+wy_trainer_ack (struct wy_trainer_request *c)
 {
-  wy_trainer_read (c, on_ack_rows);
+  wy_trainer_read_rows (c, on_ack_rows);
 }
--- a/src/yard/env.h
+++ b/src/yard/env.h
@@ -1,4 +1,4 @@
-/* What the parts of the yards share.  Inside the package only.  */
+/* State that all parts of the yards share.  Internal to this module.  */
 #ifndef WY_YARD_ENV_H
 #define WY_YARD_ENV_H
 
@@ -20,26 +20,27 @@
   struct wy_yard_options o;
   struct wy_yard_counters n;
   struct wy_rng rng;
-  uint32_t users; /* samplers, rollouts and reads that refer to it */
-  void (*on_unused) (struct wy_yard_env *env);
+  uint32_t refs; /* held by samplers, rollouts and pending reads */
+  void (*on_unref) (struct wy_yard_env *env);
 };
 
-/* The newest published version of one yard, as last read.  */
+/* The newest published weight version of one yard, as last read.  */
 struct wy_yard_version
 {
   int64_t current;
   int64_t rev;
+  /* Monotonic times at which a newer version and a change of the row were
+     first read; 0: never.  */
   int64_t published_ms;
   int64_t changed_ms;
-  /* monotonic */     /* when the last change was seen, 0: never */
-  uint32_t period_ms; /* between the last two, 0: unknown */
-  uint32_t trainers;  /* that may publish */
+  uint32_t period_ms; /* between the last two versions; 0: unknown */
+  uint32_t trainers;  /* of the yard; each may publish */
 };
 
-void wy_yard_env_use (struct wy_yard_env *env);
-void wy_yard_env_unuse (struct wy_yard_env *env);
-int64_t wy_yard_version_next (const struct wy_yard_version *v, bool ahead,
-                              int64_t now_ms);
+void wy_yard_env_ref (struct wy_yard_env *env);
+void wy_yard_env_unref (struct wy_yard_env *env);
+int64_t wy_yard_version_expected_ms (const struct wy_yard_version *v,
+                                     bool ahead, int64_t now_ms);
 void wy_yard_version_set (struct wy_yard_version *v, int64_t current,
                           int64_t rev, int64_t now_ms);
 
--- a/src/yard/rollout.c
+++ b/src/yard/rollout.c
@@ -1,16 +1,17 @@
 /* Weight rollout of one model.
 
-   The holder of the lease brings every target to the newest published
-   version: first it has the agents fetch the weights, a few from the weight
-   store and the others from agents that have them, then it has them swap in
-   waves.  Which targets are next is decided in src/decide/waves.  Each order
-   carries the fencing number; an agent that has seen a higher one refuses.
-
-   A swap that fails leaves the old version in force, and a target that was
-   restarted comes back with an old one.  Both are seen in what the agents
-   report, and the target gets its orders again, within a budget for each
-   version; after that it is named in the log and tried now and then only, so
-   that a broken target costs neither the weight store nor the others.  */
+   The holder of the lease brings all targets to the newest published version.
+   First it orders their agents to fetch the weights: a few from the weight
+   store, the others from agents that already have them.  Then the targets
+   activate the version in waves; src/decide/waves.c selects them.  Each order
+   has the fencing token of the lease, and an agent rejects an order whose
+   token is lower than one it has received.
+
+   After a failed activation the old version stays in force, and a target that
+   was restarted may start with an old version.  The agents report the version,
+   so such a target gets its orders again.  After several failures for one
+   version it is logged and gets orders at long intervals only, so that a
+   broken target loads neither the weight store nor the other targets.  */
 #include "yard/rollout_state.h"
 
 #include <string.h>
@@ -18,146 +19,150 @@
 enum
 {
   TICK_MS = 200,
-  /* Agents that read from the weight store themselves, and those that each
-     agent serves: 3,200 targets are reached in 7 hops.  */
+  /* Agents that read from the weight store, and agents that each agent serves:
+     3,200 targets are reached in 7 hops.  */
   ROOTS = 2,
   FAN_OUT = 3,
-  /* Orders out at a time.  */
+  /* Pending orders to fetch weights.  */
   STAGING_MAX = 64
 };
 
-/* The time by which R plans.  */
+/* The monotonic time of R's clock.  */
 int64_t
 wy_rollout_now_ms (const struct wy_rollout *r)
 {
   return wy_clock_mono_ms (r->env->o.clock);
 }
 
-/* Free R when nothing refers to it any longer.  */
+/* Free R if it is closed and nothing refers to it.  */
 void
-wy_rollout_destroy (struct wy_rollout *r)
+wy_rollout_free_if_unused (struct wy_rollout *r)
 {
-  if (!r->closing || !r->timer_closed || r->awaited)
+  if (!r->closing || !r->timer_closed || r->pending_orders)
     return;
-  wy_yard_env_unuse (r->env);
-  g_ptr_array_free (r->order, TRUE);
-  g_hash_table_destroy (r->replicas);
+  wy_yard_env_unref (r->env);
+  g_ptr_array_free (r->ready_targets, TRUE);
+  g_hash_table_destroy (r->targets);
   g_free (r->views);
   g_free (r->model);
   g_free (r);
 }
 
 static bool
-has_weights (const struct wy_replica *x, int64_t goal)
+has_weights (const struct wy_rollout_target *x, int64_t goal)
 {
-  return x->staged == goal || x->version == goal;
+  return x->staged_version == goal || x->version == goal;
 }
 
-/* Where the replica at place I of the tree gets its weights: "" for the
-   weight store, NULL when it has to wait.  A parent whose own orders fail is
-   passed over, or its whole branch would wait for it.  */
+/* The source of the weights for the target at place I of the relay tree: ""
+   for the weight store, or NULL if it has to wait for its parent.  If the
+   orders of the parent fail, the weight store is used, so that the targets
+   below it don't wait.  */
 static const char *
-source_of (struct wy_rollout *r, guint i)
+weights_source_of (struct wy_rollout *r, guint i)
 {
   int32_t parent = wy_relay_parent (i, FAN_OUT, ROOTS);
-  const struct wy_replica *p;
+  const struct wy_rollout_target *p;
 
   if (parent < 0)
     return "";
-  p = r->order->pdata[parent];
+  p = r->ready_targets->pdata[parent];
   if (has_weights (p, r->goal) && p->view.weights_source
       && *p->view.weights_source)
     return p->view.weights_source;
-  if (p->tries > 0 || has_weights (p, r->goal))
+  if (p->failed_orders > 0 || has_weights (p, r->goal))
     return "";
   return NULL;
 }
 
 static bool
-may_order (const struct wy_replica *x, int64_t now)
+can_order (const struct wy_rollout_target *x, int64_t now)
 {
-  return !x->awaited && now >= x->retry_ms;
+  return !x->order_pending && now >= x->retry_ms;
 }
 
 static uint32_t
-awaited_of (const struct wy_rollout *r, enum wy_order_kind kind)
+count_pending (const struct wy_rollout *r, enum wy_order_kind kind)
 {
   uint32_t n = 0;
 
-  for (guint i = 0; i < r->order->len; i++)
+  for (guint i = 0; i < r->ready_targets->len; i++)
     {
-      const struct wy_replica *x = r->order->pdata[i];
-      n += x->awaited && x->kind == kind;
+      const struct wy_rollout_target *x = r->ready_targets->pdata[i];
+      n += x->order_pending && x->kind == kind;
     }
   return n;
 }
 
 static void
-stage (struct wy_rollout *r)
+stage_targets (struct wy_rollout *r)
 {
-  uint32_t out = awaited_of (r, WY_ORDER_STAGE);
+  uint32_t pending = count_pending (r, WY_ORDER_STAGE);
   int64_t now = wy_rollout_now_ms (r);
 
-  for (guint i = 0; i < r->order->len && out < STAGING_MAX; i++)
+  for (guint i = 0; i < r->ready_targets->len && pending < STAGING_MAX; i++)
     {
-      struct wy_replica *x = r->order->pdata[i];
+      struct wy_rollout_target *x = r->ready_targets->pdata[i];
       const char *source;
 
-      if (has_weights (x, r->goal) || !may_order (x, now))
+      if (has_weights (x, r->goal) || !can_order (x, now))
         continue;
-      source = source_of (r, i);
+      source = weights_source_of (r, i);
       if (!source)
         continue;
       if (!*source && r->env->o.weight_bytes_per_s
-          && wy_token_bucket_take (&r->pace, r->env->o.weight_bytes, now))
+          && wy_token_bucket_take (&r->weights_budget, r->env->o.weight_bytes,
+                                   now))
         return;
-      wy_replica_order (x, WY_ORDER_STAGE, source);
-      out++;
+      wy_rollout_target_order (x, WY_ORDER_STAGE, source);
+      pending++;
     }
 }
 
-/* Callers' share of what the targets can do at once.  Rollouts fill every
-   free place and give way to callers, so what is free at the moment says
-   nothing: held against it, waves would be of one target each whenever the
-   engines are well used.  */
+/* The share of all streams that callers use.  Samples use all other streams,
+   but have a lower priority than callers, so the number of free streams
+   doesn't show how many targets can be taken out: by it, a wave would be a
+   single target whenever the engines are busy.  */
 static double
 load_share (struct wy_rollout *r)
 {
   double running = 0;
-  double places = 0;
+  double streams = 0;
 
-  for (guint i = 0; i < r->order->len; i++)
+  for (guint i = 0; i < r->ready_targets->len; i++)
     {
-      const struct wy_replica *x = r->order->pdata[i];
+      const struct wy_rollout_target *x = r->ready_targets->pdata[i];
 
       running += x->view.interactive_running;
-      places += x->view.streams_max;
+      streams += x->view.streams_max;
     }
-  return places > 0 ? running / places : 0;
+  return streams > 0 ? running / streams : 0;
 }
 
 static void
-activate (struct wy_rollout *r)
+activate_targets (struct wy_rollout *r)
 {
-  guint n = r->order->len;
+  guint n = r->ready_targets->len;
   int64_t now = wy_rollout_now_ms (r);
   struct wy_wave_replica *w = g_new0 (struct wy_wave_replica, n + 1);
   uint32_t *next = g_new (uint32_t, n + 1);
   const struct wy_wave_options o = { .load_share = load_share (r) };
-  uint32_t got;
+  uint32_t n_next;
 
   for (guint i = 0; i < n; i++)
     {
-      const struct wy_replica *x = r->order->pdata[i];
+      const struct wy_rollout_target *x = r->ready_targets->pdata[i];
 
       w[i].callers = x->view.interactive_running;
-      w[i].staged = x->staged == r->goal;
+      w[i].staged = x->staged_version == r->goal;
       w[i].done = x->version >= r->goal;
-      w[i].failed = !may_order (x, now);
+      w[i].failed = !can_order (x, now);
     }
-  got = wy_wave_next (&o, w, n, awaited_of (r, WY_ORDER_ACTIVATE), next, n);
-  for (uint32_t i = 0; i < got; i++)
-    wy_replica_order (r->order->pdata[next[i]], WY_ORDER_ACTIVATE, "");
+  n_next
+      = wy_wave_next (&o, w, n, count_pending (r, WY_ORDER_ACTIVATE), next, n);
+  for (uint32_t i = 0; i < n_next; i++)
+    wy_rollout_target_order (r->ready_targets->pdata[next[i]],
+                             WY_ORDER_ACTIVATE, "");
   g_free (w);
   g_free (next);
 }
@@ -170,13 +175,13 @@
   uv_timer_start (&r->timer, on_tick, TICK_MS, 0);
   if (r->goal == 0 || !wy_lease_valid (r->lease))
     return;
-  wy_rollout_look (r);
-  stage (r);
-  if (r->order->len)
-    activate (r);
+  wy_rollout_update_targets (r);
+  stage_targets (r);
+  if (r->ready_targets->len)
+    activate_targets (r);
 }
 
-/* Give what orders can be given as soon as the loop comes round.  */
+/* Send the orders that are due in the next iteration of the event loop.  */
 void
 wy_rollout_wake (struct wy_rollout *r)
 {
@@ -184,7 +189,7 @@
     uv_timer_start (&r->timer, on_tick, 0, 0);
 }
 
-/* Try to become the one who brings new weights to the targets of O->model. */
+/* Create the rollout of O->model, which starts once it has the lease.  */
 struct wy_rollout *
 wy_rollout_new (const struct wy_rollout_options *o)
 {
@@ -201,14 +206,14 @@
                                           .ttl_ms = eo->lease_ttl_ms };
 
   r->env = o->env;
-  wy_yard_env_use (o->env);
+  wy_yard_env_ref (o->env);
   r->model = g_strdup (o->model);
-  r->replicas
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, wy_replica_free);
-  r->order = g_ptr_array_new ();
+  r->targets = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
+                                      wy_rollout_target_free);
+  r->ready_targets = g_ptr_array_new ();
   r->views = g_new0 (struct wy_target_view, WY_ROLLOUT_TARGETS_MAX);
-  /* The budget holds what the roots need at once.  */
-  wy_token_bucket_init (&r->pace, eo->weight_bytes_per_s,
+  /* The burst is what the roots of the relay tree read at once.  */
+  wy_token_bucket_init (&r->weights_budget, eo->weight_bytes_per_s,
                         eo->weight_bytes * ROOTS, wy_rollout_now_ms (r));
   r->lease = wy_lease_new (&lease);
   g_free (name);
@@ -218,9 +223,9 @@
   return r;
 }
 
-/* VERSION is published.  */
+/* VERSION has been published: bring the targets to it.  */
 void
-wy_rollout_goal (struct wy_rollout *r, int64_t version)
+wy_rollout_set_goal (struct wy_rollout *r, int64_t version)
 {
   if (version <= r->goal)
     return;
@@ -235,8 +240,8 @@
   return !r->closing && wy_lease_valid (r->lease);
 }
 
-/* Give no more orders, and the lease to another.  Orders under way may still
-   take effect; they carry a fencing number that the next holder's is above. */
+/* Send no more orders, and release the lease.  Pending orders may still take
+   effect, but their fencing token is lower than that of the next holder.  */
 void
 wy_rollout_stop (struct wy_rollout *r)
 {
@@ -251,10 +256,10 @@
   struct wy_rollout *r = h->data;
 
   r->timer_closed = true;
-  wy_rollout_destroy (r);
+  wy_rollout_free_if_unused (r);
 }
 
-/* Free R, before the store is freed.  */
+/* Free R; must be called before the store is freed.  */
 void
 wy_rollout_free (struct wy_rollout *r)
 {
--- a/src/yard/rollout.h
+++ b/src/yard/rollout.h
@@ -1,5 +1,5 @@
-/* Weight rollout of one model, by one entry at a time.  Inside the package
-   only.  */
+/* Weight rollout of one model, performed by one entry at a time.  Internal to
+   this module.  */
 #ifndef WY_YARD_ROLLOUT_H
 #define WY_YARD_ROLLOUT_H
 
@@ -15,7 +15,7 @@
 };
 
 struct wy_rollout *wy_rollout_new (const struct wy_rollout_options *o);
-void wy_rollout_goal (struct wy_rollout *r, int64_t version);
+void wy_rollout_set_goal (struct wy_rollout *r, int64_t version);
 bool wy_rollout_active (const struct wy_rollout *r);
 void wy_rollout_stop (struct wy_rollout *r);
 void wy_rollout_free (struct wy_rollout *r);
--- a/src/yard/rollout_state.h
+++ b/src/yard/rollout_state.h
@@ -1,4 +1,4 @@
-/* State of one weight rollout.  Inside the package only.  */
+/* State of one weight rollout.  Internal to this module.  */
 #ifndef WY_YARD_ROLLOUT_STATE_H
 #define WY_YARD_ROLLOUT_STATE_H
 
@@ -9,20 +9,20 @@
 
 #define WY_ROLLOUT_TARGETS_MAX 4096
 
-/* One target as the rollout sees it.  */
-struct wy_replica
+/* One target of the rollout.  */
+struct wy_rollout_target
 {
   struct wy_rollout *rollout;
   char *id;
-  bool awaited;
-  enum wy_order_kind kind; /* of the order awaited */
-  int64_t ordered;         /* version that tries counts for */
-  uint32_t tries;
+  bool order_pending;
+  enum wy_order_kind kind; /* of the last order */
+  int64_t ordered_version; /* of the last order */
+  uint32_t failed_orders;  /* since the last activation or new goal */
   int64_t retry_ms;
-  int64_t version; /* in force, by report or answer */
-  int64_t staged;
-  int64_t answered_ms; /* last successful order */
-  bool named;
+  int64_t version; /* in force, by the last report or order */
+  int64_t staged_version;
+  int64_t order_done_ms; /* end of the last order if it succeeded, else 0 */
+  bool named;            /* unused */
   bool up;
   struct wy_target_view view;
 };
@@ -33,12 +33,14 @@
   char *model;
   struct wy_lease *lease;
   uv_timer_t timer;
-  int64_t goal;
-  GHashTable *replicas; /* char * -> struct wy_replica */
-  GPtrArray *order;     /* struct wy_replica, by id: the relay tree */
+  int64_t goal;        /* version to bring the targets to; 0: none */
+  GHashTable *targets; /* char * -> struct wy_rollout_target */
+  /* struct wy_rollout_target, those that are up, sorted by id: their places in
+     the relay tree.  */
+  GPtrArray *ready_targets;
   struct wy_target_view *views;
-  struct wy_token_bucket pace;
-  uint32_t awaited;
+  struct wy_token_bucket weights_budget; /* reads from the weight store */
+  uint32_t pending_orders;
   bool stopped;
   bool closing;
   bool timer_closed;
@@ -46,10 +48,10 @@
 
 int64_t wy_rollout_now_ms (const struct wy_rollout *r);
 void wy_rollout_wake (struct wy_rollout *r);
-void wy_rollout_destroy (struct wy_rollout *r);
-void wy_rollout_look (struct wy_rollout *r);
-void wy_replica_order (struct wy_replica *x, enum wy_order_kind kind,
-                       const char *source);
-void wy_replica_free (gpointer p);
+void wy_rollout_free_if_unused (struct wy_rollout *r);
+void wy_rollout_update_targets (struct wy_rollout *r);
+void wy_rollout_target_order (struct wy_rollout_target *x,
+                              enum wy_order_kind kind, const char *source);
+void wy_rollout_target_free (gpointer p);
 
 #endif
--- a/src/yard/routes.c
+++ b/src/yard/routes.c
@@ -1,4 +1,4 @@
-/* Routes of the trainers' interface.  */
+/* Routes of the HTTP interface for trainers.  */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -25,7 +25,7 @@
   const char *verb;
   const char *method;
   bool has_body;
-  void (*run) (struct wy_trainer_call *c);
+  void (*handle) (struct wy_trainer_request *c);
 };
 
 static const struct route step_routes[]
@@ -36,8 +36,8 @@
     = { "weights", "POST", true, wy_trainer_publish };
 
 static void
-refuse (struct wy_http_exchange *ex, int status, const char *title,
-        const char *detail)
+respond_problem (struct wy_http_exchange *ex, int status, const char *title,
+                 const char *detail)
 {
   const struct wy_http_problem p
       = { .status = status, .title = title, .detail = detail };
@@ -48,10 +48,10 @@
 static void
 on_abort (struct wy_http_exchange *ex, void *ctx)
 {
-  ((struct wy_trainer_call *)ctx)->ex = NULL;
+  ((struct wy_trainer_request *)ctx)->ex = NULL;
 }
 
-/* The number of a step, or -1.  Steps count from 1.  */
+/* Parse the number of a step, 1 or higher.  Returns -1 if TEXT is none.  */
 static int64_t
 parse_step (const char *text)
 {
@@ -63,11 +63,11 @@
   return *text && !*end && !errno && n > 0 ? n : -1;
 }
 
-static struct wy_trainer_call *
-call_new (struct wy_yard *y, struct wy_http_exchange *ex, gchar **parts)
+static struct wy_trainer_request *
+request_new (struct wy_yard *y, struct wy_http_exchange *ex, gchar **parts)
 {
   const struct wy_yard_options *o = wy_yard_options_of (y);
-  struct wy_trainer_call *c = g_malloc0 (sizeof *c);
+  struct wy_trainer_request *c = g_malloc0 (sizeof *c);
 
   c->owner = y;
   c->store = o->store;
@@ -80,7 +80,7 @@
 }
 
 static void
-run (struct wy_trainer_call *c, const struct route *r)
+handle_request (struct wy_trainer_request *c, const struct route *r)
 {
   size_t n;
   const char *body = wy_http_body (c->ex, &n);
@@ -89,12 +89,12 @@
     c->body = json_loadb (body, n, JSON_REJECT_DUPLICATES, NULL);
   if (r->has_body && !json_is_object (c->body))
     {
-      wy_trainer_problem (c, WY_STATUS_BAD_REQUEST, "Bad request",
-                          "The body must be a JSON object.");
+      wy_trainer_respond_problem (c, WY_STATUS_BAD_REQUEST, "Bad request",
+                                  "The body must be a JSON object.");
       return;
     }
   wy_http_on_abort (c->ex, on_abort, c);
-  r->run (c);
+  r->handle (c);
 }
 
 static void
@@ -103,30 +103,32 @@
   const struct route *r = NULL;
   int64_t step = parse_step (parts[PART_STEP]);
   uint32_t bound;
-  struct wy_trainer_call *c;
+  struct wy_trainer_request *c;
 
   for (size_t i = 0; i < G_N_ELEMENTS (step_routes); i++)
     if (!strcmp (step_routes[i].verb, parts[PART_VERB]))
       r = &step_routes[i];
   if (!r || strcmp (parts[PART_KIND], "trainers") != 0
       || strcmp (parts[PART_STEPS], "steps") != 0)
-    refuse (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
+    respond_problem (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
   else if (strcmp (wy_http_method (ex), r->method) != 0)
-    refuse (ex, WY_STATUS_METHOD_NOT_ALLOWED, "Method not allowed", NULL);
+    respond_problem (ex, WY_STATUS_METHOD_NOT_ALLOWED, "Method not allowed",
+                     NULL);
   else if (step < 0)
-    refuse (ex, WY_STATUS_BAD_REQUEST, "Bad step",
-            "Steps are numbered from 1.");
-  else if (!wy_yard_serves (y, parts[PART_YARD], parts[PART_TRAINER], &bound))
-    refuse (ex, WY_STATUS_NOT_FOUND, "No such yard or trainer", NULL);
+    respond_problem (ex, WY_STATUS_BAD_REQUEST, "Invalid step",
+                     "Steps are numbered from 1.");
+  else if (!wy_yard_is_configured (y, parts[PART_YARD], parts[PART_TRAINER],
+                                   &bound))
+    respond_problem (ex, WY_STATUS_NOT_FOUND, "No such yard or trainer", NULL);
   else
     {
-      c = call_new (y, ex, parts);
+      c = request_new (y, ex, parts);
       c->trainer = g_strdup (parts[PART_TRAINER]);
       c->step = step;
       c->bound_max = bound;
       c->step_key = wy_key_step (c->yard, c->trainer, step);
       c->floor_key = wy_key_floor (c->yard, c->trainer);
-      run (c, r);
+      handle_request (c, r);
     }
 }
 
@@ -136,16 +138,18 @@
   uint32_t bound;
 
   if (strcmp (parts[PART_KIND], weights_route.verb) != 0)
-    refuse (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
+    respond_problem (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
   else if (strcmp (wy_http_method (ex), weights_route.method) != 0)
-    refuse (ex, WY_STATUS_METHOD_NOT_ALLOWED, "Method not allowed", NULL);
-  else if (!wy_yard_serves (y, parts[PART_YARD], NULL, &bound))
-    refuse (ex, WY_STATUS_NOT_FOUND, "No such yard", NULL);
+    respond_problem (ex, WY_STATUS_METHOD_NOT_ALLOWED, "Method not allowed",
+                     NULL);
+  else if (!wy_yard_is_configured (y, parts[PART_YARD], NULL, &bound))
+    respond_problem (ex, WY_STATUS_NOT_FOUND, "No such yard", NULL);
   else
-    run (call_new (y, ex, parts), &weights_route);
+    handle_request (request_new (y, ex, parts), &weights_route);
 }
 
-/* Answer EX when it is a call of the trainers' interface; whether it is.  */
+/* Handle EX if it is a request of the interface for trainers.  Returns whether
+   it is.  */
 bool
 wy_yard_handle_request (struct wy_yard *y, struct wy_http_exchange *ex)
 {
@@ -161,7 +165,7 @@
   else if (n == PARTS_WEIGHTS)
     route_weights (y, ex, parts);
   else
-    refuse (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
+    respond_problem (ex, WY_STATUS_NOT_FOUND, "No such resource", NULL);
   g_strfreev (parts);
   return true;
 }
--- a/src/yard/sample.h
+++ b/src/yard/sample.h
@@ -1,4 +1,4 @@
-/* One sample.  Inside the package only.  */
+/* One sample of a step.  Internal to this module.  */
 #ifndef WY_YARD_SAMPLE_H
 #define WY_YARD_SAMPLE_H
 
@@ -7,30 +7,30 @@
 
 enum wy_sample_phase
 {
-  WY_SAMPLE_WAITING, /* to be started, or started again */
-  WY_SAMPLE_AT_ENGINE,
-  WY_SAMPLE_AT_SCORER,
-  WY_SAMPLE_TAKEN,
-  WY_SAMPLE_GONE
+  WY_SAMPLE_PHASE_WAITING,  /* for a start after a rejection */
+  WY_SAMPLE_PHASE_RUNNING,  /* at an engine */
+  WY_SAMPLE_PHASE_SCORING,  /* at the scoring service */
+  WY_SAMPLE_PHASE_ACCEPTED, /* complete, for the batch */
+  WY_SAMPLE_PHASE_DROPPED
 };
 
 struct wy_sample
 {
-  struct wy_sampling *owner; /* NULL: nobody wants it any more */
-  uint32_t index;            /* in the decisions of the step */
+  struct wy_sampling *owner; /* NULL: the step has ended */
+  uint32_t index;            /* its number in wy_step */
   enum wy_sample_phase phase;
-  bool awaited; /* the runner has yet to tell its outcome */
+  bool run_pending; /* the runner hasn't reported the outcome yet */
   char id[WY_ID_SIZE_BYTES];
-  char req[WY_ID_SIZE_BYTES];
+  char request_id[WY_ID_SIZE_BYTES];
   int64_t due_ms;
   int64_t started_ms;
-  char *run;
+  char *run_id;
   char *text;
   json_t *segments;
-  int64_t oldest;
+  int64_t oldest; /* version of its tokens */
   uint32_t tokens;
   double score;
-  struct wy_score_job *scoring;
+  struct wy_score_job *score_job;
 };
 
 struct wy_sampling
@@ -41,9 +41,9 @@
   json_t *groups;
   struct wy_step *step;
   int64_t version;
-  GPtrArray *samples; /* struct wy_sample */
-  uint32_t open;      /* waiting, at an engine or at the scorer */
-  bool idle;          /* nothing could be issued last time */
+  GPtrArray *samples;    /* struct wy_sample */
+  uint32_t n_unfinished; /* waiting, running or being scored */
+  bool issue_blocked;    /* streams were free, but nothing could be issued */
 };
 
 json_t *wy_sample_segments (const struct wy_run_outcome *o, int64_t *oldest);
--- a/src/yard/sampler.c
+++ b/src/yard/sampler.c
@@ -1,15 +1,15 @@
 /* Sampler of one trainer.
 
-   Every entry tries for the lease; the one that has it reads the trainer's
-   rows at an interval, and that is all the others need to tell it.  What it
-   costs the table: one read of a prefix each interval for each trainer, and
-   one of the newest version, by one entry, plus a look at the lease by each
-   of the others three times in a lease.
-
-   When the lease ends because the store does not answer, the samples in hand
-   are kept: they are part of no batch, and if the next holder is the same
-   process with the next fencing number, nobody else can have worked on the
-   steps in between.  A short outage so costs the trainer no samples.  */
+   All entries try to acquire the lease of the trainer; the holder polls the
+   trainer's rows, so other entries only have to write there.  The load on the
+   table per trainer: one read of a prefix and one of the newest version per
+   interval, by the holder, and three reads of the lease per lease period by
+   each other entry.
+
+   If the lease ends because the store is unavailable, the samples in progress
+   are kept.  They belong to no batch yet, and if the same process acquires the
+   lease again with the next fencing token, no other process has held it in
+   between.  So a short outage costs no samples.  */
 #include "yard/sampler.h"
 
 #include "yard/poll_interval.h"
@@ -20,18 +20,19 @@
 
 enum
 {
-  /* A step waits this long at most to be seen.  */
+  /* Polling interval of the rows.  */
   POLL_MS = 250,
   TICK_MS = 100,
-  /* Steps of one trainer that are sampled at a time; the trainer consumes
-     them in order, and samples made far ahead are too old when used.  */
+  /* Steps of one trainer that are sampled at the same time.  The trainer takes
+     them in order, so samples of later steps would be stale when used.  */
   STEPS_MAX = 2,
-  /* First guesses until samples have ended.  */
-  US_PER_TOKEN = 20000,
+  /* Estimate until samples have completed.  */
+  INITIAL_US_PER_TOKEN = 20000,
   MILLI = 1000
 };
 
-#define TOKEN_SHARE 0.5
+/* Estimate of the used share of max_tokens until samples have completed.  */
+#define INITIAL_TOKEN_SHARE 0.5
 
 static int64_t
 now_ms (const struct wy_sampler *s)
@@ -39,14 +40,14 @@
   return wy_clock_mono_ms (s->o.env->o.clock);
 }
 
-/* Free S when nothing refers to it any longer.  */
+/* Free S if it is closed and nothing refers to it.  */
 void
-wy_sampler_destroy (struct wy_sampler *s)
+wy_sampler_free_if_unused (struct wy_sampler *s)
 {
-  if (!s->closing || !s->timer_closed || s->polling || s->cleaning
+  if (!s->closing || !s->timer_closed || s->polling || s->deleting_steps
       || s->jobs.length)
     return;
-  wy_yard_env_unuse (s->o.env);
+  wy_yard_env_unref (s->o.env);
   g_free (s->yard);
   g_free (s->trainer);
   g_free (s->label);
@@ -67,38 +68,41 @@
       struct wy_step_job *j = l->data;
 
       next = l->next;
-      /* The outcome of a transaction under way is still read.  */
-      if (all || (j->fix != WY_FIX_TXN && j->fix != WY_FIX_SETTLE))
+      /* The outcome of a pending transaction is still read.  */
+      if (all
+          || (j->commit_phase != WY_COMMIT_TXN
+              && j->commit_phase != WY_COMMIT_READING_OUTCOME))
         wy_step_job_drop (j, reason);
     }
 }
 
 static void
-on_acquired (void *ctx, int64_t fence)
+on_acquired (void *ctx, int64_t fencing_token)
 {
   struct wy_sampler *s = ctx;
 
-  if (fence != s->fence + 1)
+  if (fencing_token != s->fencing_token + 1)
     drop_jobs (s, "lease", false);
-  s->fence = fence;
-  s->poll_ms = now_ms (s);
+  s->fencing_token = fencing_token;
+  s->next_poll_ms = now_ms (s);
   wy_sampler_wake (s);
 }
 
 static guint
-steps_in_hand (const struct wy_sampler *s)
+count_uncommitted (const struct wy_sampler *s)
 {
   guint n = 0;
 
   for (GList *l = s->jobs.head; l; l = l->next)
-    n += ((const struct wy_step_job *)l->data)->fix != WY_FIX_DONE;
+    n += ((const struct wy_step_job *)l->data)->commit_phase != WY_COMMIT_DONE;
   return n;
 }
 
-/* The row of a step that is still without a batch.  AHEAD steps before it are
-   not acknowledged.  */
+/* Start or update the step of ROW, which has no batch yet.  The trainer is to
+   publish AHEAD versions before it takes this step.  */
 static void
-take_submitted (struct wy_sampler *s, struct wy_step_row *row, uint32_t ahead)
+update_submitted (struct wy_sampler *s, struct wy_step_row *row,
+                  uint32_t ahead)
 {
   struct wy_step_job *j = wy_step_job_find (s, row->step);
 
@@ -109,12 +113,13 @@
     }
   if (j)
     {
-      /* A batch of ours was too old and came back.  */
-      if (j->fix == WY_FIX_NONE || j->fix == WY_FIX_DONE)
+      /* Its batch was committed by this sampler and discarded as stale.  */
+      if (j->commit_phase == WY_COMMIT_NONE
+          || j->commit_phase == WY_COMMIT_DONE)
         wy_step_job_drop (j, "returned");
       return;
     }
-  if (steps_in_hand (s) < STEPS_MAX)
+  if (count_uncommitted (s) < STEPS_MAX)
     wy_step_job_add (s, row, ahead);
 }
 
@@ -160,7 +165,7 @@
 }
 
 static void
-take_steps (struct wy_sampler *s, const struct wy_store_result *r)
+update_steps (struct wy_sampler *s, const struct wy_store_result *r)
 {
   GPtrArray *rows = parse_steps (s, r);
   uint32_t ahead = 0;
@@ -169,20 +174,22 @@
     {
       struct wy_step_row *row = rows->pdata[i];
       struct wy_step_job *j = wy_step_job_find (s, row->step);
-      bool over = row->state != WY_STEP_SUBMITTED;
+      bool committed = row->state != WY_STEP_SUBMITTED;
 
-      if (!over)
-        take_submitted (s, row, ahead);
-      else if (j && (j->fix == WY_FIX_NONE || j->fix == WY_FIX_DONE))
+      if (!committed)
+        update_submitted (s, row, ahead);
+      else if (j
+               && (j->commit_phase == WY_COMMIT_NONE
+                   || j->commit_phase == WY_COMMIT_DONE))
         wy_step_job_drop (j, "overtaken");
-      if (wy_sampler_unpublished (s, row))
+      if (wy_sampler_version_is_pending (s, row))
         ahead++;
     }
   g_ptr_array_free (rows, TRUE);
 }
 
 static void
-note_change (struct wy_sampler *s, const struct wy_store_result *r)
+record_change (struct wy_sampler *s, const struct wy_store_result *r)
 {
   int64_t newest = 0;
 
@@ -202,28 +209,30 @@
   s->polling = false;
   if (s->closing)
     {
-      wy_sampler_destroy (s);
+      wy_sampler_free_if_unused (s);
       return;
     }
   if (r->err || !wy_lease_valid (s->lease))
     return;
-  note_change (s, r);
-  take_steps (s, r);
-  wy_sampler_clean (s, r);
+  record_change (s, r);
+  update_steps (s, r);
+  wy_sampler_delete_old_steps (s, r);
   wy_sampler_wake (s);
 }
 
 static void
-poll (struct wy_sampler *s)
+poll_rows (struct wy_sampler *s)
 {
   uint32_t base = s->o.env->o.poll_ms ? s->o.env->o.poll_ms : POLL_MS;
-  uint32_t every = wy_yard_poll_ms (base, s->changed_ms, now_ms (s));
+  uint32_t interval
+      = wy_yard_poll_interval_ms (base, s->changed_ms, now_ms (s));
   char *prefix;
   struct wy_store_read read = { .cause = "sampler" };
 
-  if (s->polling || now_ms (s) < s->poll_ms)
+  if (s->polling || now_ms (s) < s->next_poll_ms)
     return;
-  s->poll_ms = now_ms (s) + every / 2 + wy_rng_below (&s->o.env->rng, every);
+  s->next_poll_ms
+      = now_ms (s) + interval / 2 + wy_rng_below (&s->o.env->rng, interval);
   s->polling = true;
   prefix = g_strdup_printf ("yard/%s/trainer/%s/", s->yard, s->trainer);
   read.prefix = prefix;
@@ -232,25 +241,26 @@
 }
 
 static void
-run_job (struct wy_sampler *s, struct wy_step_job *j, bool last)
+run_job (struct wy_sampler *s, struct wy_step_job *j, bool is_last)
 {
-  if (j->gone)
+  if (j->dropped)
     return;
-  if (j->fix == WY_FIX_NONE && j->sampling && wy_lease_valid (s->lease)
-      && !wy_sampling_whole (j->sampling))
+  if (j->commit_phase == WY_COMMIT_NONE && j->sampling
+      && wy_lease_valid (s->lease) && !wy_sampling_is_complete (j->sampling))
     {
-      wy_sampling_version (j->sampling, wy_sampler_version (s, j));
-      wy_sampling_run (j->sampling, s->o.version, last);
+      wy_sampling_set_version (j->sampling,
+                               wy_sampler_expected_version (s, j));
+      wy_sampling_run (j->sampling, s->o.version, is_last);
     }
-  if (j->sampling && wy_sampling_stuck (j->sampling))
+  if (j->sampling && wy_sampling_is_exhausted (j->sampling))
     {
       wy_log (WY_LOG_WARN, "step_begins_again", "step=%s", j->key);
       wy_step_job_drop (j, "exhausted");
       return;
     }
-  if (j->fix != WY_FIX_NONE
-      || (j->sampling && wy_sampling_whole (j->sampling)))
-    wy_step_job_fix (j);
+  if (j->commit_phase != WY_COMMIT_NONE
+      || (j->sampling && wy_sampling_is_complete (j->sampling)))
+    wy_step_job_commit (j);
 }
 
 static void
@@ -260,7 +270,7 @@
   GList *next;
 
   if (wy_lease_valid (s->lease))
-    poll (s);
+    poll_rows (s);
   for (GList *l = s->jobs.head; l; l = next)
     {
       next = l->next;
@@ -269,7 +279,7 @@
   uv_timer_start (&s->timer, on_tick, TICK_MS, 0);
 }
 
-/* Look at the steps as soon as the loop comes round.  */
+/* Process the steps in the next iteration of the event loop.  */
 void
 wy_sampler_wake (struct wy_sampler *s)
 {
@@ -277,16 +287,16 @@
     uv_timer_start (&s->timer, on_tick, 0, 0);
 }
 
-/* Read the rows now, without waiting for the interval.  */
+/* Read the rows in the next iteration of the event loop.  */
 void
 wy_sampler_poll (struct wy_sampler *s)
 {
-  s->poll_ms = 0;
+  s->next_poll_ms = 0;
   wy_sampler_wake (s);
 }
 
-/* Take over what the configuration says of YARD and TRAINER.  Steps in hand
-   go on as they began, unless the model is another.  */
+/* Apply the configuration of YARD and TRAINER.  Steps in progress continue
+   with the earlier one, unless the model changes: then they start again.  */
 void
 wy_sampler_configure (struct wy_sampler *s, const struct wy_yard_config *yard,
                       const struct wy_trainer_config *trainer)
@@ -300,7 +310,7 @@
   s->weights.idle = yard->weighs == WY_WEIGHS_IDLE ? 1 : 0;
 }
 
-/* Try to become the sampler that O says.  */
+/* Create the sampler of a trainer, which starts once it has the lease.  */
 struct wy_sampler *
 wy_sampler_new (const struct wy_sampler_options *o)
 {
@@ -320,15 +330,15 @@
                                           .ctx = s };
 
   s->o = *o;
-  wy_yard_env_use (o->env);
+  wy_yard_env_ref (o->env);
   s->yard = g_strdup (o->yard->name);
   s->trainer = g_strdup (o->trainer->name);
   s->label = g_strdup_printf ("%s/%s", s->yard, s->trainer);
   s->prefix = wy_key_steps (s->yard, s->trainer);
   s->current_key = wy_key_current (s->yard);
   s->floor_key = wy_key_floor (s->yard, s->trainer);
-  s->pace.us_per_token = US_PER_TOKEN;
-  s->pace.token_share = TOKEN_SHARE;
+  s->estimates.us_per_token = INITIAL_US_PER_TOKEN;
+  s->estimates.token_share = INITIAL_TOKEN_SHARE;
   wy_sampler_configure (s, o->yard, o->trainer);
   uv_timer_init (eo->loop, &s->timer);
   s->timer.data = s;
@@ -345,7 +355,7 @@
   return !s->closing && wy_lease_valid (s->lease);
 }
 
-/* Give up all samples and the lease, so that another entry goes on.  */
+/* Drop all samples and release the lease, so that another entry takes over. */
 void
 wy_sampler_stop (struct wy_sampler *s)
 {
@@ -360,10 +370,10 @@
   struct wy_sampler *s = h->data;
 
   s->timer_closed = true;
-  wy_sampler_destroy (s);
+  wy_sampler_free_if_unused (s);
 }
 
-/* Free S, before the store is freed.  */
+/* Free S; must be called before the store is freed.  */
 void
 wy_sampler_free (struct wy_sampler *s)
 {
--- a/src/yard/sampling.c
+++ b/src/yard/sampling.c
@@ -1,5 +1,5 @@
-/* The samples of one step: asks the decisions what to issue and what to give
-   up, and carries that out.  */
+/* The samples of one step.  decide/steps.h decides which samples to issue and
+   which to stop; this module does so.  */
 #include "yard/sampling.h"
 
 #include <string.h>
@@ -15,13 +15,13 @@
       json_int_t max_tokens
           = json_integer_value (json_object_get (g, "max_tokens"));
 
-      wy_step_predict (s->step, (uint32_t)i,
-                       (uint32_t)((double)max_tokens * s->o.pace->token_share)
-                           + 1);
+      wy_step_predict (
+          s->step, (uint32_t)i,
+          (uint32_t)((double)max_tokens * s->o.estimates->token_share) + 1);
     }
 }
 
-/* Begin a step as O says; NULL when its groups make no sense.  */
+/* Start a step with the options O.  Returns NULL if its groups are invalid. */
 struct wy_sampling *
 wy_sampling_new (const struct wy_sampling_options *o)
 {
@@ -52,8 +52,8 @@
   return s;
 }
 
-/* Give up all samples of S that are not in a batch, for REASON, and free S.
-   BATCHED: those taken are in one, or may be.  */
+/* Drop all samples of S that are in no batch, for REASON, and free S. BATCHED:
+   the accepted samples are in a batch, or may be.  */
 void
 wy_sampling_free (struct wy_sampling *s, const char *reason, bool batched)
 {
@@ -63,11 +63,11 @@
     {
       struct wy_sample *m = s->samples->pdata[i];
 
-      if (m->phase != WY_SAMPLE_GONE
-          && (m->phase != WY_SAMPLE_TAKEN || !batched))
+      if (m->phase != WY_SAMPLE_PHASE_DROPPED
+          && (m->phase != WY_SAMPLE_PHASE_ACCEPTED || !batched))
         wy_sample_drop (m, reason);
       m->owner = NULL;
-      if (!m->awaited)
+      if (!m->run_pending)
         wy_sample_free (m);
     }
   g_ptr_array_free (s->samples, TRUE);
@@ -78,6 +78,7 @@
   g_free (s);
 }
 
+/* The sample with number INDEX in wy_step, or NULL.  */
 static struct wy_sample *
 sample_at (const struct wy_sampling *s, uint32_t index)
 {
@@ -90,8 +91,10 @@
   return NULL;
 }
 
+/* Set *OUT to the numbers of the accepted samples, to be freed.  Returns how
+   many there are.  */
 static uint32_t
-take_batch (const struct wy_sampling *s, uint32_t **out)
+list_accepted (const struct wy_sampling *s, uint32_t **out)
 {
   uint32_t n = wy_step_accepted (s->step);
 
@@ -100,7 +103,7 @@
 }
 
 static bool
-among (const uint32_t *list, uint32_t n, uint32_t index)
+contains (const uint32_t *list, uint32_t n, uint32_t index)
 {
   for (uint32_t i = 0; i < n; i++)
     if (list[i] == index)
@@ -108,10 +111,10 @@
   return false;
 }
 
-/* The trainer will take the batch at VERSION: samples that are too old for
-   it are dropped and issued anew.  */
+/* Set the version that the trainer will have when it takes the batch to
+   VERSION.  Samples that are too stale for it are dropped and replaced.  */
 void
-wy_sampling_version (struct wy_sampling *s, int64_t version)
+wy_sampling_set_version (struct wy_sampling *s, int64_t version)
 {
   uint32_t *batch;
   uint32_t n;
@@ -121,18 +124,19 @@
   s->version = version;
   if (wy_step_drop_stale (s->step, (uint64_t)version) == 0)
     return;
-  n = take_batch (s, &batch);
+  n = list_accepted (s, &batch);
   for (guint i = 0; i < s->samples->len; i++)
     {
       struct wy_sample *m = s->samples->pdata[i];
-      if (m->phase == WY_SAMPLE_TAKEN && !among (batch, n, m->index))
+      if (m->phase == WY_SAMPLE_PHASE_ACCEPTED
+          && !contains (batch, n, m->index))
         wy_sample_drop (m, "stale");
     }
   g_free (batch);
 }
 
 static void
-give_up_stragglers (struct wy_sampling *s, const struct wy_step_inputs *now)
+stop_stragglers (struct wy_sampling *s, const struct wy_step_inputs *now)
 {
   for (;;)
     {
@@ -143,7 +147,7 @@
         return;
       if (r.action == WY_STRAGGLER_MOVE)
         {
-          /* Agents move streams among themselves.  */
+          /* The agents move the stream on their own.  */
           wy_step_moved (s->step, r.sample);
           continue;
         }
@@ -154,8 +158,10 @@
     }
 }
 
+/* Start the rejected samples that are due again.  Returns the number of
+   streams that stay free.  */
 static uint32_t
-restart_refused (struct wy_sampling *s, const struct wy_step_inputs *now)
+restart_rejected (struct wy_sampling *s, const struct wy_step_inputs *now)
 {
   uint32_t n = now->free_streams;
 
@@ -163,7 +169,7 @@
     {
       struct wy_sample *m = s->samples->pdata[i];
 
-      if (m->phase != WY_SAMPLE_WAITING || m->due_ms > now->now_ms)
+      if (m->phase != WY_SAMPLE_PHASE_WAITING || m->due_ms > now->now_ms)
         continue;
       wy_sample_start (m);
       n--;
@@ -172,7 +178,7 @@
 }
 
 static void
-issue (struct wy_sampling *s, uint32_t index)
+issue_sample (struct wy_sampling *s, uint32_t index)
 {
   struct wy_sample *m = g_malloc0 (sizeof *m);
 
@@ -180,94 +186,95 @@
   m->index = index;
   wy_id_new (s->o.env->o.clock, m->id);
   g_ptr_array_add (s->samples, m);
-  s->open++;
+  s->n_unfinished++;
   wy_sample_start (m);
 }
 
-/* How far running samples should be by now.  Nobody tells the yard how far
-   they are; one that takes much longer than others counts as overdue, and the
-   decisions give it a replacement.  */
+/* Estimate the progress of the running samples from their duration, since
+   engines report none to the yard.  A sample that takes much longer than
+   others is overdue, and decide/steps.h has it replaced.  */
 static void
-tell_progress (struct wy_sampling *s, const struct wy_step_inputs *now)
+estimate_progress (struct wy_sampling *s, const struct wy_step_inputs *now)
 {
   for (guint i = 0; i < s->samples->len; i++)
     {
       const struct wy_sample *m = s->samples->pdata[i];
       double us = (double)(now->now_ms - m->started_ms) * WY_US_PER_MS;
 
-      if (m->phase == WY_SAMPLE_AT_ENGINE)
+      if (m->phase == WY_SAMPLE_PHASE_RUNNING)
         wy_step_progress (s->step, m->index,
-                          (uint32_t)(us / s->o.pace->us_per_token),
+                          (uint32_t)(us / s->o.estimates->us_per_token),
                           now->us_per_token);
     }
 }
 
-/* Issue what should be issued while streams are free; what is left of them is
-   SPARE when no other step wants it.  */
+/* Issue samples while streams are free.  IS_LAST_STEP: no other step can use
+   the free streams, so more samples than needed may be issued.  */
 static void
-issue_all (struct wy_sampling *s, struct wy_step_inputs *now, bool spare)
+issue_all (struct wy_sampling *s, struct wy_step_inputs *now,
+           bool is_last_step)
 {
-  s->idle = false;
+  s->issue_blocked = false;
   while (now->free_streams > 0)
     {
       struct wy_step_issuance r = wy_step_issue (s->step, now);
 
       if (r.is_issued)
         {
-          issue (s, r.sample);
+          issue_sample (s, r.sample);
           now->free_streams--;
         }
-      else if (spare && !now->may_over_issue)
+      else if (is_last_step && !now->may_over_issue)
         now->may_over_issue = true;
       else
         {
-          s->idle = true;
+          s->issue_blocked = true;
           return;
         }
     }
 }
 
-/* Give up what should be given up and start what should be started.  LAST:
-   no other step waits for free streams.  */
+/* Stop stragglers and start samples that are due.  IS_LAST_STEP: no other step
+   of the trainer waits for free streams.  */
 void
 wy_sampling_run (struct wy_sampling *s, const struct wy_yard_version *version,
-                 bool last)
+                 bool is_last_step)
 {
   const struct wy_runner *runner = s->o.env->o.runner;
   struct wy_step_inputs now
       = { .now_ms = wy_clock_mono_ms (s->o.env->o.clock),
           .version_period_ms = version->period_ms,
-          .us_per_token = (uint32_t)s->o.pace->us_per_token };
+          .us_per_token = (uint32_t)s->o.estimates->us_per_token };
   int64_t lowest = 0;
   int64_t highest = 0;
 
-  now.next_version_ms = wy_yard_version_next (
+  now.next_version_ms = wy_yard_version_expected_ms (
       version, s->version > version->current, now.now_ms);
   runner->versions (runner->ctx, s->model, &lowest, &highest);
   now.version = (uint64_t)highest;
   now.free_streams = runner->capacity (runner->ctx, s->model);
-  tell_progress (s, &now);
-  give_up_stragglers (s, &now);
-  now.free_streams = restart_refused (s, &now);
-  issue_all (s, &now, last);
+  estimate_progress (s, &now);
+  stop_stragglers (s, &now);
+  now.free_streams = restart_rejected (s, &now);
+  issue_all (s, &now, is_last_step);
 }
 
-/* Whether every group has its samples.  */
+/* Whether all groups are complete.  */
 bool
-wy_sampling_whole (const struct wy_sampling *s)
+wy_sampling_is_complete (const struct wy_sampling *s)
 {
   return wy_step_is_complete (s->step);
 }
 
-/* Whether a group has used up its spares: its last place was issued and came
-   to nothing.  */
+/* Whether a group has used up its spare samples: its last sample was issued
+   and dropped.  */
 static bool
-used_up (const struct wy_sampling *s)
+has_exhausted_group (const struct wy_sampling *s)
 {
   for (guint i = 0; i < s->samples->len; i++)
     {
       const struct wy_sample *m = s->samples->pdata[i];
-      if (m->phase == WY_SAMPLE_GONE
+      if (m->phase == WY_SAMPLE_PHASE_DROPPED
           && wy_step_group_of (s->step, m->index)
                  != wy_step_group_of (s->step, m->index + 1))
         return true;
@@ -275,12 +282,12 @@
   return false;
 }
 
-/* Whether the step can't become whole any more and must begin again.  */
+/* Whether the step can't be completed any more and has to be started again. */
 bool
-wy_sampling_stuck (const struct wy_sampling *s)
+wy_sampling_is_exhausted (const struct wy_sampling *s)
 {
-  return s->idle && s->open == 0 && !wy_step_is_complete (s->step)
-         && used_up (s);
+  return s->issue_blocked && s->n_unfinished == 0
+         && !wy_step_is_complete (s->step) && has_exhausted_group (s);
 }
 
 static json_t *
@@ -291,13 +298,14 @@
                     m->text, "score", m->score, "segments", m->segments);
 }
 
-/* The batch as it goes to the trainer; its sample ids and OLDEST version.  */
+/* The batch as the trainer gets it, with its sample IDS and the OLDEST version
+   of its tokens.  */
 json_t *
 wy_sampling_batch (const struct wy_sampling *s, json_t **ids, int64_t *oldest)
 {
   json_t *samples = json_array ();
   uint32_t *batch;
-  uint32_t n = take_batch (s, &batch);
+  uint32_t n = list_accepted (s, &batch);
 
   *ids = json_array ();
   *oldest = INT64_MAX;
--- a/src/yard/sampling.h
+++ b/src/yard/sampling.h
@@ -1,4 +1,4 @@
-/* The samples of one step.  Inside the package only.  */
+/* The samples of one step.  Internal to this module.  */
 #ifndef WY_YARD_SAMPLING_H
 #define WY_YARD_SAMPLING_H
 
@@ -10,24 +10,24 @@
 
 struct wy_sampling;
 
-/* How long samples take, learnt from those that ended.  */
-struct wy_sampling_pace
+/* Moving averages over completed samples.  */
+struct wy_sampling_estimates
 {
   double us_per_token;
-  double token_share; /* of max_tokens that samples use */
+  double token_share; /* used share of max_tokens */
 };
 
 struct wy_sampling_options
 {
   struct wy_yard_env *env;
   struct wy_scorer *scorer;
-  struct wy_sampling_pace *pace; /* shared by the steps of a trainer */
+  struct wy_sampling_estimates *estimates; /* of the trainer */
   const char *model;
   const char *trainer; /* "YARD/TRAINER" */
   uint32_t worth_milli;
   int64_t step;
-  int64_t version; /* the trainer's when it will take the batch */
-  uint32_t bound;
+  int64_t version; /* that the trainer will have when it takes the batch */
+  uint32_t bound;  /* staleness, in versions */
   struct wy_step_cost_weights weights;
   const json_t *groups; /* as submitted; borrowed while it lives */
   void (*on_progress) (void *ctx);
@@ -37,11 +37,12 @@
 struct wy_sampling *wy_sampling_new (const struct wy_sampling_options *o);
 void wy_sampling_free (struct wy_sampling *s, const char *reason,
                        bool batched);
-void wy_sampling_version (struct wy_sampling *s, int64_t version);
+void wy_sampling_set_version (struct wy_sampling *s, int64_t version);
 void wy_sampling_run (struct wy_sampling *s,
-                      const struct wy_yard_version *version, bool last);
-bool wy_sampling_whole (const struct wy_sampling *s);
-bool wy_sampling_stuck (const struct wy_sampling *s);
+                      const struct wy_yard_version *version,
+                      bool is_last_step);
+bool wy_sampling_is_complete (const struct wy_sampling *s);
+bool wy_sampling_is_exhausted (const struct wy_sampling *s);
 json_t *wy_sampling_batch (const struct wy_sampling *s, json_t **ids,
                            int64_t *oldest);
 
--- a/src/yard/scorer.c
+++ b/src/yard/scorer.c
@@ -1,9 +1,8 @@
 /* Calls to one scoring service.
 
-   A scoring service that fails must not cost the samples that engines have
-   worked on: a sample waits and is scored again.  It must not be flooded with
-   repeats either when it comes back, so the repeats have a budget, and few
-   calls are open at a time.  */
+   When the service fails, the calls are retried, so that no generated samples
+   are lost.  A retry budget and a limit on concurrent calls keep the retries
+   from overloading the service when it is back.  */
 #include "yard/scorer.h"
 
 #include <stdlib.h>
@@ -13,10 +12,10 @@
 
 enum
 {
-  FLYING_MAX = 32,
+  IN_FLIGHT_MAX = 32,
   CALL_TIMEOUT_MS = 5000,
-  /* Together about a minute; after that the sample is given up and another
-     is issued, lest one text that the service can't score holds the step.  */
+  /* About a minute in total.  Then the sample is replaced by another one, so
+     that one text that the service can't score doesn't block the step.  */
   ATTEMPTS_MAX = 16,
   BACKOFF_MIN_MS = 100,
   BACKOFF_MAX_MS = 5000,
@@ -31,9 +30,9 @@
   struct wy_yard_env *env;
   char *host;
   uint16_t port;
-  struct wy_retry_budget retries;
+  struct wy_retry_budget retry_budget;
   GQueue waiting; /* struct wy_score_job */
-  GQueue flying;
+  GQueue in_flight;
 };
 
 struct wy_score_job
@@ -48,8 +47,8 @@
   void *ctx;
 };
 
-/* Score at ADDRESS, "host:port"; empty when the yard has no scoring service,
-   then every score is 0.  */
+/* Create a client of the scoring service at ADDRESS, "host:port".  If ADDRESS
+   is empty, the yard has no scoring service and all scores are 0.  */
 struct wy_scorer *
 wy_scorer_new (struct wy_yard_env *env, const char *address)
 {
@@ -57,12 +56,12 @@
   const struct wy_retry_options retry = { RETRY_PERCENT, RETRY_BURST };
 
   s->env = env;
-  wy_retry_init (&s->retries, &retry);
+  wy_retry_init (&s->retry_budget, &retry);
   wy_scorer_configure (s, address);
   return s;
 }
 
-/* Score at ADDRESS from now on.  */
+/* Use the scoring service at ADDRESS from now on.  */
 void
 wy_scorer_configure (struct wy_scorer *s, const char *address)
 {
@@ -80,7 +79,7 @@
   g_free (j);
 }
 
-/* Free S; all its jobs must have ended or been cancelled.  */
+/* Free S, whose jobs must have ended or been cancelled.  */
 void
 wy_scorer_free (struct wy_scorer *s)
 {
@@ -108,7 +107,7 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_response *a)
+on_response (void *ctx, const struct wy_http_response *r)
 {
   struct wy_score_job *j = ctx;
   struct wy_scorer *s = j->scorer;
@@ -116,10 +115,10 @@
   const json_t *score = NULL;
 
   j->call = NULL;
-  g_queue_unlink (&s->flying, &j->link);
-  if (!a->err && a->status == STATUS_OK)
+  g_queue_unlink (&s->in_flight, &j->link);
+  if (!r->err && r->status == STATUS_OK)
     {
-      body = json_loadb (a->body, a->size_bytes, 0, NULL);
+      body = json_loadb (r->body, r->size_bytes, 0, NULL);
       score = json_object_get (body, "score");
     }
   if (json_is_number (score))
@@ -159,11 +158,11 @@
                                           .timeout_ms = CALL_TIMEOUT_MS };
 
   j->attempts++;
-  g_queue_push_tail_link (&s->flying, &j->link);
-  j->call = wy_http_fetch (s->env->o.http, &o, on_answer, j);
+  g_queue_push_tail_link (&s->in_flight, &j->link);
+  j->call = wy_http_fetch (s->env->o.http, &o, on_response, j);
 }
 
-/* Score R, whose texts are copied.  */
+/* Score the sample in R, whose texts are copied.  */
 struct wy_score_job *
 wy_scorer_start (struct wy_scorer *s, const struct wy_score_request *r)
 {
@@ -177,40 +176,40 @@
   j->on_done = r->on_done;
   j->ctx = r->ctx;
   json_decref (body);
-  wy_retry_request (&s->retries);
+  wy_retry_request (&s->retry_budget);
   g_queue_push_tail_link (&s->waiting, &j->link);
   return j;
 }
 
-/* Give J up; its callback does not come.  */
+/* Cancel J without calling its callback.  */
 void
 wy_score_job_cancel (struct wy_score_job *j)
 {
   if (j->call)
     {
       wy_http_call_cancel (j->call);
-      g_queue_unlink (&j->scorer->flying, &j->link);
+      g_queue_unlink (&j->scorer->in_flight, &j->link);
     }
   else
     g_queue_unlink (&j->scorer->waiting, &j->link);
   job_free (j);
 }
 
-/* Send what is due; called at each tick of the yard.  */
+/* Send the calls that are due; called at each tick of the yards.  */
 void
 wy_scorer_run (struct wy_scorer *s)
 {
   int64_t now = wy_clock_mono_ms (s->env->o.clock);
   guint n = s->waiting.length;
 
-  while (n-- > 0 && s->flying.length < FLYING_MAX)
+  while (n-- > 0 && s->in_flight.length < IN_FLIGHT_MAX)
     {
       struct wy_score_job *j = g_queue_pop_head_link (&s->waiting)->data;
 
       if (!s->host)
         finish (j, 0, 0);
       else if (j->due_ms > now
-               || (j->attempts > 0 && wy_retry_take (&s->retries)))
+               || (j->attempts > 0 && wy_retry_take (&s->retry_budget)))
         g_queue_push_tail_link (&s->waiting, &j->link);
       else
         call_service (j);
--- a/src/yard/scorer.h
+++ b/src/yard/scorer.h
@@ -1,4 +1,4 @@
-/* Calls to one scoring service.  Inside the package only.  */
+/* Calls to one scoring service.  Internal to this module.  */
 #ifndef WY_YARD_SCORER_H
 #define WY_YARD_SCORER_H
 
@@ -15,7 +15,7 @@
   const char *sample;
   const char *prompt;
   const char *completion;
-  /* Comes once, never before wy_scorer_start returns.  */
+  /* Called once, never before wy_scorer_start returns.  */
   void (*on_done) (void *ctx, int err, double score);
   void *ctx;
 };
--- a/src/yard/step_cleanup.c
+++ b/src/yard/step_cleanup.c
@@ -1,9 +1,9 @@
-/* Deleting the rows of steps that are over.
+/* Deletes the rows of acknowledged steps.
 
-   The sampler reads all rows of its trainer at each interval, so they must
-   not pile up.  Those that are deleted are remembered by one row, the floor:
-   a step at or below it is over, and a submission that arrives late can't
-   begin it again.  */
+   The sampler reads all rows of its trainer at each poll, so their number has
+   to be limited.  One row, the floor, records the highest step whose row has
+   been deleted: a late submission of a step at or below the floor is
+   rejected.  */
 #include <string.h>
 
 #include "base/id.h"
@@ -11,19 +11,19 @@
 
 enum
 {
-  /* Acknowledged steps that stay: a trainer that restarts may ask for the
-     last ones again and is then answered by their rows.  */
-  KEPT = 4,
-  DELETED_MAX = 16
+  /* Acknowledged steps whose rows are kept: a trainer that restarts may
+     request the last ones again.  */
+  KEPT_STEPS = 4,
+  DELETED_STEPS_MAX = 16
 };
 
 static void
-on_cleaned (void *ctx, const struct wy_store_result *r)
+on_deleted (void *ctx, const struct wy_store_result *r)
 {
   struct wy_sampler *s = ctx;
 
-  s->cleaning = false;
-  wy_sampler_destroy (s);
+  s->deleting_steps = false;
+  wy_sampler_free_if_unused (s);
 }
 
 static int64_t
@@ -47,7 +47,7 @@
   return highest;
 }
 
-/* Whether ROW is of a step that is over and at or below FLOOR.  */
+/* Whether ROW is of an acknowledged step at or below FLOOR.  */
 static bool
 deletable (const struct wy_sampler *s, const struct wy_store_row *row,
            int64_t floor)
@@ -63,37 +63,39 @@
   return yes;
 }
 
+/* Whether all steps of R at or below FLOOR are acknowledged.  */
 static bool
-all_over (const struct wy_sampler *s, const struct wy_store_result *r,
-          int64_t floor)
+all_acknowledged (const struct wy_sampler *s, const struct wy_store_result *r,
+                  int64_t floor)
 {
   size_t n = strlen (s->prefix);
 
   for (size_t i = 0; i < r->n_rows; i++)
     {
       struct wy_step_row row;
-      bool open;
+      bool unfinished;
 
       if (strncmp (r->rows[i].key, s->prefix, n) != 0
           || wy_step_row_parse (&row, &r->rows[i]))
         continue;
-      open = row.state != WY_STEP_ACKNOWLEDGED && row.step <= floor;
+      unfinished = row.state != WY_STEP_ACKNOWLEDGED && row.step <= floor;
       wy_step_row_clear (&row);
-      if (open)
+      if (unfinished)
         return false;
     }
   return true;
 }
 
-/* Delete the oldest of the steps in R that are over, if there are enough of
-   them.  Needs no lease: the conditions say it all.  */
+/* Delete the rows of the oldest acknowledged steps in R, if there are enough
+   of them.  No lease is needed: the conditions of the transaction suffice.  */
 void
-wy_sampler_clean (struct wy_sampler *s, const struct wy_store_result *r)
+wy_sampler_delete_old_steps (struct wy_sampler *s,
+                             const struct wy_store_result *r)
 {
-  int64_t floor = highest_acknowledged (s, r) - KEPT;
+  int64_t floor = highest_acknowledged (s, r) - KEPT_STEPS;
   const struct wy_store_row *old = wy_store_find_row (r, s->floor_key);
-  struct wy_store_condition conditions[DELETED_MAX + 1];
-  struct wy_store_write writes[DELETED_MAX + 1];
+  struct wy_store_condition conditions[DELETED_STEPS_MAX + 1];
+  struct wy_store_write writes[DELETED_STEPS_MAX + 1];
   struct wy_store_txn txn = { .cause = "clean",
                               .conditions = conditions,
                               .n_conditions = 1,
@@ -101,9 +103,9 @@
                               .n_writes = 1 };
   char op[WY_ID_SIZE_BYTES];
 
-  if (s->cleaning || floor < 1 || !all_over (s, r, floor))
+  if (s->deleting_steps || floor < 1 || !all_acknowledged (s, r, floor))
     return;
-  for (size_t i = 0; i < r->n_rows && txn.n_writes <= DELETED_MAX; i++)
+  for (size_t i = 0; i < r->n_rows && txn.n_writes <= DELETED_STEPS_MAX; i++)
     if (deletable (s, &r->rows[i], floor))
       {
         conditions[txn.n_conditions].key = r->rows[i].key;
@@ -120,7 +122,7 @@
   writes[0].key = s->floor_key;
   writes[0].value
       = json_pack ("{s:I, s:s}", "step", (json_int_t)floor, "op", op);
-  s->cleaning = true;
-  wy_store_txn (s->o.env->o.store, &txn, on_cleaned, s);
+  s->deleting_steps = true;
+  wy_store_txn (s->o.env->o.store, &txn, on_deleted, s);
   json_decref (writes[0].value);
 }
--- a/src/yard/step_row.c
+++ b/src/yard/step_row.c
@@ -1,7 +1,7 @@
-/* The row of one step in the table: its states and its keys.
+/* The row of one step in the table, and the keys of a yard's rows.
 
-   Every change of a step is one conditional write of this row, so that of two
-   processes that want to change it at the same moment one fails.  */
+   Each change of a step is one conditional write of its row.  If two processes
+   change it at the same time, the write of one fails.  */
 #include "yard/step_row.h"
 
 #include <inttypes.h>
@@ -38,7 +38,7 @@
   return json_integer_value (json_object_get (x, key));
 }
 
-/* Parse ROW, whose key ends in the number of the step.  OUT is to be cleared
+/* Parse ROW, whose key ends in the number of the step, into OUT, to be freed
    by wy_step_row_clear.  Returns 0 or WY_YARD_EINVALID.  */
 int
 wy_step_row_parse (struct wy_step_row *out, const struct wy_store_row *row)
@@ -64,11 +64,11 @@
   out->samples = samples ? json_deep_copy (samples) : json_array ();
   out->oldest = number_of (x, "oldest");
   out->current = number_of (x, "current");
-  out->fence = number_of (x, "fence");
+  out->fencing_token = number_of (x, "fence");
   return 0;
 }
 
-/* Free what R holds.  */
+/* Free the members of R and set it to zero.  */
 void
 wy_step_row_clear (struct wy_step_row *r)
 {
@@ -79,7 +79,7 @@
   memset (r, 0, sizeof *r);
 }
 
-/* The value of row R as written by the operation OP.  */
+/* The JSON value of R, to be written by operation OP.  */
 json_t *
 wy_step_row_json (const struct wy_step_row *r, const char *op)
 {
@@ -96,11 +96,11 @@
   json_object_set (x, "samples", r->samples);
   json_object_set_new (x, "oldest", json_integer (r->oldest));
   json_object_set_new (x, "current", json_integer (r->current));
-  json_object_set_new (x, "fence", json_integer (r->fence));
+  json_object_set_new (x, "fence", json_integer (r->fencing_token));
   return x;
 }
 
-/* Whether the batch of R is too old for a trainer at version CURRENT.  */
+/* Whether the batch of R is stale for a trainer at version CURRENT.  */
 bool
 wy_step_row_stale (const struct wy_step_row *r, int64_t current)
 {
@@ -108,7 +108,7 @@
                               r->bound);
 }
 
-/* Key of the row of STEP.  */
+/* The key of the row of STEP.  */
 char *
 wy_key_step (const char *yard, const char *trainer, int64_t step)
 {
@@ -116,28 +116,29 @@
                           step);
 }
 
-/* Prefix of the rows of all steps of TRAINER.  */
+/* The key prefix of the rows of all steps of TRAINER.  */
 char *
 wy_key_steps (const char *yard, const char *trainer)
 {
   return g_strdup_printf ("yard/%s/trainer/%s/step/", yard, trainer);
 }
 
-/* Key of the row that names the highest step whose row has been deleted.  */
+/* The key of the floor, the row with the highest step whose row has been
+   deleted.  */
 char *
 wy_key_floor (const char *yard, const char *trainer)
 {
   return g_strdup_printf ("yard/%s/trainer/%s/floor", yard, trainer);
 }
 
-/* Key of the row that names the newest published version.  */
+/* The key of the row with the newest published version.  */
 char *
 wy_key_current (const char *yard)
 {
   return g_strdup_printf ("yard/%s/current", yard);
 }
 
-/* Key of the row of one published version, written once.  */
+/* The key of the row of a published VERSION, which is written once.  */
 char *
 wy_key_version (const char *yard, int64_t version)
 {
--- a/src/yard/step_row.h
+++ b/src/yard/step_row.h
@@ -1,4 +1,5 @@
-/* The row of one step in the table.  Inside the package only.  */
+/* The row of one step in the table, and the keys of a yard's rows.  Internal
+   to this module.  */
 #ifndef WY_YARD_STEP_ROW_H
 #define WY_YARD_STEP_ROW_H
 
@@ -12,10 +13,10 @@
 
 enum wy_step_state
 {
-  WY_STEP_SUBMITTED,   /* samples are being made */
-  WY_STEP_FIXED,       /* the batch is chosen, nobody has seen it */
-  WY_STEP_HANDED,      /* the trainer may have it: it never changes again */
-  WY_STEP_ACKNOWLEDGED /* the trainer is done with it */
+  WY_STEP_SUBMITTED,   /* samples are being generated */
+  WY_STEP_FIXED,       /* the batch is committed, but not delivered */
+  WY_STEP_HANDED,      /* delivered: the batch never changes again */
+  WY_STEP_ACKNOWLEDGED /* the trainer has finished the step */
 };
 
 struct wy_step_row
@@ -24,17 +25,17 @@
   int64_t step;
   int64_t rev;
   char *groups;         /* key of the object with the groups */
-  char *digest;         /* of what was submitted */
-  uint32_t n_samples;   /* that make the batch */
-  uint32_t bound;       /* versions */
-  uint32_t worth_milli; /* of the step, times the trainer's worth */
-  uint32_t attempt;     /* batches made and found too old, plus one */
+  char *digest;         /* of the submission, SHA-256 in hex */
+  uint32_t n_samples;   /* of a complete batch */
+  uint32_t bound;       /* staleness, in versions */
+  uint32_t worth_milli; /* of the step; multiplies the trainer's */
+  uint32_t attempt;     /* 1 + number of discarded stale batches */
   /* From WY_STEP_FIXED on.  */
   char *batch;     /* key of the object with the batch */
   json_t *samples; /* list of sample ids */
-  int64_t oldest;  /* version */
-  int64_t current; /* version when fixed or handed out */
-  int64_t fence;   /* of the sampler that fixed it */
+  int64_t oldest;  /* version of its tokens */
+  int64_t current; /* newest version at the commit, then at the delivery */
+  int64_t fencing_token; /* of the sampler that committed it */
 };
 
 int wy_step_row_parse (struct wy_step_row *out,
--- a/src/yard/submit.c
+++ b/src/yard/submit.c
@@ -1,9 +1,9 @@
-/* Trainers submit the groups of a step, and publish weight versions.
+/* Handles submissions of steps and published weight versions.
 
-   The groups go into an object first, named by their digest; the row that
-   points to it is written on the condition that the step has none.  A trainer
-   that sends again after a lost answer, through any entry, finds its row and
-   is answered the same.  */
+   The groups of a step are stored as an object first, whose key contains their
+   digest.  Then the row of the step is written, on the condition that there is
+   none.  If a response is lost and the trainer sends the request again,
+   through any entry, the row is found and the response is the same.  */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -37,9 +37,10 @@
   return 0;
 }
 
-/* Check the body and fill the row of C from it.  What is wrong, or NULL.  */
+/* Check the body of C and fill in the row of C from it.  Returns NULL, or what
+   is invalid.  */
 static const char *
-check_submission (struct wy_trainer_call *c)
+check_submission (struct wy_trainer_request *c)
 {
   const json_t *groups = json_object_get (c->body, "groups");
   const json_t *bound = json_object_get (c->body, "max_staleness");
@@ -58,7 +59,7 @@
       return "groups: each needs a group, a prompt, max_tokens (1 to "
              "1048576) and the same number of samples as the others";
   if (bound && (!json_is_integer (bound) || json_integer_value (bound) < 0))
-    return "max_staleness: must be a whole number of versions";
+    return "max_staleness: must be an integer of at least 0 (versions)";
   if (!(w > 0) || w > WORTH_MAX)
     return "worth: must be above 0 and at most 1000";
   c->row.n_samples = (uint32_t)(n * (size_t)samples);
@@ -80,58 +81,60 @@
 }
 
 static void
-accepted (struct wy_trainer_call *c)
+respond_accepted (struct wy_trainer_request *c)
 {
-  wy_trainer_answer (c, WY_STATUS_ACCEPTED,
-                     json_pack ("{s:I}", "step", (json_int_t)c->step));
+  wy_trainer_respond (c, WY_STATUS_ACCEPTED,
+                      json_pack ("{s:I}", "step", (json_int_t)c->step));
 }
 
-/* The step has a row already: the same submission, or another one.  */
+/* Respond for a step that has a row already: by DIGEST it is the same
+   submission or a different one.  */
 static void
-answer_existing (struct wy_trainer_call *c, const char *digest)
+respond_existing (struct wy_trainer_request *c, const char *digest)
 {
   if (c->row.digest && !strcmp (c->row.digest, digest))
-    accepted (c);
+    respond_accepted (c);
   else
-    wy_trainer_problem (c, WY_STATUS_CONFLICT, "Step already submitted",
-                        "The step was submitted before with other groups.");
+    wy_trainer_respond_problem (
+        c, WY_STATUS_CONFLICT, "Step already submitted",
+        "The step was submitted before with different content.");
 }
 
 static void
 on_submitted (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
 
   if (r->err == WY_STORE_ECONFLICT)
     {
       char *digest = g_strdup (c->row.digest);
 
-      if (wy_trainer_take_rows (c, r) || !c->has_row)
-        wy_trainer_store_problem (c, r);
+      if (wy_trainer_parse_rows (c, r) || !c->has_row)
+        wy_trainer_respond_store_error (c, r);
       else
-        answer_existing (c, digest);
+        respond_existing (c, digest);
       g_free (digest);
       return;
     }
   if (r->err)
     {
-      wy_trainer_store_problem (c, r);
+      wy_trainer_respond_store_error (c, r);
       return;
     }
   wy_trace_event (c->trace, "step.submitted", "{s:s, s:s, s:I, s:I, s:I}",
                   "yard", c->yard, "trainer", c->trainer, "step",
                   (json_int_t)c->step, "samples", (json_int_t)c->row.n_samples,
                   "bound", (json_int_t)c->row.bound);
-  wy_yard_changed (c->owner, c->yard, c->trainer);
-  accepted (c);
+  wy_yard_row_changed (c->owner, c->yard, c->trainer);
+  respond_accepted (c);
 }
 
-/* The floor is a condition too: a step whose row was deleted must not begin
-   again.  */
+/* Write the row.  The floor is a condition as well, so that a step whose row
+   has been deleted isn't started again.  */
 static void
 on_groups_stored (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
   json_t *value;
   struct wy_store_condition conditions[]
       = { { c->step_key, 0 }, { c->floor_key, c->floor_rev } };
@@ -145,7 +148,7 @@
 
   if (r->err)
     {
-      wy_trainer_store_problem (c, r);
+      wy_trainer_respond_store_error (c, r);
       return;
     }
   wy_id_new (c->clock, c->op);
@@ -160,27 +163,27 @@
 static void
 on_submit_rows (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
   struct wy_step_row wanted = c->row;
   char *text;
 
   if (r->err)
     {
-      wy_trainer_store_problem (c, r);
+      wy_trainer_respond_store_error (c, r);
       return;
     }
   memset (&c->row, 0, sizeof c->row);
-  if (wy_trainer_take_rows (c, r) || c->has_row)
+  if (wy_trainer_parse_rows (c, r) || c->has_row)
     {
-      answer_existing (c, wanted.digest);
+      respond_existing (c, wanted.digest);
       wy_step_row_clear (&wanted);
       return;
     }
   c->row = wanted;
   if (c->step <= c->floor)
     {
-      wy_trainer_problem (c, WY_STATUS_CONFLICT, "Step is over",
-                          "A later step has been acknowledged.");
+      wy_trainer_respond_problem (c, WY_STATUS_CONFLICT, "Step is finished",
+                                  "A later step has been acknowledged.");
       return;
     }
   text = json_dumps (json_object_get (c->body, "groups"), JSON_COMPACT);
@@ -191,68 +194,69 @@
 
 /* POST .../steps/S/groups  */
 void
-wy_trainer_submit (struct wy_trainer_call *c)
+wy_trainer_submit (struct wy_trainer_request *c)
 {
-  const char *wrong = check_submission (c);
+  const char *invalid = check_submission (c);
 
-  if (wrong)
+  if (invalid)
     {
-      wy_trainer_problem (c, WY_STATUS_UNPROCESSABLE, "Invalid submission",
-                          wrong);
+      wy_trainer_respond_problem (c, WY_STATUS_UNPROCESSABLE,
+                                  "Invalid submission", invalid);
       return;
     }
   c->row.digest = digest_of (c->body);
   c->row.groups = g_strdup_printf ("%s/groups/%s", c->step_key, c->row.digest);
-  wy_trainer_read (c, on_submit_rows);
+  wy_trainer_read_rows (c, on_submit_rows);
 }
 
 static void
 on_published (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
 
   if (r->err == WY_STORE_ECONFLICT && wy_store_find_row (r, c->version_key))
     {
-      wy_trainer_answer (
+      wy_trainer_respond (
           c, WY_STATUS_ACCEPTED,
           json_pack ("{s:I}", "version", (json_int_t)c->version));
       return;
     }
   if (r->err)
     {
-      wy_trainer_store_problem (c, r);
+      wy_trainer_respond_store_error (c, r);
       return;
     }
   wy_trace_event (c->trace, "version.published", "{s:s, s:I}", "yard", c->yard,
                   "version", (json_int_t)c->version);
-  wy_yard_changed (c->owner, c->yard, NULL);
-  wy_trainer_answer (c, WY_STATUS_ACCEPTED,
-                     json_pack ("{s:I}", "version", (json_int_t)c->version));
+  wy_yard_row_changed (c->owner, c->yard, NULL);
+  wy_trainer_respond (c, WY_STATUS_ACCEPTED,
+                      json_pack ("{s:I}", "version", (json_int_t)c->version));
 }
 
 static void
 on_version_rows (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_trainer_call *c = ctx;
+  struct wy_trainer_request *c = ctx;
   json_t *value;
 
   if (r->err)
     {
-      wy_trainer_store_problem (c, r);
+      wy_trainer_respond_store_error (c, r);
       return;
     }
-  wy_trainer_take_rows (c, r);
+  wy_trainer_parse_rows (c, r);
   if (wy_store_find_row (r, c->version_key))
     {
-      wy_trainer_answer (
+      wy_trainer_respond (
           c, WY_STATUS_ACCEPTED,
           json_pack ("{s:I}", "version", (json_int_t)c->version));
       return;
     }
   if (c->version <= c->current)
     {
-      wy_trainer_problem (c, WY_STATUS_CONFLICT, "Version is not newer",
-                          "A higher version has been published.");
+      wy_trainer_respond_problem (c, WY_STATUS_CONFLICT,
+                                  "Version is not newer",
+                                  "A higher version has been published.");
       return;
     }
   wy_id_new (c->clock, c->op);
@@ -277,7 +281,7 @@
 
 /* POST /v1/yards/Y/weights  */
 void
-wy_trainer_publish (struct wy_trainer_call *c)
+wy_trainer_publish (struct wy_trainer_request *c)
 {
   const json_t *version = json_object_get (c->body, "version");
   const char *keys[2];
@@ -287,8 +291,9 @@
   c->version = json_integer_value (version);
   if (!json_is_integer (version) || c->version < 1)
     {
-      wy_trainer_problem (c, WY_STATUS_UNPROCESSABLE, "Invalid version",
-                          "version: must be a whole number above 0");
+      wy_trainer_respond_problem (c, WY_STATUS_UNPROCESSABLE,
+                                  "Invalid version",
+                                  "version: must be an integer above 0");
       return;
     }
   c->version_key = wy_key_version (c->yard, c->version);
--- a/src/yard/trainer_api.c
+++ b/src/yard/trainer_api.c
@@ -1,17 +1,17 @@
-/* The trainers' interface: what its calls share.  Any entry answers any call
-   from the rows and objects alone.  */
+/* HTTP interface for trainers: functions that all requests use.  Any entry can
+   handle any request, since all state is in the rows and objects.  */
 #include "yard/trainer_api.h"
 
 #include <string.h>
 
 #include "http/json.h"
 
-/* How soon a trainer asks again for a batch that is not fixed yet.  Seconds
-   are the unit of Retry-After; trainers may ask sooner.  */
+/* Retry-After, which has the unit of seconds, for a batch that is not
+   committed yet.  Trainers may request it sooner.  */
 #define BATCH_RETRY_MS 1000
 
 static void
-call_free (struct wy_trainer_call *c)
+request_free (struct wy_trainer_request *c)
 {
   wy_step_row_clear (&c->row);
   json_decref (c->body);
@@ -25,63 +25,63 @@
   g_free (c);
 }
 
-/* Answer with BODY, which is taken, and free C.  */
+/* Respond with STATUS and BODY, whose reference is taken, and free C.  */
 void
-wy_trainer_answer (struct wy_trainer_call *c, int status, json_t *body)
+wy_trainer_respond (struct wy_trainer_request *c, int status, json_t *body)
 {
   if (c->ex)
     wy_http_respond_json (c->ex, status, body);
   else
     json_decref (body);
-  call_free (c);
+  request_free (c);
 }
 
-/* Answer with a problem and free C.  */
+/* Respond with a problem document and free C.  */
 void
-wy_trainer_problem (struct wy_trainer_call *c, int status, const char *title,
-                    const char *detail)
+wy_trainer_respond_problem (struct wy_trainer_request *c, int status,
+                            const char *title, const char *detail)
 {
   struct wy_http_problem p
       = { .status = status, .title = title, .detail = detail };
 
   if (c->ex)
     wy_http_respond_problem (c->ex, &p);
-  call_free (c);
+  request_free (c);
 }
 
-/* Answer that the store could not be asked, or that the outcome is not known,
-   and free C.  All calls are idempotent, so that the trainer may repeat
-   either.  */
+/* Respond that the store is unavailable or that the outcome of the request is
+   unknown, and free C.  All requests are idempotent, so the trainer may send
+   this one again.  */
 void
-wy_trainer_store_problem (struct wy_trainer_call *c,
-                          const struct wy_store_result *r)
+wy_trainer_respond_store_error (struct wy_trainer_request *c,
+                                const struct wy_store_result *r)
 {
   struct wy_http_problem p = { .status = WY_STATUS_UNAVAILABLE,
-                               .title = "The store can't be asked",
+                               .title = "The store is unavailable",
                                .detail = wy_store_strerror (r->err),
                                .retry_after_ms = r->retry_after_ms };
 
   if (c->ex)
     wy_http_respond_problem (c->ex, &p);
-  call_free (c);
+  request_free (c);
 }
 
-/* Tell the trainer to come back for its batch, and free C.  */
+/* Respond that the batch is not committed yet, and free C.  */
 void
-wy_trainer_wait (struct wy_trainer_call *c)
+wy_trainer_respond_pending (struct wy_trainer_request *c)
 {
   if (c->ex)
     wy_http_retry_after (c->ex, BATCH_RETRY_MS);
-  wy_trainer_answer (c, WY_STATUS_ACCEPTED,
-                     json_pack ("{s:I, s:s}", "step", (json_int_t)c->step,
-                                "state", "submitted"));
+  wy_trainer_respond (c, WY_STATUS_ACCEPTED,
+                      json_pack ("{s:I, s:s}", "step", (json_int_t)c->step,
+                                 "state", "submitted"));
 }
 
-/* Take the rows of C out of R, which may hold just some of them.  Returns 0
-   or WY_YARD_EINVALID.  */
+/* Parse the rows of C in R, which may contain only some of them.  Returns 0 or
+   WY_YARD_EINVALID.  */
 int
-wy_trainer_take_rows (struct wy_trainer_call *c,
-                      const struct wy_store_result *r)
+wy_trainer_parse_rows (struct wy_trainer_request *c,
+                       const struct wy_store_result *r)
 {
   const struct wy_store_row *step
       = c->step_key ? wy_store_find_row (r, c->step_key) : NULL;
@@ -107,10 +107,11 @@
   return 0;
 }
 
-/* Read the rows of the step, of the newest version and of the floor.  */
+/* Read the rows of the step, the newest version and the floor.  */
 void
-wy_trainer_read (struct wy_trainer_call *c,
-                 void (*on_done) (void *ctx, const struct wy_store_result *r))
+wy_trainer_read_rows (struct wy_trainer_request *c,
+                      void (*on_done) (void *ctx,
+                                       const struct wy_store_result *r))
 {
   const char *keys[] = { c->step_key, c->current_key, c->floor_key };
   struct wy_store_read read
@@ -119,10 +120,11 @@
   wy_store_read (c->store, &read, on_done, c);
 }
 
-/* Write the row of the step as C holds it, on the condition that it has not
-   changed and, if AT_CURRENT, that no version was published since.  */
+/* Write the row of the step as it is in C, on the condition that it has not
+   changed since it was read and, if AT_CURRENT, that no version has been
+   published since.  */
 void
-wy_trainer_write_step (struct wy_trainer_call *c, const char *cause,
+wy_trainer_write_step (struct wy_trainer_request *c, const char *cause,
                        bool at_current,
                        void (*on_done) (void *ctx,
                                         const struct wy_store_result *r))
--- a/src/yard/yard.c
+++ b/src/yard/yard.c
@@ -1,7 +1,8 @@
 /* The yards of one entry.
 
-   Every entry tries for every sampler and rollout; each is done by one, the
-   holder of its lease.  The trainers' interface is answered by any entry.  */
+   Each sampler and each rollout has a lease, which all entries try to acquire;
+   only its holder performs the work.  Any entry handles requests of
+   trainers.  */
 #include "yard/yard.h"
 
 #include <stdlib.h>
@@ -15,13 +16,15 @@
 enum
 {
   TICK_MS = 100,
-  /* How old the newest version known to samplers and rollouts may be.  */
-  VERSION_MS = 250,
-  /* Scoring may take a while; a service silent for so long has failed.  */
+  /* Polling interval of the newest version.  */
+  VERSION_POLL_MS = 250,
+  /* Scoring may be slow; without data for this long, the service has
+     failed.  */
   SILENCE_MS = 10000
 };
 
-/* Take over the newest version as read from the store; versions only rise.  */
+/* Set the newest version as read from the store at revision REV; an older
+   revision is ignored.  */
 void
 wy_yard_version_set (struct wy_yard_version *v, int64_t current, int64_t rev,
                      int64_t now_ms)
@@ -38,14 +41,14 @@
   v->rev = rev;
 }
 
-/* When the next version is to be expected, 0 when that is not known.  AHEAD:
-   a step before this one is not acknowledged.  The only trainer of a yard
-   that waits for its batch publishes nothing before it has it.  And a version
-   that is overdue says nothing about the next ones: taken for many that came
-   meanwhile, it would make every sample too old before it starts.  */
+/* The time at which the next version is expected, or 0 if it is unknown.
+   AHEAD: an earlier step is not acknowledged.  If the yard has only one
+   trainer, which waits for its batch, no version is published before that.  An
+   overdue version gives no estimate either: if it counted as several versions
+   published in the meantime, all samples would be stale before they start.  */
 int64_t
-wy_yard_version_next (const struct wy_yard_version *v, bool ahead,
-                      int64_t now_ms)
+wy_yard_version_expected_ms (const struct wy_yard_version *v, bool ahead,
+                             int64_t now_ms)
 {
   int64_t next_ms = v->published_ms + v->period_ms;
 
@@ -54,19 +57,19 @@
   return next_ms;
 }
 
-/* Something more refers to ENV.  */
+/* Take a reference to ENV.  */
 void
-wy_yard_env_use (struct wy_yard_env *env)
+wy_yard_env_ref (struct wy_yard_env *env)
 {
-  env->users++;
+  env->refs++;
 }
 
-/* Something no longer refers to ENV, which may be freed by this.  */
+/* Drop a reference to ENV, which may free it.  */
 void
-wy_yard_env_unuse (struct wy_yard_env *env)
+wy_yard_env_unref (struct wy_yard_env *env)
 {
-  env->users--;
-  env->on_unused (env);
+  env->refs--;
+  env->on_unref (env);
 }
 
 static int64_t
@@ -76,9 +79,9 @@
 }
 
 static void
-destroy (struct wy_yard *y)
+free_if_unused (struct wy_yard *y)
 {
-  if (!y->closing || !y->timer_closed || y->env.users)
+  if (!y->closing || !y->timer_closed || y->env.refs)
     return;
   g_hash_table_destroy (y->yards);
   g_hash_table_destroy (y->rollouts);
@@ -89,25 +92,25 @@
 }
 
 static void
-on_unused (struct wy_yard_env *env)
+on_unref (struct wy_yard_env *env)
 {
-  destroy ((struct wy_yard *)env);
+  free_if_unused ((struct wy_yard *)env);
 }
 
-/* The newest version of the yard CTX was read on the way.  */
+/* Set the newest version of the yard CTX, as read from the store.  */
 void
 wy_yard_set_version (void *ctx, int64_t current, int64_t rev)
 {
   struct wy_one_yard *x = ctx;
 
-  wy_yard_version_set (&x->version, current, rev, now_ms (x->all));
+  wy_yard_version_set (&x->version, current, rev, now_ms (x->owner));
 }
 
 static void
 on_current (void *ctx, const struct wy_store_result *r)
 {
   struct wy_one_yard *x = ctx;
-  struct wy_yard *y = x->all;
+  struct wy_yard *y = x->owner;
   const struct wy_store_row *row = wy_store_find_row (r, x->current_key);
 
   x->reading = false;
@@ -115,7 +118,7 @@
     wy_yard_set_version (
         x, json_integer_value (json_object_get (row->value, "version")),
         row->rev);
-  wy_yard_env_unuse (&y->env);
+  wy_yard_env_unref (&y->env);
 }
 
 static void
@@ -124,22 +127,24 @@
   const char *keys[] = { x->current_key };
   const struct wy_store_read read
       = { .cause = "version", .keys = keys, .n_keys = 1 };
-  int64_t now = now_ms (x->all);
-  uint32_t every;
+  int64_t now = now_ms (x->owner);
+  uint32_t interval;
 
-  if (x->reading || now < x->read_ms)
+  if (x->reading || now < x->next_read_ms)
     return;
-  every = wy_yard_poll_ms (VERSION_MS, x->version.changed_ms, now);
-  x->read_ms = now + every / 2 + wy_rng_below (&x->all->env.rng, every);
+  interval
+      = wy_yard_poll_interval_ms (VERSION_POLL_MS, x->version.changed_ms, now);
+  x->next_read_ms
+      = now + interval / 2 + wy_rng_below (&x->owner->env.rng, interval);
   x->reading = true;
-  wy_yard_env_use (&x->all->env);
-  wy_store_read (x->all->env.o.store, &read, on_current, x);
+  wy_yard_env_ref (&x->owner->env);
+  wy_store_read (x->owner->env.o.store, &read, on_current, x);
 }
 
-/* A trainer has changed a row through this entry: if the work is done here, it
-   need not wait for the next look.  TRAINER may be NULL.  */
+/* Poll the rows at once if this entry works on them: a trainer has changed a
+   row through it.  TRAINER is NULL for a published version.  */
 void
-wy_yard_changed (struct wy_yard *y, const char *yard, const char *trainer)
+wy_yard_row_changed (struct wy_yard *y, const char *yard, const char *trainer)
 {
   struct wy_one_yard *x = g_hash_table_lookup (y->yards, yard);
   struct wy_sampler *s
@@ -147,7 +152,7 @@
 
   if (!x || y->stopped)
     return;
-  x->read_ms = 0;
+  x->next_read_ms = 0;
   if (s)
     wy_sampler_poll (s);
 }
@@ -156,7 +161,7 @@
 any_active (const struct wy_one_yard *x)
 {
   const struct wy_rollout *rollout
-      = g_hash_table_lookup (x->all->rollouts, x->model);
+      = g_hash_table_lookup (x->owner->rollouts, x->model);
   GHashTableIter i;
   gpointer s;
 
@@ -188,7 +193,7 @@
       read_current (x);
       rollout = g_hash_table_lookup (y->rollouts, x->model);
       if (rollout)
-        wy_rollout_goal (rollout, x->version.current);
+        wy_rollout_set_goal (rollout, x->version.current);
     }
 }
 
@@ -205,7 +210,7 @@
   g_free (x);
 }
 
-/* Give a sampler's work up and free it.  */
+/* Stop and free P, a struct wy_sampler.  */
 void
 wy_yard_free_sampler (gpointer p)
 {
@@ -242,7 +247,7 @@
                                              "Weight orders that failed.");
 }
 
-/* Serve yards as O says; none until wy_yard_configure.  */
+/* Create the yards of an entry; there are none before wy_yard_configure.  */
 struct wy_yard *
 wy_yard_new (const struct wy_yard_options *o)
 {
@@ -252,7 +257,7 @@
   y->env.o.holder = g_strdup (o->holder);
   if (!o->http)
     y->own_http = y->env.o.http = wy_http_client_new (o->loop, SILENCE_MS);
-  y->env.on_unused = on_unused;
+  y->env.on_unref = on_unref;
   wy_rng_seed (&y->env.rng, o->seed);
   add_counters (&y->env);
   y->yards = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, yard_free);
@@ -264,11 +269,11 @@
   return y;
 }
 
-/* Whether the configuration has YARD and, unless NULL, its TRAINER; the
-   yard's bound in versions.  */
+/* Whether the configuration has YARD and, unless TRAINER is NULL, its TRAINER.
+   Sets BOUND to the staleness bound of the yard, in versions.  */
 bool
-wy_yard_serves (const struct wy_yard *y, const char *yard, const char *trainer,
-                uint32_t *bound)
+wy_yard_is_configured (const struct wy_yard *y, const char *yard,
+                       const char *trainer, uint32_t *bound)
 {
   const struct wy_one_yard *x = g_hash_table_lookup (y->yards, yard);
 
@@ -279,15 +284,15 @@
   return true;
 }
 
-/* What the calls of trainers need.  */
+/* The options of Y, for the requests of trainers.  */
 const struct wy_yard_options *
 wy_yard_options_of (const struct wy_yard *y)
 {
   return &y->env.o;
 }
 
-/* Give up samplers and rollouts, so that other entries go on with them.
-   Trainers are still answered.  */
+/* Stop the samplers and rollouts, so that other entries take them over.
+   Requests of trainers are still handled.  */
 void
 wy_yard_stop (struct wy_yard *y)
 {
@@ -317,10 +322,10 @@
   struct wy_yard *y = h->data;
 
   y->timer_closed = true;
-  destroy (y);
+  free_if_unused (y);
 }
 
-/* Free Y, before the store is freed.  */
+/* Free Y; must be called before the store is freed.  */
 void
 wy_yard_free (struct wy_yard *y)
 {
--- a/src/yard/yard.h
+++ b/src/yard/yard.h
@@ -1,4 +1,4 @@
-/* The yards of one entry: trainers' interface, samplers and weight
+/* The yards of one entry: HTTP interface for trainers, samplers and weight
    rollouts.  */
 #ifndef WY_YARD_YARD_H
 #define WY_YARD_YARD_H
@@ -19,12 +19,12 @@
 
 enum wy_yard_error
 {
-  WY_YARD_EINVALID = -701,  /* the request makes no sense */
+  WY_YARD_EINVALID = -701,  /* malformed request, row or object */
   WY_YARD_EUNKNOWN = -702,  /* no such yard, trainer or step */
-  WY_YARD_ECONFLICT = -703, /* differs from what was sent before */
-  WY_YARD_ESTORE = -704,    /* the store could not be asked */
-  WY_YARD_ESTALE = -705,    /* too old to be handed out again */
-  WY_YARD_ESCORE = -706     /* could not be scored */
+  WY_YARD_ECONFLICT = -703, /* differs from an earlier submission */
+  WY_YARD_ESTORE = -704,    /* the store is unavailable */
+  WY_YARD_ESTALE = -705,    /* the batch is stale */
+  WY_YARD_ESCORE = -706     /* the sample could not be scored */
 };
 
 struct wy_yard;
@@ -36,16 +36,16 @@
   struct wy_trace *trace;
   struct wy_metrics *metrics;
   struct wy_store *store;
-  const struct wy_runner *runner;   /* must outlive the yard */
-  const struct wy_orderer *orderer; /* NULL: no weight rollouts here */
-  struct wy_http_client *http;      /* for scoring; NULL: one of its own */
+  const struct wy_runner *runner;   /* must outlive the yards */
+  const struct wy_orderer *orderer; /* NULL: no weight rollouts */
+  struct wy_http_client *http;      /* for scoring; NULL: a new client */
   const char *holder;               /* process and incarnation */
   uint64_t seed;
   /* 0 in any of these: the default.  */
   uint32_t lease_ttl_ms;
-  uint32_t poll_ms;      /* how often the holder looks for steps */
-  uint64_t weight_bytes; /* size of one version, for pacing the staging */
-  uint64_t weight_bytes_per_s;
+  uint32_t poll_ms;            /* polling interval of a sampler's rows */
+  uint64_t weight_bytes;       /* size of one version */
+  uint64_t weight_bytes_per_s; /* read from the weight store; 0: no limit */
 };
 
 struct wy_yard *wy_yard_new (const struct wy_yard_options *o);
--- a/src/yard/yard_config.c
+++ b/src/yard/yard_config.c
@@ -1,5 +1,5 @@
-/* Taking over the configuration: which yards, samplers and rollouts there
-   are.  */
+/* Applies the configuration: creates and removes yards, samplers and
+   rollouts.  */
 #include <string.h>
 
 #include "yard/step_row.h"
@@ -13,7 +13,7 @@
   if (x)
     return x;
   x = g_new0 (struct wy_one_yard, 1);
-  x->all = y;
+  x->owner = y;
   x->name = g_strdup (c->name);
   x->current_key = wy_key_current (c->name);
   x->scorer = wy_scorer_new (&y->env, c->scoring);
@@ -28,7 +28,7 @@
                    const struct wy_trainer_config *t)
 {
   struct wy_sampler *s = g_hash_table_lookup (x->samplers, t->name);
-  const struct wy_sampler_options o = { .env = &x->all->env,
+  const struct wy_sampler_options o = { .env = &x->owner->env,
                                         .scorer = x->scorer,
                                         .version = &x->version,
                                         .yard = c,
@@ -43,7 +43,7 @@
 }
 
 static gboolean
-trainer_gone (gpointer name, gpointer sampler, gpointer config)
+trainer_is_removed (gpointer name, gpointer sampler, gpointer config)
 {
   return !config || !wy_yard_config_trainer (config, name);
 }
@@ -59,7 +59,7 @@
   g_free (x->model);
   x->model = g_strdup (c->model);
   wy_scorer_configure (x->scorer, c->scoring);
-  g_hash_table_foreach_remove (x->samplers, trainer_gone, (gpointer)c);
+  g_hash_table_foreach_remove (x->samplers, trainer_is_removed, (gpointer)c);
   for (guint i = 0; i < c->trainers->len; i++)
     configure_trainer (x, c, c->trainers->pdata[i]);
   if (y->env.o.orderer && !g_hash_table_contains (y->rollouts, c->model))
@@ -73,7 +73,7 @@
 }
 
 static gboolean
-model_unused (gpointer model, gpointer rollout, gpointer document)
+model_is_unused (gpointer model, gpointer rollout, gpointer document)
 {
   const struct wy_document *d = document;
 
@@ -83,7 +83,7 @@
   return TRUE;
 }
 
-/* Take over D, which is only read during the call.  */
+/* Apply D, which is read only during the call.  */
 void
 wy_yard_configure (struct wy_yard *y, const struct wy_document *d)
 {
@@ -101,6 +101,6 @@
   while (g_hash_table_iter_next (&i, NULL, &p))
     if (!((struct wy_one_yard *)p)->configured)
       g_hash_table_foreach_remove (((struct wy_one_yard *)p)->samplers,
-                                   trainer_gone, NULL);
-  g_hash_table_foreach_remove (y->rollouts, model_unused, (gpointer)d);
+                                   trainer_is_removed, NULL);
+  g_hash_table_foreach_remove (y->rollouts, model_is_unused, (gpointer)d);
 }
--- a/src/yard/yard_state.h
+++ b/src/yard/yard_state.h
@@ -1,30 +1,30 @@
-/* State of the yards.  Inside the package only.  */
+/* State of the yards.  Internal to this module.  */
 #ifndef WY_YARD_YARD_STATE_H
 #define WY_YARD_YARD_STATE_H
 
 #include "yard/rollout.h"
 #include "yard/sampler.h"
 
-/* One yard.  It stays until the end also when the configuration drops it,
-   because answers under way refer to it.  */
+/* One yard.  It is kept after the configuration has dropped it, because
+   pending calls refer to it.  */
 struct wy_one_yard
 {
-  struct wy_yard *all;
+  struct wy_yard *owner;
   char *name;
   char *current_key;
   struct wy_scorer *scorer;
   struct wy_yard_version version;
   GHashTable *samplers; /* trainer -> struct wy_sampler */
-  int64_t read_ms;
+  int64_t next_read_ms; /* of the newest version */
   bool reading;
-  uint32_t bound; /* versions */
+  uint32_t bound; /* staleness, in versions */
   char *model;
-  bool configured; /* the configuration in force has it */
+  bool configured; /* in the configuration in force */
 };
 
 struct wy_yard
 {
-  struct wy_yard_env env; /* must stay first */
+  struct wy_yard_env env; /* must be first */
   struct wy_http_client *own_http;
   uv_timer_t timer;
   GHashTable *yards;    /* name -> struct wy_one_yard */
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -1,4 +1,4 @@
-/* Store client against a table that fails in all the ways of a table.  */
+/* Store client with a table service that fails in various ways.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -13,10 +13,10 @@
   struct fake_table *table;
   struct wy_store *store;
   struct wy_trace *trace;
-  uint32_t answers;
+  uint32_t n_done; /* callbacks */
   uint32_t ok;
   int err;
-  char *conflict; /* value of the first failed row */
+  char *conflict; /* operation id in the first failed row */
 };
 
 static void
@@ -53,7 +53,7 @@
 {
   struct fixture *w = ctx;
 
-  w->answers++;
+  w->n_done++;
   w->ok += r->err == 0;
   w->err = r->err;
   if (r->err == WY_STORE_ECONFLICT && r->n_rows && r->rows[0].value)
@@ -91,9 +91,9 @@
 }
 
 static bool
-answered (void *ctx)
+is_done (void *ctx)
 {
-  return ((struct fixture *)ctx)->answers > 0;
+  return ((struct fixture *)ctx)->n_done > 0;
 }
 
 static bool
@@ -122,42 +122,42 @@
   return found;
 }
 
-Test (store, write_then_conflict_shows_the_row_that_came_first)
+Test (store, conflict_returns_the_existing_row)
 {
   struct fixture w;
 
   fixture_init (&w, 0);
   start_write (&w, "a", 0, "first");
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
-  w.answers = 0;
+  w.n_done = 0;
   start_write (&w, "a", 0, "second");
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, WY_STORE_ECONFLICT);
   cr_assert_str_eq (w.conflict, "first");
   cr_assert_str_eq (fake_table_text (w.table, "a", "op"), "first");
   fixture_free (&w);
 }
 
-/* The table carries a write out and the connection breaks before the answer.
-   Without settling, the user is told of a conflict with himself, or the write
-   is done twice.  */
-Test (store, lost_answer_is_settled_by_the_operation_id)
+/* The table carries out a write, and the connection breaks before the
+   response. Without the operation id, the caller would get a conflict with its
+   own write, or the write would be carried out twice.  */
+Test (store, lost_response_is_resolved_by_the_operation_id)
 {
   struct fixture w;
 
   fixture_init (&w, 0);
   w.table->lose_responses = 1;
   start_write (&w, "a", 0, "mine");
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.table->txns, 2);
   cr_assert_eq (w.table->rev, 1);
   fixture_free (&w);
 }
 
-/* The connection breaks before the table has read the write.  A user who is
-   told "done" finds nothing.  */
+/* The connection breaks before the table has read the write.  Reporting
+   success without sending it again would lose it.  */
 Test (store, write_that_never_arrived_is_sent_again)
 {
   struct fixture w;
@@ -165,29 +165,29 @@
   fixture_init (&w, 0);
   w.table->drop_requests = 1;
   start_write (&w, "a", 0, "mine");
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.table->rev, 1);
   fixture_free (&w);
 }
 
-/* All answers are lost for as long as the call may last.  The write may have
-   been carried out, and saying "not written" would be a lie.  */
-Test (store, write_without_any_answer_is_unknown)
+/* All responses are lost until the total timeout.  The write may have been
+   carried out, so the error must not be "not carried out".  */
+Test (store, write_without_any_response_is_unknown)
 {
   struct fixture w;
 
   fixture_init (&w, 0);
   w.table->drop_requests = 1000;
   start_write (&w, "a", 0, "mine");
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, WY_STORE_EUNKNOWN);
   fixture_free (&w);
 }
 
-/* The table takes longer for an answer than one waits.  The write was carried
-   out all the same.  */
-Test (store, write_that_timed_out_is_settled)
+/* The response of the table takes longer than the timeout, but the write is
+   carried out.  */
+Test (store, write_that_timed_out_is_resolved)
 {
   struct fixture w;
 
@@ -196,20 +196,19 @@
   start_write (&w, "a", 0, "mine");
   run_for (&w.loop, 120);
   w.table->delay_ms = 0;
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.table->rev, 1);
   run_for (&w.loop, 300);
   fixture_free (&w);
 }
 
-/* The table is down.  Callers must hear so at once and not wait for a timeout
-   each; when it is back, what they asked meanwhile must not all arrive at
-   once.  */
-Test (store, outage_is_told_at_once_and_nothing_piles_up)
+/* The table is down.  Calls must fail at once rather than time out, and must
+   not all be sent at once when the table is back.  */
+Test (store, calls_fail_at_once_during_an_outage)
 {
   struct fixture w;
-  uint32_t refused;
+  uint32_t rejected;
 
   fixture_init (&w, 0);
   w.table->down = true;
@@ -218,38 +217,39 @@
   cr_assert (run_until (&w.loop, is_down, &w));
   cr_assert (timeline_has (&w, "store.outage"));
   run_for (&w.loop, 50);
-  refused = w.table->refused;
-  w.answers = 0;
+  rejected = w.table->refused;
+  w.n_done = 0;
   w.ok = 0;
   for (int i = 0; i < 100; i++)
     start_read (&w);
   run_for (&w.loop, 20);
-  cr_assert_eq (w.answers, 100);
+  cr_assert_eq (w.n_done, 100);
   cr_assert_eq (w.ok, 0);
-  cr_assert_eq (w.err, WY_STORE_EDOWN);
-  cr_assert_leq (w.table->refused, refused + 1, "more than a probe was sent");
+  cr_assert_eq (w.err, WY_STORE_EUNAVAILABLE);
+  cr_assert_leq (w.table->refused, rejected + 1, "more than a probe was sent");
   w.table->down = false;
   w.table->reads = 0;
   cr_assert (run_until (&w.loop, is_back, &w));
   cr_assert (timeline_has (&w, "store.back"));
-  cr_assert_eq (w.table->reads, 1, "only the probe arrives on return");
-  w.answers = 0;
+  cr_assert_eq (w.table->reads, 1,
+                "only the probe is sent before the store is back");
+  w.n_done = 0;
   start_read (&w);
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
   fixture_free (&w);
 }
 
-/* The service says that it is asked too often.  Going on at the same pace
-   keeps it refusing.  */
-Test (store, rate_limit_holds_all_calls_until_its_time)
+/* The service responds that its rate limit is exceeded.  Calls at the same
+   rate would be rejected again.  */
+Test (store, rate_limit_delays_all_calls)
 {
   struct fixture w;
 
   fixture_init (&w, 0);
   w.table->calls_until_429 = 1;
   start_read (&w);
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.table->reads, 1);
   cr_assert_not (timeline_has (&w, "store.outage"));
@@ -262,19 +262,19 @@
 
   fixture_init (&w, 0);
   wy_store_put_object (w.store, "test", "x/y", "bytes", 5, on_done, &w);
-  cr_assert (run_until (&w.loop, answered, &w));
-  w.answers = 0;
+  cr_assert (run_until (&w.loop, is_done, &w));
+  w.n_done = 0;
   wy_store_get_object (w.store, "test", "x/y", on_done, &w);
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
-  w.answers = 0;
+  w.n_done = 0;
   wy_store_get_object (w.store, "test", "x/z", on_done, &w);
-  cr_assert (run_until (&w.loop, answered, &w));
-  cr_assert_eq (w.err, WY_STORE_EMISSING);
+  cr_assert (run_until (&w.loop, is_done, &w));
+  cr_assert_eq (w.err, WY_STORE_ENOTFOUND);
   fixture_free (&w);
 }
 
-Test (store, bad_address_is_refused)
+Test (store, invalid_address_is_rejected)
 {
   struct wy_store *s;
   struct wy_store_options o = { .clock = wy_clock_system (),
@@ -284,37 +284,37 @@
   cr_assert_eq (wy_store_new (&s, &o), WY_STORE_EADDRESS);
 }
 
-Test (store, rate_lets_the_burst_go_and_then_the_rate)
+Test (store, rate_limiter_allows_the_burst_and_then_the_rate)
 {
-  struct wy_rate r;
-  uint32_t went = 0;
+  struct wy_rate_limiter r;
+  uint32_t n_sent = 0;
 
-  wy_rate_init (&r, 10, 5, 0);
+  wy_rate_limiter_init (&r, 10, 5, 0);
   for (int64_t ms = 0; ms < 1000; ms++)
-    went += wy_rate_take (&r, ms) == 0;
-  cr_assert_geq (went, 14);
-  cr_assert_leq (went, 15);
+    n_sent += wy_rate_limiter_take (&r, ms) == 0;
+  cr_assert_geq (n_sent, 14);
+  cr_assert_leq (n_sent, 15);
 }
 
-Test (store, probes_are_one_at_a_time_and_spread_out)
+Test (store, one_probe_at_a_time_at_growing_intervals)
 {
-  struct wy_outage o = { 0 };
+  struct wy_circuit_breaker o = { 0 };
   struct wy_rng rng;
   uint32_t probes = 0;
 
   wy_rng_seed (&rng, 3);
   for (int i = 0; i < 5; i++)
-    wy_outage_failed (&o, &rng, false, 0);
-  cr_assert (o.down);
+    wy_circuit_breaker_record_failure (&o, &rng, false, 0);
+  cr_assert (o.is_open);
   for (int64_t ms = 0; ms < 20000; ms++)
-    if (wy_outage_probe (&o, ms))
+    if (wy_circuit_breaker_probe (&o, ms))
       {
         probes++;
-        cr_assert_not (wy_outage_probe (&o, ms));
-        cr_assert_not (wy_outage_failed (&o, &rng, true, ms));
+        cr_assert_not (wy_circuit_breaker_probe (&o, ms));
+        cr_assert_not (wy_circuit_breaker_record_failure (&o, &rng, true, ms));
       }
   cr_assert_geq (probes, 5);
   cr_assert_leq (probes, 25);
-  cr_assert (wy_outage_answered (&o));
-  cr_assert_not (wy_outage_answered (&o));
+  cr_assert (wy_circuit_breaker_record_response (&o));
+  cr_assert_not (wy_circuit_breaker_record_response (&o));
 }
--- a/tests/test_yard_batch.c
+++ b/tests/test_yard_batch.c
@@ -1,4 +1,5 @@
-/* Batches: each sample delivered once, attributed, inside the bound.  */
+/* Batches: each sample is delivered at most once, with the versions of all its
+   tokens, and within the staleness bound.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -15,7 +16,7 @@
 }
 
 static bool
-told_fixed (void *ctx)
+has_fixed_event (void *ctx)
 {
   return yard_count_events (ctx, 0, "step.fixed") > 0;
 }
@@ -71,9 +72,9 @@
   yard_fixture_free (&w);
 }
 
-/* The transaction that fixes a batch takes effect and its answer is lost.
-   Fixed again with other samples, the trainer would get one step twice.  */
-Test (batch, lost_answer_of_the_fixing_transaction)
+/* The transaction that commits a batch takes effect, but its response is lost.
+   A second commit with other samples would deliver a step twice.  */
+Test (batch, lost_response_of_the_commit_transaction)
 {
   struct yard_fixture w;
   uint32_t started;
@@ -83,8 +84,8 @@
   cr_assert_eq (yard_submit (&w, 0, 1), 202);
   w.table->lose_response_key_suffix = "step/1";
   cr_assert_eq (yard_batch (&w, 0, 1), 200);
-  cr_assert_null (w.table->lose_response_key_suffix, "no answer was lost");
-  cr_assert (run_until (&w.loop, told_fixed, &w));
+  cr_assert_null (w.table->lose_response_key_suffix, "no response was lost");
+  cr_assert (run_until (&w.loop, has_fixed_event, &w));
   started = w.entry[0].runner.started;
   run_for (&w.loop, 100);
   cr_assert_eq (yard_count_events (&w, 0, "step.fixed"), 1);
@@ -92,9 +93,10 @@
   yard_fixture_free (&w);
 }
 
-/* The entry that fixed a batch dies before the trainer asks.  The trainer
-   gets the same batch from another entry, and nothing is sampled twice.  */
-Test (batch, sampler_dies_between_fixing_and_handing_out)
+/* The entry that committed a batch fails before the trainer requests it.  The
+   trainer gets the same batch from another entry, and no sample is generated
+   again.  */
+Test (batch, sampler_fails_between_commit_and_delivery)
 {
   struct yard_fixture w;
   char *fixed;
@@ -113,9 +115,9 @@
   yard_fixture_free (&w);
 }
 
-/* The entry dies with a step half done.  Its samples are lost, and the next
-   holder issues them again, so the trainer waits but gets a whole batch.  */
-Test (batch, sampler_dies_with_samples_under_way)
+/* The entry fails while samples run.  They are lost, and the next holder of
+   the lease issues them again, so the trainer gets a complete batch later.  */
+Test (batch, sampler_fails_with_samples_running)
 {
   struct yard_fixture w;
   json_int_t fence;
@@ -138,9 +140,10 @@
   yard_fixture_free (&w);
 }
 
-/* A version was published before anybody saw the fixed batch, and its samples
-   are now older than the bound.  They must not be trained on.  */
-Test (batch, too_old_before_the_first_hand_out_is_made_anew)
+/* A version is published after a batch was committed and before it is
+   delivered, so its samples exceed the staleness bound.  They must not be
+   delivered.  */
+Test (batch, stale_before_the_first_delivery_is_sampled_again)
 {
   struct yard_fixture w;
   char *old;
@@ -169,10 +172,10 @@
   yard_fixture_free (&w);
 }
 
-/* The trainer read its batch, published, and reads again after a restart.
-   It may have trained on the batch, so no other may take its place; and the
-   batch is too old to be trained on now.  */
-Test (batch, handed_out_batch_is_never_replaced)
+/* The trainer reads its batch, publishes a version, restarts, and reads the
+   batch again.  It may have trained on it, so the batch must not be replaced;
+   and it is stale now, so it must not be delivered again either.  */
+Test (batch, delivered_batch_is_never_replaced)
 {
   struct yard_fixture w;
 
@@ -189,9 +192,9 @@
   yard_fixture_free (&w);
 }
 
-/* An engine lost count of what made its tokens.  The sample can't be
-   attributed, and another is issued in its place.  */
-Test (batch, unproven_samples_are_dropped_and_back_filled)
+/* The segments of a sample don't give a version for each token, or the engine
+   crashes.  The sample is dropped and replaced by another one.  */
+Test (batch, unproven_samples_are_dropped_and_replaced)
 {
   struct yard_fixture w;
 
@@ -208,9 +211,9 @@
   yard_fixture_free (&w);
 }
 
-/* Weights are swapped while samples run.  Each names both versions, and its
-   age counts from the older.  */
-Test (batch, swap_in_mid_sample_gives_two_segments)
+/* A version is activated while samples run.  Each sample lists both versions,
+   and the older one counts for its staleness.  */
+Test (batch, activation_during_a_sample_gives_two_segments)
 {
   struct yard_fixture w;
   const json_t *sample;
@@ -232,9 +235,10 @@
   yard_fixture_free (&w);
 }
 
-/* Engines refuse for a while because callers come first.  Refused samples
-   keep their place and cost the step none of its spares.  */
-Test (batch, refused_samples_are_started_again)
+/* Engines reject samples for a while because callers have priority.  Rejected
+   samples keep their place and use up none of the spare samples of the step.
+ */
+Test (batch, rejected_samples_are_started_again)
 {
   struct yard_fixture w;
 
@@ -247,7 +251,7 @@
   yard_fixture_free (&w);
 }
 
-Test (batch, bad_submissions_are_refused_with_the_reason)
+Test (batch, invalid_requests_are_rejected_with_the_status)
 {
   static const struct
   {
--- a/tests/test_yard_lease.c
+++ b/tests/test_yard_lease.c
@@ -1,4 +1,5 @@
-/* The sampler's lease: pauses, two at once, and outages of the store.  */
+/* The lease of a sampler: paused processes, two entries, and outages of the
+   store.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -19,10 +20,10 @@
   return fake_table_text (w->table, STEP_1, "state");
 }
 
-/* The sampler was paused, its lease has gone to another entry, and it goes on
-   believing that it still has it.  What it fixes would clash with what the
-   other one has issued.  */
-Test (yard_lease, paused_sampler_can_fix_nothing)
+/* The sampler was paused, another entry has acquired the lease, and the
+   sampler still believes that it holds it.  A batch that it commits would
+   conflict with the samples of the new holder.  */
+Test (yard_lease, paused_sampler_cannot_commit)
 {
   struct yard_fixture w;
 
@@ -44,9 +45,9 @@
 }
 
 /* The store is down for longer than the lease while samples run.  When it is
-   back the same entry goes on with the samples it has, and the trainer waits
-   for the store only.  */
-Test (yard_lease, samples_outlive_an_outage)
+   back, the same entry continues with the samples that it has, so none is
+   generated again.  */
+Test (yard_lease, samples_survive_an_outage)
 {
   struct yard_fixture w;
   uint32_t started;
@@ -73,8 +74,8 @@
   yard_fixture_free (&w);
 }
 
-/* An entry is started while the store is down.  It begins its work when the
-   store is back.  */
+/* An entry is started while the store is down.  It works when the store is
+   back.  */
 Test (yard_lease, entry_started_during_an_outage)
 {
   struct yard_fixture w;
@@ -92,9 +93,9 @@
   yard_fixture_free (&w);
 }
 
-/* Two entries serve the yard.  One samples; the trainer may speak to either
-   and gets the same.  */
-Test (yard_lease, any_entry_answers_the_trainer)
+/* Two entries have the yard.  One of them runs samples; the trainer gets the
+   same responses from both.  */
+Test (yard_lease, any_entry_handles_trainer_requests)
 {
   struct yard_fixture w;
   char *a;
@@ -122,14 +123,14 @@
 }
 
 static bool
-first_row_is_gone (void *ctx)
+first_row_is_deleted (void *ctx)
 {
   return fake_table_get (((struct yard_fixture *)ctx)->table, STEP_1) == NULL;
 }
 
-/* Rows of steps that are over are deleted.  A trainer whose answers were lost
-   long ago may still send them: nothing begins again.  */
-Test (yard_lease, deleted_steps_stay_over)
+/* The rows of acknowledged steps are deleted.  A trainer may repeat requests
+   for them whose responses were lost: no step must be started again.  */
+Test (yard_lease, deleted_steps_stay_finished)
 {
   struct yard_fixture w;
 
@@ -141,15 +142,15 @@
       cr_assert_eq (yard_batch (&w, 0, step), 200);
       cr_assert_eq (yard_ack (&w, 0, step), 200);
     }
-  cr_assert (run_until (&w.loop, first_row_is_gone, &w));
+  cr_assert (run_until (&w.loop, first_row_is_deleted, &w));
   cr_assert_eq (yard_ack (&w, 0, 1), 200);
   cr_assert_eq (yard_batch (&w, 0, 1), 410);
   cr_assert_eq (yard_submit (&w, 0, 1), 409);
   yard_fixture_free (&w);
 }
 
-/* The store answers, but takes nearly as long as a lease.  Leases are lost
-   and taken again; when the store is quick again the step is sampled.  */
+/* The latency of the store is nearly the duration of a lease.  Leases are lost
+   and acquired again; when the store is fast again, the step is sampled.  */
 Test (yard_lease, store_slow_for_a_while)
 {
   struct yard_fixture w;
@@ -168,11 +169,11 @@
   yard_fixture_free (&w);
 }
 
-/* Two versions came shortly after one another, and then the trainer had to
-   wait for long, say for the store.  A yard that takes the next versions for
-   overdue finds every sample too old before it begins, and the trainer waits
-   for ever.  */
-Test (yard_lease, long_wait_after_quick_versions)
+/* Two versions are published shortly after one another, then none for a long
+   time.  If the yard assumed that overdue versions had been published, all
+   samples would be stale before they start, and the trainer would wait
+   forever.  */
+Test (yard_lease, long_interval_after_frequent_versions)
 {
   struct yard_fixture w;
 
--- a/tests/test_yard_rollout.c
+++ b/tests/test_yard_rollout.c
@@ -1,4 +1,4 @@
-/* Weight rollouts over targets that fail, restart and fall behind.  */
+/* Weight rollouts over targets that fail or restart.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -12,12 +12,12 @@
   char source[24];
   int64_t version;
   int64_t staged;
-  uint32_t fail_next;
-  uint32_t confirm_next; /* asks for the order once more */
+  uint32_t fail_next;    /* orders that fail */
+  uint32_t confirm_next; /* orders that have to be repeated */
   bool busy;
   bool activating;
-  uint32_t from_store;
-  uint32_t from_peer;
+  uint32_t from_store; /* orders to fetch from the weight store */
+  uint32_t from_peer;  /* orders to fetch from another agent */
 };
 
 struct pending
@@ -49,7 +49,7 @@
 }
 
 static void
-on_carried_out (uv_timer_t *timer)
+on_order_done (uv_timer_t *timer)
 {
   struct pending *p = timer->data;
   struct target *t = p->t;
@@ -112,7 +112,7 @@
     }
   uv_timer_init (o->loop, &p->timer);
   p->timer.data = p;
-  uv_timer_start (&p->timer, on_carried_out, 20, 0);
+  uv_timer_start (&p->timer, on_order_done, 20, 0);
 }
 
 static size_t
@@ -180,7 +180,7 @@
   return yard_call (w, 0, "POST", "/v1/yards/y/weights", "{\"version\":2}");
 }
 
-Test (rollout, new_version_comes_to_all_targets_in_waves)
+Test (rollout, all_targets_get_a_new_version_in_waves)
 {
   struct yard_fixture w;
   struct orderer o;
@@ -203,9 +203,9 @@
   yard_fixture_free (&w);
 }
 
-/* A swap fails twice.  The old version stays in force there, and the order is
-   given again.  */
-Test (rollout, failed_swap_is_tried_again)
+/* An order of one target fails twice.  Its old version stays in force, and the
+   order is repeated.  */
+Test (rollout, failed_order_is_retried)
 {
   struct yard_fixture w;
   struct orderer o;
@@ -219,10 +219,10 @@
   yard_fixture_free (&w);
 }
 
-/* All agents were restarted and each asks for its first order once more.
-   Taken for failures, that would send every target to the weight store and
-   make the new version late.  */
-Test (rollout, confirmation_is_no_failure)
+/* All agents were restarted and require that their first order is repeated. If
+   that counted as a failure, all targets would read from the weight store and
+   get the new version late.  */
+Test (rollout, repeated_order_is_no_failure)
 {
   struct yard_fixture w;
   struct orderer o;
@@ -235,16 +235,17 @@
   cr_assert (run_until (&w.loop, all_at_2, &o));
   for (int i = 0; i < TARGETS; i++)
     from_store += o.target[i].from_store;
-  /* Two read from it, each told twice.  */
+  /* Two targets read from it, and each gets its order twice.  */
   cr_assert_eq (from_store, 4);
   cr_assert_eq (o.orders, 3 * TARGETS);
   run_for (&w.loop, 100);
   yard_fixture_free (&w);
 }
 
-/* One target can't load weights at all, and others would get theirs from it.
-   They come to the new version without it, and it is not asked for ever.  */
-Test (rollout, broken_target_holds_up_nobody)
+/* One target can't load any weights, and others would fetch theirs from it.
+   They get the new version from elsewhere, and the orders to the broken target
+   become rare.  */
+Test (rollout, broken_target_does_not_delay_others)
 {
   struct yard_fixture w;
   struct orderer o;
@@ -263,9 +264,9 @@
   yard_fixture_free (&w);
 }
 
-/* An engine restarts and comes back with the weights of its image.  Samples
-   made there would be old without end.  */
-Test (rollout, target_that_restarts_with_old_weights_is_brought_up)
+/* An engine restarts with the weights of its image.  Unless it gets the
+   current version, its samples stay stale.  */
+Test (rollout, target_restarted_with_old_weights_is_updated)
 {
   struct yard_fixture w;
   struct orderer o;
--- a/tests/test_yard_scorer.c
+++ b/tests/test_yard_scorer.c
@@ -13,7 +13,7 @@
   struct wy_scorer *scorer;
   uint32_t fail_next;
   uint32_t calls;
-  uint32_t answers;
+  uint32_t n_done; /* callbacks */
   int err;
   double score;
 };
@@ -38,7 +38,7 @@
 {
   struct fixture *w = ctx;
 
-  w->answers++;
+  w->n_done++;
   w->err = err;
   w->score = score;
 }
@@ -87,16 +87,16 @@
 }
 
 static bool
-answered (void *ctx)
+is_done (void *ctx)
 {
   struct fixture *w = ctx;
 
   wy_scorer_run (w->scorer);
-  return w->answers > 0;
+  return w->n_done > 0;
 }
 
-/* The scoring service fails for a moment.  The sample that engines have made
-   is scored a little later and not thrown away.  */
+/* The scoring service fails for a short time.  The sample is scored later and
+   not dropped.  */
 Test (scorer, failures_are_retried)
 {
   struct fixture w;
@@ -104,16 +104,16 @@
   fixture_init (&w, true);
   w.fail_next = 3;
   start (&w);
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_float_eq (w.score, 0.5, 1e-9);
   cr_assert_eq (w.calls, 4);
   fixture_free (&w);
 }
 
-/* The service fails on and on, with many samples waiting.  Each sample has
-   its share of repeats and no more, or the service would be flooded.  */
-Test (scorer, repeats_have_a_budget)
+/* The service fails all the time while many samples wait.  The retry budget
+   limits the calls, which would overload the service otherwise.  */
+Test (scorer, retries_have_a_budget)
 {
   struct fixture w;
 
@@ -132,7 +132,7 @@
   fixture_free (&w);
 }
 
-Test (scorer, cancelled_job_calls_nobody)
+Test (scorer, cancelled_job_has_no_callback)
 {
   struct fixture w;
   struct wy_score_job *j;
@@ -144,7 +144,7 @@
   wy_score_job_cancel (start (&w));
   run_for (&w.loop, 50);
   wy_scorer_run (w.scorer);
-  cr_assert_eq (w.answers, 0);
+  cr_assert_eq (w.n_done, 0);
   fixture_free (&w);
 }
 
@@ -154,7 +154,7 @@
 
   fixture_init (&w, false);
   start (&w);
-  cr_assert (run_until (&w.loop, answered, &w));
+  cr_assert (run_until (&w.loop, is_done, &w));
   cr_assert_eq (w.err, 0);
   cr_assert_eq (w.calls, 0);
   fixture_free (&w);
