--- a/src/check/accounts.c
+++ b/src/check/accounts.c
@@ -1,6 +1,6 @@
-/* Invariants on the accounts of requests and runs: what was received ends
-   once, what ran was submitted, begun and ended once, and what a caller was
-   given was made by a run.  */
+/* Invariant "accounts" on the counts of requests and runs: a received request
+   ends once, a run was submitted, started and ended once, and a response to a
+   caller comes from a run.  */
 #include <string.h>
 
 #include "check/incarnations.h"
@@ -17,37 +17,38 @@
          || wy_event_is (e, "request.abandoned");
 }
 
-/* What one entry noted of one request, which its caller may send again under
-   the same name.  */
-struct account
+/* What one entry recorded of one request id.  The caller may send the request
+   again with the same id.  */
+struct request_counts
 {
   guint received;
   guint ended;
   struct wy_event *last;
 };
 
-static struct account *
-account_of (GHashTable *accounts, const struct wy_event *e)
+static struct request_counts *
+counts_of (GHashTable *requests, const struct wy_event *e)
 {
-  char *key = wy_event_life_key (e, "req");
-  struct account *a = g_hash_table_lookup (accounts, key);
+  char *key = wy_event_incarnation_field (e, "req");
+  struct request_counts *counts = g_hash_table_lookup (requests, key);
 
-  if (a)
+  if (counts)
     {
       g_free (key);
-      return a;
+      return counts;
     }
-  a = g_new0 (struct account, 1);
-  g_hash_table_insert (accounts, key, a);
-  return a;
+  counts = g_new0 (struct request_counts, 1);
+  g_hash_table_insert (requests, key, counts);
+  return counts;
 }
 
-/* Each request that an entry received has one end, unless the entry was
+/* Each request that an entry received ends exactly once, unless the entry was
    killed first.  */
 static void
-verify_requests (struct wy_check *c, const struct wy_lives *lives)
+verify_requests (struct wy_check *c,
+                 const struct wy_incarnations *incarnations)
 {
-  GHashTable *accounts
+  GHashTable *requests
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   GHashTableIter it;
   gpointer p;
@@ -56,42 +57,44 @@
     {
       struct wy_event *e = c->timeline->events->pdata[i];
       bool received = wy_event_is (e, received_name);
-      struct account *a;
+      struct request_counts *counts;
 
       if (!received && !is_end (e))
         continue;
-      a = account_of (accounts, e);
-      a->received += received;
-      a->ended += !received;
-      a->last = e;
-      if (a->ended > a->received)
+      counts = counts_of (requests, e);
+      counts->received += received;
+      counts->ended += !received;
+      counts->last = e;
+      if (counts->ended > counts->received)
         wy_check_violation (c, "accounts", e, NULL,
-                            "request %s ended more often than it came",
+                            "request %s ended more often than it was "
+                            "received",
                             wy_event_text (e, "req"));
     }
-  g_hash_table_iter_init (&it, accounts);
+  g_hash_table_iter_init (&it, requests);
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
-      const struct account *a = p;
+      const struct request_counts *counts = p;
 
-      if (a->ended < a->received && wy_lives_ended (lives, a->last))
-        wy_check_violation (c, "accounts", a->last, NULL,
-                            "request %s has no end",
-                            wy_event_text (a->last, "req"));
+      if (counts->ended < counts->received
+          && wy_incarnations_stopped (incarnations, counts->last))
+        wy_check_violation (c, "accounts", counts->last, NULL,
+                            "request %s never ended",
+                            wy_event_text (counts->last, "req"));
     }
-  g_hash_table_destroy (accounts);
+  g_hash_table_destroy (requests);
 }
 
 static guint
-count_of (GHashTable *index, const char *value)
+count_events (GHashTable *index, const char *value)
 {
   const GPtrArray *list = wy_check_lookup (index, value);
 
   return list ? list->len : 0;
 }
 
-/* Submissions of a request to a target are at least its runs there: a run is
-   refused, or lost on the way, but none comes from nowhere.  */
+/* A request was submitted to a target at least as often as it ran there.  A
+   submission may be rejected or lost, so it need not have a run.  */
 static void
 verify_submitted (struct wy_check *c)
 {
@@ -112,7 +115,7 @@
       n = GPOINTER_TO_INT (g_hash_table_lookup (submitted, key));
       if (is_start && n == 0)
         wy_check_violation (c, "accounts", e, NULL,
-                            "a run of %s that was not submitted",
+                            "request %s ran without a submission",
                             wy_event_text (e, "req"));
       g_hash_table_insert (submitted, key,
                            GINT_TO_POINTER (is_start ? n - 1 : n + 1));
@@ -121,7 +124,8 @@
 }
 
 static void
-verify_run_ends (struct wy_check *c, const struct wy_lives *lives,
+verify_run_ends (struct wy_check *c,
+                 const struct wy_incarnations *incarnations,
                  GHashTable *starts, GHashTable *ends)
 {
   GHashTableIter it;
@@ -132,16 +136,16 @@
   while (g_hash_table_iter_next (&it, &run, &value))
     {
       const GPtrArray *list = value;
-      guint n = count_of (ends, run);
+      guint n = count_events (ends, run);
 
       if (!*(const char *)run)
         continue;
       if (list->len > 1)
         wy_check_violation (c, "accounts", list->pdata[0], list->pdata[1],
-                            "run %s began twice", (char *)run);
-      if (n == 0 && wy_lives_ended (lives, list->pdata[0]))
+                            "run %s started twice", (char *)run);
+      if (n == 0 && wy_incarnations_stopped (incarnations, list->pdata[0]))
         wy_check_violation (c, "accounts", list->pdata[0], NULL,
-                            "run %s has no end", (char *)run);
+                            "run %s never ended", (char *)run);
     }
   g_hash_table_iter_init (&it, ends);
   while (g_hash_table_iter_next (&it, &run, &value))
@@ -153,17 +157,18 @@
       if (list->len > 1)
         wy_check_violation (c, "accounts", list->pdata[0], list->pdata[1],
                             "run %s ended twice", (char *)run);
-      if (count_of (starts, run) == 0)
+      if (count_events (starts, run) == 0)
         wy_check_violation (c, "accounts", list->pdata[0], NULL,
-                            "run %s ended and never began", (char *)run);
+                            "run %s ended and never started", (char *)run);
     }
 }
 
-/* An answer names the run that made it.  The run's agent may have been killed
-   before it noted the end, but not before it noted the start.  */
+/* A response names the run that produced it.  The run's agent may have been
+   killed before it recorded the end, but not before it recorded the start.  */
 static void
-verify_answers (struct wy_check *c, const struct wy_lives *lives,
-                GHashTable *starts, GHashTable *ends)
+verify_responses (struct wy_check *c,
+                  const struct wy_incarnations *incarnations,
+                  GHashTable *starts, GHashTable *ends)
 {
   for (guint i = 0; i < c->timeline->events->len; i++)
     {
@@ -172,56 +177,64 @@
       const GPtrArray *list;
 
       if (!wy_event_is (e, "request.answered") || !*run
-          || count_of (ends, run))
+          || count_events (ends, run))
         continue;
       list = wy_check_lookup (starts, run);
       if (!list)
         wy_check_violation (c, "accounts", e, NULL,
-                            "request %s was answered by no run",
+                            "the response to request %s names an unknown "
+                            "run",
                             wy_event_text (e, "req"));
-      else if (wy_lives_ended (lives, list->pdata[0]))
+      else if (wy_incarnations_stopped (incarnations, list->pdata[0]))
         wy_check_violation (c, "accounts", e, list->pdata[0],
-                            "request %s was answered by a run without end",
+                            "the response to request %s comes from a run "
+                            "that never ended",
                             wy_event_text (e, "req"));
     }
 }
 
-/* What a caller noted of one call, which it may try more than once.  */
-struct call
+/* What a caller recorded under one idempotency key, which it may use for more
+   than one attempt.  */
+struct caller_request
 {
   guint sent;
-  guint tries_ended;
-  guint answered; /* with success */
+  guint attempts_ended;
+  guint succeeded; /* with status 2xx */
   struct wy_event *last;
 };
 
 static void
-note_call (struct wy_check *c, struct call *k, struct wy_event *e)
+record_caller_event (struct wy_check *c, struct caller_request *r,
+                     struct wy_event *e)
 {
   int64_t status = wy_event_number (e, "status", 0);
 
-  k->last = e;
+  r->last = e;
   if (wy_event_is (e, "caller.sent"))
     {
-      k->sent++;
+      r->sent++;
       return;
     }
-  k->tries_ended++;
-  k->answered += status >= 200 && status <= 299;
-  if (k->sent == 0)
+  r->attempts_ended++;
+  r->succeeded += status >= 200 && status <= 299;
+  if (r->sent == 0)
     wy_check_violation (c, "accounts", e, NULL,
-                        "call %s was answered and never sent",
+                        "a caller got a response for key %s, which it never "
+                        "sent",
                         wy_event_text (e, "key"));
-  else if (k->answered > k->sent)
-    wy_check_violation (c, "accounts", e, NULL, "call %s was answered twice",
+  else if (r->succeeded > r->sent)
+    wy_check_violation (c, "accounts", e, NULL,
+                        "a caller got more successful responses for key %s "
+                        "than it sent requests",
                         wy_event_text (e, "key"));
 }
 
-/* A call that was sent comes to an end, with success once at most.  */
+/* A request that a caller sent ends, and succeeds at most once.  */
 static void
-verify_calls (struct wy_check *c, const struct wy_lives *lives)
+verify_caller_requests (struct wy_check *c,
+                        const struct wy_incarnations *incarnations)
 {
-  GHashTable *calls
+  GHashTable *requests
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   GHashTableIter it;
   gpointer p;
@@ -230,38 +243,39 @@
     {
       struct wy_event *e = c->timeline->events->pdata[i];
       char *key;
-      struct call *k;
+      struct caller_request *r;
 
       if (!wy_event_is (e, "caller.sent") && !wy_event_is (e, "caller.got"))
         continue;
-      key = wy_event_life_key (e, "key");
-      k = g_hash_table_lookup (calls, key);
-      if (k)
+      key = wy_event_incarnation_field (e, "key");
+      r = g_hash_table_lookup (requests, key);
+      if (r)
         g_free (key);
       else
         {
-          k = g_new0 (struct call, 1);
-          g_hash_table_insert (calls, key, k);
+          r = g_new0 (struct caller_request, 1);
+          g_hash_table_insert (requests, key, r);
         }
-      note_call (c, k, e);
+      record_caller_event (c, r, e);
     }
-  g_hash_table_iter_init (&it, calls);
+  g_hash_table_iter_init (&it, requests);
   while (g_hash_table_iter_next (&it, NULL, &p))
     {
-      const struct call *k = p;
+      const struct caller_request *r = p;
 
-      if (k->tries_ended == 0 && wy_lives_ended (lives, k->last))
-        wy_check_violation (c, "accounts", k->last, NULL,
-                            "call %s came to no end",
-                            wy_event_text (k->last, "key"));
+      if (r->attempts_ended == 0
+          && wy_incarnations_stopped (incarnations, r->last))
+        wy_check_violation (c, "accounts", r->last, NULL,
+                            "the request with key %s never ended",
+                            wy_event_text (r->last, "key"));
     }
-  g_hash_table_destroy (calls);
+  g_hash_table_destroy (requests);
 }
 
-/* What engines and services keep of runs.  */
+/* What engines and services recorded of runs.  */
 struct records
 {
-  const struct wy_lives *lives;
+  const struct wy_incarnations *incarnations;
   GHashTable *starts;   /* run -> run.start */
   GHashTable *runs;     /* run -> engine.run */
   GHashTable *executed; /* request -> service.executed */
@@ -270,16 +284,17 @@
   bool services;
 };
 
-/* A target that was killed may have taken its record with it.  Agents know
-   the incarnation of an engine, not that of a service.  */
+/* Whether the target of the run that END ends was not killed.  The record of
+   a killed target may be lost with it.  Agents know the incarnation of an
+   engine, not that of a service.  */
 static bool
-target_lives (const struct records *r, const struct wy_event *end)
+target_survived (const struct records *r, const struct wy_event *end)
 {
   const GPtrArray *start
       = wy_check_lookup (r->starts, wy_event_text (end, "run"));
   const char *inc = start ? wy_event_text (start->pdata[0], "target_inc") : "";
 
-  return start && !wy_lives_killed (r->lives, inc);
+  return start && !wy_incarnations_killed (r->incarnations, inc);
 }
 
 static void
@@ -292,32 +307,33 @@
   const char *key = request ? wy_event_text (request->pdata[0], "key") : "";
 
   if (strcmp (wy_event_text (end, "result"), "done") != 0
-      || !target_lives (r, end))
+      || !target_survived (r, end))
     return;
   if (wy_event_number (end, "tokens", 0) > 0)
     {
       if (r->engines && !wy_check_lookup (r->runs, run))
         wy_check_violation (c, "accounts", end, NULL,
-                            "run %s is in no engine's record", run);
+                            "no engine recorded run %s", run);
     }
   else if (r->services && *key && !wy_check_lookup (r->executed, req))
     wy_check_violation (c, "accounts", end, NULL,
-                        "request %s is in no service's record", req);
+                        "no service recorded request %s", req);
 }
 
 static void
-verify_records (struct wy_check *c, const struct wy_lives *lives,
+verify_records (struct wy_check *c, const struct wy_incarnations *incarnations,
                 GHashTable *starts)
 {
   struct records r
-      = { .lives = lives,
+      = { .incarnations = incarnations,
           .starts = starts,
           .runs = wy_check_index (c, "engine.run", "run"),
           .executed = wy_check_index (c, "service.executed", "req"),
           .received = wy_check_index (c, received_name, "req"),
           .engines = wy_check_has (c, "engine.run"),
-          .services = wy_check_has (c, "service.executed")
-                      && !wy_lives_any_killed (lives, "service") };
+          .services
+          = wy_check_has (c, "service.executed")
+            && !wy_incarnations_role_killed (incarnations, "service") };
 
   for (guint i = 0; i < c->timeline->events->len; i++)
     if (wy_event_is (c->timeline->events->pdata[i], "run.end"))
@@ -327,7 +343,8 @@
   g_hash_table_destroy (r.runs);
 }
 
-/* One engine notes a run once; a moved run is noted by two.  */
+/* One engine records a run once.  A run that moved is recorded by two
+   engines.  */
 static void
 verify_engine_runs (struct wy_check *c)
 {
@@ -341,10 +358,10 @@
 
       if (!wy_event_is (e, "engine.run"))
         continue;
-      key = wy_event_life_key (e, "run");
+      key = wy_event_incarnation_field (e, "run");
       if (g_hash_table_contains (seen, key))
         wy_check_violation (c, "accounts", g_hash_table_lookup (seen, key), e,
-                            "an engine ran %s twice",
+                            "an engine recorded run %s twice",
                             wy_event_text (e, "run"));
       g_hash_table_insert (seen, key, e);
     }
@@ -354,22 +371,23 @@
 void
 wy_verify_accounts (struct wy_check *c)
 {
-  struct wy_lives *lives = wy_lives_new (c->timeline);
+  struct wy_incarnations *incarnations = wy_incarnations_new (c->timeline);
   GHashTable *starts = wy_check_index (c, "run.start", "run");
   GHashTable *ends = wy_check_index (c, "run.end", "run");
 
-  /* Parts of a system keep no such accounts: nothing to hold them to.  */
+  /* A timeline of only some of the processes may lack these events, and then
+     has nothing to compare.  */
   if (wy_check_has (c, received_name))
-    verify_requests (c, lives);
+    verify_requests (c, incarnations);
   if (wy_check_has (c, "request.submitted"))
     verify_submitted (c);
-  verify_run_ends (c, lives, starts, ends);
-  verify_answers (c, lives, starts, ends);
+  verify_run_ends (c, incarnations, starts, ends);
+  verify_responses (c, incarnations, starts, ends);
   if (wy_check_has (c, "caller.sent"))
-    verify_calls (c, lives);
-  verify_records (c, lives, starts);
+    verify_caller_requests (c, incarnations);
+  verify_records (c, incarnations, starts);
   verify_engine_runs (c);
   g_hash_table_destroy (ends);
   g_hash_table_destroy (starts);
-  wy_lives_free (lives);
+  wy_incarnations_free (incarnations);
 }
--- a/src/check/check.c
+++ b/src/check/check.c
@@ -1,4 +1,4 @@
-/* The list of invariants, and what they share.  */
+/* The list of invariants, and the helpers they share.  */
 #include "check/check.h"
 
 #include <string.h>
@@ -6,42 +6,45 @@
 #include "check/invariants.h"
 
 const struct wy_invariant wy_invariants[] = {
-  { "attribution",
-    "each sample names the weight versions that truly produced it",
+  { "attribution", "each sample names the weight versions that produced it",
     wy_verify_attribution },
-  { "staleness", "no sample used in training is older than the bound",
+  { "staleness", "no sample used in training exceeds the staleness bound",
     wy_verify_staleness },
   { "delivery", "each sample is delivered to its trainer exactly once",
     wy_verify_delivery },
-  { "whole-answer", "a caller receives the whole answer to its own request",
+  { "whole-answer",
+    "a caller receives the complete response to its own request",
     wy_verify_whole_answer },
-  { "not-run", "a refusal that says the request did not run is true",
+  { "not-run", "a request that was rejected as not run did not run",
     wy_verify_not_run },
   { "at-most-once", "a non-idempotent request runs at most once",
     wy_verify_at_most_once },
-  { "leaving", "a leaving target gets no new work after the limit",
+  { "leaving", "a target that is leaving gets no new work after the limit",
     wy_verify_leaving },
-  { "graceful-stop", "a planned stop cuts off no request",
+  { "graceful-stop", "a planned stop interrupts no request",
     wy_verify_graceful_stop },
   { "configuration",
-    "an accepted configuration is in force everywhere in "
-    "time and never reverts",
+    "an accepted configuration is in force on every process in time and "
+    "never reverts",
     wy_verify_configuration },
-  { "fencing", "no effect is accepted under an old fencing number",
+  { "fencing", "no write is accepted with a stale fencing token",
     wy_verify_fencing },
   { "accounts",
-    "what is received ends once, what ran was submitted, and what "
-    "was answered ran",
+    "each received request ends once, each run was submitted, and each "
+    "response comes from a run",
     wy_verify_accounts },
-  { "order", "nobody works before the start, and what is regained was lost",
+  { "order",
+    "no process works before its start, and paired events come in order",
     wy_verify_order },
   { "course",
-    "a step goes through its stages, once each, and versions are "
-    "published before they are loaded",
+    "a step passes each of its stages once, and versions are published "
+    "before they are loaded",
     wy_verify_course },
-  { "results", "a job's results keep their places and are there to the end",
+  { "results", "a job's results keep their positions and stay available",
     wy_verify_results },
-  { "scores", "a score is the answer to its own call, for the whole text",
+  { "scores",
+    "a score is the response to its own scoring request, for the complete "
+    "text",
     wy_verify_scores },
 };
 const size_t wy_n_invariants = G_N_ELEMENTS (wy_invariants);
@@ -71,15 +74,15 @@
 }
 
 static void
-name_event (GString *s, const struct wy_event *e)
+append_event (GString *s, const struct wy_event *e)
 {
   if (e)
     g_string_append_printf (s, " [%s %s #%" G_GUINT64_FORMAT "]", e->name,
                             e->process, e->seq);
 }
 
-/* Note that INVARIANT is broken, as the events A and B (either may be NULL)
-   show.  */
+/* Add a violation of INVARIANT, shown by the events A and B, either of which
+   may be NULL.  */
 void
 wy_check_violation (struct wy_check *c, const char *invariant,
                     const struct wy_event *a, const struct wy_event *b,
@@ -92,14 +95,14 @@
   va_start (ap, fmt);
   g_string_append_vprintf (s, fmt, ap);
   va_end (ap);
-  name_event (s, a);
-  name_event (s, b);
+  append_event (s, a);
+  append_event (s, b);
   v->invariant = invariant;
   v->text = g_string_free (s, FALSE);
   g_ptr_array_add (c->violations, v);
 }
 
-/* Tell whether E is an event NAME.  */
+/* Whether E is an event NAME.  */
 bool
 wy_event_is (const struct wy_event *e, const char *name)
 {
@@ -147,7 +150,7 @@
   return g_hash_table_lookup (index, value);
 }
 
-/* What KEY_OF makes of the events NAME, as a set.  Free it with
+/* The set of the keys that KEY_OF gives for the events NAME.  Free it with
    g_hash_table_destroy.  */
 GHashTable *
 wy_check_keys (const struct wy_check *c, const char *name,
@@ -162,16 +165,16 @@
   return keys;
 }
 
-/* The step that E tells of: "yard/trainer/number".  */
+/* Key of the step that E names: "yard/trainer/number".  */
 char *
-wy_check_step (const struct wy_event *e)
+wy_check_step_key (const struct wy_event *e)
 {
   return g_strdup_printf ("%s/%s/%" G_GINT64_FORMAT, wy_event_text (e, "yard"),
                           wy_event_text (e, "trainer"),
                           wy_event_number (e, "step", -1));
 }
 
-/* Tell whether the timeline has an event NAME.  */
+/* Whether the timeline has an event NAME.  */
 bool
 wy_check_has (const struct wy_check *c, const char *name)
 {
--- a/src/check/check.h
+++ b/src/check/check.h
@@ -1,4 +1,4 @@
-/* The promises of the service, verified from a timeline alone.  */
+/* Invariants of the service, verified from a timeline alone.  */
 #ifndef WY_CHECK_CHECK_H
 #define WY_CHECK_CHECK_H
 
@@ -6,11 +6,11 @@
 
 #include "check/timeline.h"
 
-/* A promise that a timeline breaks.  */
+/* A case in which a timeline violates an invariant.  */
 struct wy_violation
 {
   const char *invariant;
-  char *text; /* what broke and which events show it */
+  char *text; /* what is wrong, and the events that show it */
 };
 
 struct wy_check
@@ -22,7 +22,7 @@
 struct wy_invariant
 {
   const char *name;
-  const char *promise;
+  const char *statement;
   void (*verify) (struct wy_check *c);
 };
 
--- a/src/check/incarnations.h
+++ b/src/check/incarnations.h
@@ -6,14 +6,17 @@
 
 #include "check/check.h"
 
-struct wy_lives;
+struct wy_incarnations;
 
-struct wy_lives *wy_lives_new (const struct wy_timeline *t);
-void wy_lives_free (struct wy_lives *l);
-bool wy_lives_ended (const struct wy_lives *l, const struct wy_event *e);
-bool wy_lives_killed (const struct wy_lives *l, const char *incarnation);
-bool wy_lives_any_killed (const struct wy_lives *l, const char *role);
-char *wy_event_life (const struct wy_event *e);
-char *wy_event_life_key (const struct wy_event *e, const char *key);
+struct wy_incarnations *wy_incarnations_new (const struct wy_timeline *t);
+void wy_incarnations_free (struct wy_incarnations *l);
+bool wy_incarnations_stopped (const struct wy_incarnations *l,
+                              const struct wy_event *e);
+bool wy_incarnations_killed (const struct wy_incarnations *l,
+                             const char *incarnation);
+bool wy_incarnations_role_killed (const struct wy_incarnations *l,
+                                  const char *role);
+char *wy_event_incarnation (const struct wy_event *e);
+char *wy_event_incarnation_field (const struct wy_event *e, const char *key);
 
 #endif
--- a/src/check/invariants.h
+++ b/src/check/invariants.h
@@ -1,4 +1,4 @@
-/* What the invariants share: reporting and walking the events.  */
+/* The verify function of each invariant, and the helpers they share.  */
 #ifndef WY_CHECK_INVARIANTS_H
 #define WY_CHECK_INVARIANTS_H
 
@@ -16,7 +16,7 @@
 GPtrArray *wy_check_lookup (GHashTable *index, const char *value);
 GHashTable *wy_check_keys (const struct wy_check *c, const char *name,
                            char *(*key_of) (const struct wy_event *e));
-char *wy_check_step (const struct wy_event *e);
+char *wy_check_step_key (const struct wy_event *e);
 bool wy_check_has (const struct wy_check *c, const char *name);
 
 void wy_verify_attribution (struct wy_check *c);
--- a/src/check/processes.c
+++ b/src/check/processes.c
@@ -1,4 +1,4 @@
-/* Invariants on processes: leaving, graceful stop, configuration, fencing.  */
+/* Invariants on processes: leaving, graceful-stop, configuration, fencing.  */
 #include <string.h>
 
 #include "check/incarnations.h"
@@ -6,10 +6,11 @@
 
 enum
 {
-  /* A leaving target announces itself over open connections; two seconds
-     cover a connection that has to be redialled once.  */
+  /* A target announces over its open connections that it is leaving.  Two
+     seconds cover a connection that has to be re-established once.  */
   LEAVING_LIMIT_MS = 2000,
-  /* The operators' bound for a change to be in force on every process.  */
+  /* Within this time an accepted change must be in force on every process, as
+     operators require.  */
   IN_FORCE_LIMIT_MS = 8000
 };
 
@@ -32,7 +33,8 @@
       else if (wy_event_is (e, "run.start") && left
                && wy_event_ms (e) - wy_event_ms (left) > LEAVING_LIMIT_MS)
         wy_check_violation (c, "leaving", left, e,
-                            "target %s got new work while leaving", target);
+                            "target %s got new work while it was leaving",
+                            target);
     }
   g_hash_table_destroy (leaving);
 }
@@ -46,84 +48,85 @@
 
       if (wy_event_is (e, "process.stop") && wy_event_number (e, "cut", 0) > 0)
         wy_check_violation (c, "graceful-stop", e, NULL,
-                            "%s stopped and cut off %" G_GINT64_FORMAT
+                            "%s stopped and interrupted %" G_GINT64_FORMAT
                             " requests",
                             e->process, wy_event_number (e, "cut", 0));
     }
 }
 
-/* One incarnation of an entry or agent, as far as configuration goes.  */
-struct follower
+/* Configuration events of one incarnation of a process.  */
+struct config_history
 {
   const char *process;
   const char *incarnation;
   GPtrArray *in_force; /* struct wy_event */
-  int64_t ready_ms;    /* 0: never ready */
+  int64_t ready_ms;    /* wall-clock time; 0: never ready */
   int64_t last_ms;
-  bool frozen;
-  bool must; /* an entry or agent: it has to take each revision */
+  bool faulted;
+  bool must_apply; /* an entry or agent, which has to apply each revision */
   int64_t highest;
 };
 
 static void
-follower_free (gpointer p)
+history_free (gpointer p)
 {
-  struct follower *f = p;
+  struct config_history *h = p;
 
-  g_ptr_array_free (f->in_force, TRUE);
-  g_free (f);
+  g_ptr_array_free (h->in_force, TRUE);
+  g_free (h);
 }
 
-static struct follower *
-follower_of (GHashTable *followers, const struct wy_event *e)
+static struct config_history *
+history_of (GHashTable *histories, const struct wy_event *e)
 {
   char *key = g_strdup_printf ("%s/%s", e->process, e->incarnation);
-  struct follower *f = g_hash_table_lookup (followers, key);
+  struct config_history *h = g_hash_table_lookup (histories, key);
 
-  if (f)
+  if (h)
     {
       g_free (key);
-      return f;
+      return h;
     }
-  f = g_new0 (struct follower, 1);
-  f->process = e->process;
-  f->incarnation = e->incarnation;
-  f->in_force = g_ptr_array_new ();
-  g_hash_table_insert (followers, key, f);
-  return f;
+  h = g_new0 (struct config_history, 1);
+  h->process = e->process;
+  h->incarnation = e->incarnation;
+  h->in_force = g_ptr_array_new ();
+  g_hash_table_insert (histories, key, h);
+  return h;
 }
 
 static void
-note_follower (struct wy_check *c, struct follower *f, struct wy_event *e)
+record_config_event (struct wy_check *c, struct config_history *h,
+                     struct wy_event *e)
 {
   int64_t revision;
 
-  f->last_ms = wy_event_ms (e);
+  h->last_ms = wy_event_ms (e);
   if (wy_event_is (e, "process.start"))
-    f->must = !strcmp (wy_event_text (e, "role"), "entry")
-              || !strcmp (wy_event_text (e, "role"), "agent");
-  if (!f->ready_ms && wy_event_is (e, "process.ready"))
-    f->ready_ms = wy_event_ms (e);
+    h->must_apply = !strcmp (wy_event_text (e, "role"), "entry")
+                    || !strcmp (wy_event_text (e, "role"), "agent");
+  if (!h->ready_ms && wy_event_is (e, "process.ready"))
+    h->ready_ms = wy_event_ms (e);
   if (!wy_event_is (e, "config.in_force"))
     return;
   revision = wy_event_number (e, "revision", -1);
-  if (revision < f->highest)
+  if (revision < h->highest)
     wy_check_violation (c, "configuration", e, NULL,
-                        "%s went back from revision %" G_GINT64_FORMAT
+                        "%s reverted from revision %" G_GINT64_FORMAT
                         " to %" G_GINT64_FORMAT,
-                        f->process, f->highest, revision);
+                        h->process, h->highest, revision);
   else
-    f->highest = revision;
-  g_ptr_array_add (f->in_force, e);
+    h->highest = revision;
+  g_ptr_array_add (h->in_force, e);
 }
 
-/* Tell whether F had REVISION or a later one in force by the stamp BY.  */
+/* Whether H had REVISION or a later one in force at the time BY_MS.  */
 static bool
-had_revision (const struct follower *f, int64_t revision, int64_t by_ms)
+had_revision (const struct config_history *h, int64_t revision, int64_t by_ms)
 {
-  for (guint i = 0; i < f->in_force->len; i++)
+  for (guint i = 0; i < h->in_force->len; i++)
     {
-      const struct wy_event *e = f->in_force->pdata[i];
+      const struct wy_event *e = h->in_force->pdata[i];
       if (wy_event_ms (e) <= by_ms
           && wy_event_number (e, "revision", -1) >= revision)
         return true;
@@ -132,52 +135,52 @@
 }
 
 static void
-verify_spread (struct wy_check *c, GHashTable *followers,
-               const struct wy_event *accepted)
+verify_propagation (struct wy_check *c, GHashTable *histories,
+                    const struct wy_event *accepted)
 {
   int64_t revision = wy_event_number (accepted, "revision", -1);
   GHashTableIter it;
   gpointer value;
 
-  g_hash_table_iter_init (&it, followers);
+  g_hash_table_iter_init (&it, histories);
   while (g_hash_table_iter_next (&it, NULL, &value))
     {
-      const struct follower *f = value;
+      const struct config_history *h = value;
       int64_t by_ms
-          = MAX (wy_event_ms (accepted), f->ready_ms) + IN_FORCE_LIMIT_MS;
+          = MAX (wy_event_ms (accepted), h->ready_ms) + IN_FORCE_LIMIT_MS;
 
-      if (f->frozen || (f->in_force->len == 0 && !f->must) || !f->ready_ms
-          || f->last_ms < by_ms)
+      if (h->faulted || (h->in_force->len == 0 && !h->must_apply)
+          || !h->ready_ms || h->last_ms < by_ms)
         continue;
-      if (!had_revision (f, revision, by_ms))
+      if (!had_revision (h, revision, by_ms))
         wy_check_violation (c, "configuration", accepted, NULL,
                             "revision %" G_GINT64_FORMAT
                             " was not in force on %s in time",
-                            revision, f->process);
+                            revision, h->process);
     }
 }
 
 static void
-freeze (GHashTable *followers, const char *process)
+mark_faulted (GHashTable *histories, const char *process)
 {
   GHashTableIter it;
   gpointer value;
 
-  g_hash_table_iter_init (&it, followers);
+  g_hash_table_iter_init (&it, histories);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (!strcmp (((struct follower *)value)->process, process))
-      ((struct follower *)value)->frozen = true;
+    if (!strcmp (((struct config_history *)value)->process, process))
+      ((struct config_history *)value)->faulted = true;
 }
 
-/* A revision in force was accepted by somebody; an entry that is killed may
-   not have noted it.  */
+/* A revision in force was accepted by an entry.  Not checked when an entry was
+   killed, which may not have recorded that it accepted one.  */
 static void
 verify_accepted (struct wy_check *c, GHashTable *accepted)
 {
-  struct wy_lives *lives = wy_lives_new (c->timeline);
+  struct wy_incarnations *incarnations = wy_incarnations_new (c->timeline);
 
-  for (guint i = 0;
-       i < c->timeline->events->len && !wy_lives_any_killed (lives, "entry");
+  for (guint i = 0; i < c->timeline->events->len
+                    && !wy_incarnations_role_killed (incarnations, "entry");
        i++)
     {
       struct wy_event *e = c->timeline->events->pdata[i];
@@ -187,21 +190,21 @@
           && !g_hash_table_contains (accepted, &revision))
         wy_check_violation (c, "configuration", e, NULL,
                             "revision %" G_GINT64_FORMAT
-                            " is in force and nobody accepted it",
+                            " is in force and was never accepted",
                             revision);
     }
-  wy_lives_free (lives);
+  wy_incarnations_free (incarnations);
 }
 
-/* Each revision is accepted with one content, spreads to every process that
-   lives through the bound, and is never followed by a lower one on any
-   process.  A process that was frozen or cut off on purpose is not held to
-   the bound, but is to the order.  */
+/* Each revision is accepted with one content only, comes into force on every
+   process that runs until the time limit, and is never followed by a lower one
+   on any process.  A process into which a fault was injected (paused or
+   disconnected) is exempt from the time limit, but not from the order.  */
 void
 wy_verify_configuration (struct wy_check *c)
 {
-  GHashTable *followers
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, follower_free);
+  GHashTable *histories
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, history_free);
   GHashTable *digests = g_hash_table_new (g_int64_hash, g_int64_equal);
   GArray *revisions = g_array_new (FALSE, FALSE, sizeof (gint64));
 
@@ -212,9 +215,9 @@
       struct wy_event *before;
       gint64 *slot = &g_array_index (revisions, gint64, i);
 
-      note_follower (c, follower_of (followers, e), e);
+      record_config_event (c, history_of (histories, e), e);
       if (wy_event_is (e, "fault.injected"))
-        freeze (followers, wy_event_text (e, "target"));
+        mark_faulted (histories, wy_event_text (e, "target"));
       if (!wy_event_is (e, "config.accepted"))
         continue;
       *slot = wy_event_number (e, "revision", -1);
@@ -225,21 +228,21 @@
                  != 0)
         wy_check_violation (c, "configuration", before, e,
                             "revision %" G_GINT64_FORMAT
-                            " was accepted with two contents",
+                            " was accepted with two different contents",
                             *slot);
       g_hash_table_insert (digests, slot, e);
     }
   verify_accepted (c, digests);
   for (guint i = 0; i < c->timeline->events->len; i++)
     if (wy_event_is (c->timeline->events->pdata[i], "config.accepted"))
-      verify_spread (c, followers, c->timeline->events->pdata[i]);
-  g_hash_table_destroy (followers);
+      verify_propagation (c, histories, c->timeline->events->pdata[i]);
+  g_hash_table_destroy (histories);
   g_hash_table_destroy (digests);
   g_array_free (revisions, TRUE);
 }
 
-/* A fencing number is given to one holder only, and no place accepts a lower
-   one after a higher one.  */
+/* A fencing token is issued to one holder only, and whatever checks tokens
+   never accepts a lower one after a higher one.  */
 void
 wy_verify_fencing (struct wy_check *c)
 {
@@ -262,7 +265,7 @@
           before = g_hash_table_lookup (holders, key);
           if (before)
             wy_check_violation (c, "fencing", before, e,
-                                "fencing number %s was given twice", key);
+                                "fencing token %s was issued twice", key);
           g_hash_table_insert (holders, key, e);
         }
       if (wy_event_is (e, "fence.accepted"))
@@ -270,9 +273,9 @@
           key = g_strdup_printf ("%s/%s", lease, wy_event_text (e, "at"));
           before = g_hash_table_lookup (highest, key);
           if (before && wy_event_number (before, "fence", -1) > fence)
-            wy_check_violation (c, "fencing", before, e,
-                                "an old fencing number of %s was accepted",
-                                lease);
+            wy_check_violation (
+                c, "fencing", before, e,
+                "a stale fencing token of lease %s was accepted", lease);
           else
             g_hash_table_replace (highest, g_strdup (key), e);
           g_free (key);
--- a/src/check/requests.c
+++ b/src/check/requests.c
@@ -1,73 +1,74 @@
-/* Invariants on requests: whole answers, true refusals, at most once.  */
+/* Invariants on requests: whole-answer, not-run, at-most-once.  */
 #include <string.h>
 
 #include "check/invariants.h"
 
 static bool
-is_interactive_answer (const struct wy_event *e)
+is_run_response (const struct wy_event *e)
 {
   return wy_event_is (e, "request.answered") && *wy_event_text (e, "run");
 }
 
-/* The bytes that the entry took for a run are the bytes that the agent had,
+/* The bytes that the entry received of a run are those that the agent sent,
    and the run belongs to the request.  */
 static void
-verify_answer (struct wy_check *c, GHashTable *ends, struct wy_event *e)
+verify_response (struct wy_check *c, GHashTable *ends, struct wy_event *e)
 {
   GPtrArray *runs = wy_check_lookup (ends, wy_event_text (e, "run"));
   const struct wy_event *end;
 
-  /* An agent killed right after its last frame may not have noted the end;
-     the frame itself carried the digest.  */
+  /* An agent killed right after its last frame may not have recorded the end.
+     The frame itself carried the digest.  */
   if (!runs)
     return;
   end = runs->pdata[runs->len - 1];
   if (strcmp (wy_event_text (end, "req"), wy_event_text (e, "req")) != 0)
     wy_check_violation (c, "whole-answer", e, end,
-                        "request %s was given the answer to %s",
+                        "request %s got the response to %s",
                         wy_event_text (e, "req"), wy_event_text (end, "req"));
   else if (strcmp (wy_event_text (end, "digest"), wy_event_text (e, "digest"))
            != 0)
     wy_check_violation (c, "whole-answer", e, end,
-                        "request %s was given other bytes than its run made",
+                        "request %s got other bytes than its run produced",
                         wy_event_text (e, "req"));
 }
 
 static bool
-sent_matches (const GPtrArray *answers, const char *digest)
+sent_matches (const GPtrArray *responses, const char *digest)
 {
-  for (guint i = 0; i < answers->len; i++)
-    if (!strcmp (wy_event_text (answers->pdata[i], "sent"), digest))
+  for (guint i = 0; i < responses->len; i++)
+    if (!strcmp (wy_event_text (responses->pdata[i], "sent"), digest))
       return true;
   return false;
 }
 
-/* What a caller holds against what the entries say they sent.  */
+/* The response that a caller received is one that an entry recorded as
+   sent.  */
 static void
-verify_got (struct wy_check *c, GHashTable *answers, struct wy_event *e)
+verify_received (struct wy_check *c, GHashTable *responses, struct wy_event *e)
 {
   int64_t status = wy_event_number (e, "status", 0);
   const char *req = wy_event_text (e, "req");
-  GPtrArray *a = wy_check_lookup (answers, req);
+  GPtrArray *list = wy_check_lookup (responses, req);
 
   if (status < 200 || status > 299 || !*req)
     return;
-  if (!a)
+  if (!list)
     wy_check_violation (c, "whole-answer", e, NULL,
-                        "a caller holds an answer to %s that no entry gave",
+                        "a caller got a response to %s that no entry sent",
                         req);
   else if (*wy_event_text (e, "digest")
-           && !sent_matches (a, wy_event_text (e, "digest")))
-    wy_check_violation (c, "whole-answer", e, a->pdata[0],
+           && !sent_matches (list, wy_event_text (e, "digest")))
+    wy_check_violation (c, "whole-answer", e, list->pdata[0],
                         "the caller of %s got other bytes than were sent",
                         req);
 }
 
-/* Where entries keep no timeline, what a caller holds is what a replica made
-   for its request, and what it was told did not run is in no replica's
-   record.  */
+/* Where entries record no timeline: the response that a caller received was
+   produced by a replica for its request, and no replica recorded a request
+   that was rejected as not run.  */
 static void
-verify_ran (struct wy_check *c, GHashTable *ran, struct wy_event *e)
+verify_replica_record (struct wy_check *c, GHashTable *ran, struct wy_event *e)
 {
   int64_t status = wy_event_number (e, "status", 0);
   const char *req = wy_event_text (e, "req");
@@ -80,18 +81,19 @@
                        wy_event_text (e, "digest"));
   if (status >= 200 && status <= 299 && !same)
     wy_check_violation (c, "whole-answer", e, list ? list->pdata[0] : NULL,
-                        "the caller of %s got what no replica made for it",
+                        "the caller of %s got a response that no replica "
+                        "produced for it",
                         req);
   if (list && !strcmp (wy_event_text (e, "ran"), "no"))
     wy_check_violation (c, "not-run", e, list->pdata[0],
-                        "request %s was refused as not run and ran", req);
+                        "request %s was rejected as not run and ran", req);
 }
 
 void
 wy_verify_whole_answer (struct wy_check *c)
 {
   GHashTable *ends = wy_check_index (c, "run.end", "run");
-  GHashTable *answers = wy_check_index (c, "request.answered", "req");
+  GHashTable *responses = wy_check_index (c, "request.answered", "req");
   GHashTable *ran = wy_check_index (c, "replica.ran", "req");
   bool replicas = wy_check_has (c, "replica.ran");
 
@@ -99,20 +101,21 @@
     {
       struct wy_event *e = c->timeline->events->pdata[i];
 
-      if (is_interactive_answer (e))
-        verify_answer (c, ends, e);
+      if (is_run_response (e))
+        verify_response (c, ends, e);
       else if (wy_event_is (e, "caller.got") && replicas)
-        verify_ran (c, ran, e);
+        verify_replica_record (c, ran, e);
       else if (wy_event_is (e, "caller.got"))
-        verify_got (c, answers, e);
+        verify_received (c, responses, e);
     }
   g_hash_table_destroy (ran);
   g_hash_table_destroy (ends);
-  g_hash_table_destroy (answers);
+  g_hash_table_destroy (responses);
 }
 
-/* Tell whether REQ was received between the stamps AFTER and BEFORE, which
-   makes a run that follows a refusal the fault of nobody.  */
+/* Whether REQ was received between the timestamps AFTER and BEFORE.  The
+   caller has then sent it again, and may do so after it was rejected as not
+   run.  */
 static bool
 received_between (GHashTable *received, const char *req, uint64_t after,
                   uint64_t before)
@@ -128,8 +131,8 @@
   return false;
 }
 
-/* A refusal "not run" means that no run began before it, and that none
-   begins after it unless the caller asks again.  */
+/* A request rejected as "not run" had no run before, and has none after unless
+   the caller sends it again.  */
 void
 wy_verify_not_run (struct wy_check *c)
 {
@@ -152,7 +155,7 @@
           if (s->hlc < e->hlc
               || !received_between (received, req, e->hlc, s->hlc))
             wy_check_violation (c, "not-run", e, s,
-                                "request %s was refused as not run and ran",
+                                "request %s was rejected as not run and ran",
                                 req);
         }
     }
@@ -166,8 +169,8 @@
   return json_is_false (json_object_get (e->fields, "idempotent"));
 }
 
-/* Agents' starts and, where the service keeps its own record, what the
-   service executed.  */
+/* Checks the runs that agents started and, where a service keeps a record of
+   its own, the requests that it executed.  */
 void
 wy_verify_at_most_once (struct wy_check *c)
 {
--- a/src/check/results.c
+++ b/src/check/results.c
@@ -1,12 +1,12 @@
-/* Invariant on the results of jobs, from what their submitters read: a
-   position never changes, an item stands at one, what is listed ran, and what
-   was read can be read to the end.  */
+/* Invariant "results" on result listings, from what the submitters of jobs
+   read: the result at a position never changes, an item has one position, a
+   listed item ran, and a result that was read once stays readable.  */
 #include <string.h>
 
 #include "check/invariants.h"
 
 static char *
-place_key (const struct wy_event *e)
+position_key (const struct wy_event *e)
 {
   return g_strdup_printf ("%s/%" G_GINT64_FORMAT, wy_event_text (e, "job"),
                           wy_event_number (e, "position", -1));
@@ -19,12 +19,12 @@
                           wy_event_text (e, "item"));
 }
 
-struct listing
+struct job_results
 {
-  GHashTable *places; /* result.read by job and position */
-  GHashTable *items;  /* the same by job and item */
-  GHashTable *ran;    /* replica.ran by request */
-  GHashTable *counts; /* results read, by job */
+  GHashTable *positions; /* result.read by job and position */
+  GHashTable *items;     /* result.read by job and item */
+  GHashTable *ran;       /* replica.ran by request */
+  GHashTable *counts;    /* number of results read, by job */
 };
 
 static bool
@@ -34,53 +34,56 @@
 }
 
 static void
-read_result (struct wy_check *c, struct listing *l, struct wy_event *e)
+read_result (struct wy_check *c, struct job_results *r, struct wy_event *e)
 {
-  char *place = place_key (e);
-  char *item = item_key (e);
+  char *pos_key = position_key (e);
+  char *item_id = item_key (e);
   const char *job = wy_event_text (e, "job");
-  gint read = GPOINTER_TO_INT (g_hash_table_lookup (l->counts, job));
+  gint read = GPOINTER_TO_INT (g_hash_table_lookup (r->counts, job));
   gint position = (gint)wy_event_number (e, "position", -1);
-  const struct wy_event *before = g_hash_table_lookup (l->places, place);
-  const struct wy_event *same = g_hash_table_lookup (l->items, item);
+  const struct wy_event *before = g_hash_table_lookup (r->positions, pos_key);
+  const struct wy_event *same = g_hash_table_lookup (r->items, item_id);
 
   if (before && (differs (before, e, "digest") || differs (before, e, "item")))
-    wy_check_violation (c, "results", before, e, "position %s changed", place);
+    wy_check_violation (c, "results", before, e,
+                        "the result at position %s changed", pos_key);
   if (same && wy_event_number (same, "position", -1) != position)
-    wy_check_violation (c, "results", same, e, "item %s stands at two places",
-                        item);
+    wy_check_violation (c, "results", same, e, "item %s has two positions",
+                        item_id);
   if (wy_check_has (c, "replica.ran")
-      && !wy_check_lookup (l->ran, wy_event_text (e, "item")))
+      && !wy_check_lookup (r->ran, wy_event_text (e, "item")))
     wy_check_violation (c, "results", e, NULL,
-                        "item %s is listed and never ran", item);
+                        "item %s is listed and never ran", item_id);
   if (position > read)
-    wy_check_violation (c, "results", e, NULL, "job %s skips position %d", job,
-                        read);
-  g_hash_table_insert (l->counts, g_strdup (job),
+    wy_check_violation (c, "results", e, NULL,
+                        "the results of job %s skip position %d", job, read);
+  g_hash_table_insert (r->counts, g_strdup (job),
                        GINT_TO_POINTER (MAX (read, position + 1)));
-  g_hash_table_insert (l->places, place, e);
-  g_hash_table_insert (l->items, item, e);
+  g_hash_table_insert (r->positions, pos_key, e);
+  g_hash_table_insert (r->items, item_id, e);
 }
 
 static void
-verify_checked (struct wy_check *c, struct listing *l, GHashTable *accepted,
-                struct wy_event *e)
+verify_final_read (struct wy_check *c, struct job_results *r,
+                   GHashTable *accepted, struct wy_event *e)
 {
   const char *job = wy_event_text (e, "job");
-  gint read = GPOINTER_TO_INT (g_hash_table_lookup (l->counts, job));
+  gint read = GPOINTER_TO_INT (g_hash_table_lookup (r->counts, job));
 
   if (wy_event_number (e, "results", 0) != read)
     wy_check_violation (c, "results", e, NULL,
-                        "job %s had %d results and has others in the end", job,
-                        read);
+                        "job %s had %d results and a different number at "
+                        "the end",
+                        job, read);
   if (!wy_check_lookup (accepted, job))
     wy_check_violation (c, "results", e, NULL,
-                        "job %s is known and was not accepted", job);
+                        "job %s exists and was never accepted", job);
 }
 
-/* Each accepted job is read once more in the end.  */
+/* The submitter reads each accepted job once more at the end, as the event
+   job.checked records.  */
 static void
-verify_kept (struct wy_check *c, struct listing *l)
+verify_final_reads (struct wy_check *c, struct job_results *r)
 {
   GHashTable *accepted = wy_check_index (c, "job.accepted", "job");
   GHashTable *checked = wy_check_index (c, "job.checked", "job");
@@ -90,11 +93,11 @@
       struct wy_event *e = c->timeline->events->pdata[i];
 
       if (wy_event_is (e, "job.checked"))
-        verify_checked (c, l, accepted, e);
+        verify_final_read (c, r, accepted, e);
       else if (wy_event_is (e, "job.accepted")
                && !wy_check_lookup (checked, wy_event_text (e, "job")))
         wy_check_violation (c, "results", e, NULL,
-                            "job %s was accepted and not found in the end",
+                            "job %s was accepted and not found at the end",
                             wy_event_text (e, "job"));
     }
   g_hash_table_destroy (checked);
@@ -104,8 +107,8 @@
 void
 wy_verify_results (struct wy_check *c)
 {
-  struct listing l = {
-    .places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
+  struct job_results r = {
+    .positions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
     .items = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
     .ran = wy_check_index (c, "replica.ran", "req"),
     .counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL)
@@ -113,10 +116,10 @@
 
   for (guint i = 0; i < c->timeline->events->len; i++)
     if (wy_event_is (c->timeline->events->pdata[i], "result.read"))
-      read_result (c, &l, c->timeline->events->pdata[i]);
-  verify_kept (c, &l);
-  g_hash_table_destroy (l.counts);
-  g_hash_table_destroy (l.ran);
-  g_hash_table_destroy (l.items);
-  g_hash_table_destroy (l.places);
+      read_result (c, &r, c->timeline->events->pdata[i]);
+  verify_final_reads (c, &r);
+  g_hash_table_destroy (r.counts);
+  g_hash_table_destroy (r.ran);
+  g_hash_table_destroy (r.items);
+  g_hash_table_destroy (r.positions);
 }
--- a/src/check/samples.c
+++ b/src/check/samples.c
@@ -3,7 +3,7 @@
 
 #include "check/invariants.h"
 
-/* Segments must cover the tokens from 0 on without a gap.  */
+/* Whether SEGMENTS cover the tokens from 0 on without a gap.  */
 static bool
 contiguous (const json_t *segments)
 {
@@ -25,14 +25,14 @@
   return true;
 }
 
-/* Each finished sample is held against what the engine itself recorded of
-   the run, or, where the engine keeps no record, against its agent.  */
+/* Each finished sample is compared with what the engine recorded of the run,
+   or what the agent recorded where the engine keeps no record.  */
 void
 wy_verify_attribution (struct wy_check *c)
 {
-  const char *truth_name
+  const char *recorded_name
       = wy_check_has (c, "engine.run") ? "engine.run" : "run.end";
-  GHashTable *truth = wy_check_index (c, truth_name, "run");
+  GHashTable *recorded = wy_check_index (c, recorded_name, "run");
 
   for (guint i = 0; i < c->timeline->events->len; i++)
     {
@@ -43,28 +43,29 @@
       if (!wy_event_is (e, "sample.finished"))
         continue;
       segments = json_object_get (e->fields, "segments");
-      runs = wy_check_lookup (truth, wy_event_text (e, "run"));
+      runs = wy_check_lookup (recorded, wy_event_text (e, "run"));
       if (!contiguous (segments))
         wy_check_violation (c, "attribution", e, NULL,
                             "sample %s has gaps in its segments",
                             wy_event_text (e, "sample"));
       else if (!runs)
         wy_check_violation (c, "attribution", e, NULL,
-                            "sample %s comes from a run nobody recorded",
+                            "sample %s comes from a run that was not recorded",
                             wy_event_text (e, "sample"));
       else
         {
-          /* A moved run is recorded by both engines; the last one is
-             whole.  */
+          /* A run that moved is recorded by both engines; the last record is
+             complete.  */
           struct wy_event *last = runs->pdata[runs->len - 1];
           if (!json_equal (segments,
                            json_object_get (last->fields, "segments")))
-            wy_check_violation (c, "attribution", e, last,
-                                "sample %s names other versions than ran",
-                                wy_event_text (e, "sample"));
+            wy_check_violation (
+                c, "attribution", e, last,
+                "sample %s names other versions than produced it",
+                wy_event_text (e, "sample"));
         }
     }
-  g_hash_table_destroy (truth);
+  g_hash_table_destroy (recorded);
 }
 
 static json_int_t
@@ -98,7 +99,7 @@
   if (bound < 0 || oldest == INT64_MIN || current == INT64_MAX)
     {
       wy_check_violation (c, "staleness", batch, NULL,
-                          "a batch names no versions or no bound");
+                          "a batch names no versions or no staleness bound");
       return;
     }
   json_array_foreach (json_object_get (batch->fields, "samples"), i, id)
@@ -107,24 +108,25 @@
     json_int_t v;
 
     if (!f)
-      continue; /* the delivery invariant tells */
+      continue; /* the delivery invariant reports it */
     v = oldest_version (f->pdata[f->len - 1]);
     if (v < true_oldest)
       true_oldest = v;
   }
   if (true_oldest != INT64_MAX && true_oldest < oldest)
     wy_check_violation (c, "staleness", batch, NULL,
-                        "a batch holds version %" JSON_INTEGER_FORMAT
+                        "a batch contains version %" JSON_INTEGER_FORMAT
                         " and names %" G_GINT64_FORMAT " as its oldest",
                         true_oldest, oldest);
   if (current - oldest > bound)
     wy_check_violation (c, "staleness", batch, NULL,
                         "version %" G_GINT64_FORMAT " is used at version "
-                        "%" G_GINT64_FORMAT ", bound %" G_GINT64_FORMAT,
+                        "%" G_GINT64_FORMAT
+                        ", staleness bound %" G_GINT64_FORMAT,
                         oldest, current, bound);
 }
 
-/* Highest version published for YARD before the event AT.  */
+/* Highest version published for YARD before the timestamp HLC; 0 for none.  */
 static int64_t
 published_before (struct wy_check *c, const char *yard, uint64_t hlc)
 {
@@ -147,9 +149,9 @@
   return highest;
 }
 
-/* A batch is within its bound when it is fixed, each time it is handed out,
-   and when it is trained on.  The trainer's own record is held against the
-   versions published by then, not against what the batch says.  */
+/* A batch is within its staleness bound when it is fixed, each time it is
+   delivered, and when it is trained on.  The trainer's own record is compared
+   with the versions published by then, not with what the batch names.  */
 void
 wy_verify_staleness (struct wy_check *c)
 {
@@ -173,8 +175,9 @@
               published_before (c, wy_event_text (e, "yard"), e->hlc));
 
           if (at - wy_event_number (e, "oldest", at) > bound)
-            wy_check_violation (c, "staleness", e, NULL,
-                                "trained on a sample beyond the bound");
+            wy_check_violation (
+                c, "staleness", e, NULL,
+                "trained on a sample beyond the staleness bound");
         }
     }
   g_hash_table_destroy (bounds);
@@ -188,12 +191,12 @@
                      json_object_get (b->fields, "samples"));
 }
 
-/* Note each sample of the batch E in OWNERS; one that another step has is a
-   violation.  */
+/* Enter each sample of the batch E in OWNERS.  One that a step has already is
+   a violation.  */
 static void
-claim_samples (struct wy_check *c, GHashTable *owners, struct wy_event *e)
+assign_samples (struct wy_check *c, GHashTable *owners, struct wy_event *e)
 {
-  char *step = wy_check_step (e);
+  char *step = wy_check_step_key (e);
   size_t i;
   json_t *id;
 
@@ -204,8 +207,8 @@
 
     if (owner)
       wy_check_violation (c, "delivery", e, NULL,
-                          "sample %s is in a batch twice, first in %s", sample,
-                          owner);
+                          "sample %s is in batches twice, first in step %s",
+                          sample, owner);
     else if (sample)
       g_hash_table_insert (owners, g_strdup (sample), g_strdup (step));
   }
@@ -223,40 +226,45 @@
 static void
 verify_fixed (struct wy_check *c, struct batches *b, struct wy_event *e)
 {
-  char *step = wy_check_step (e);
+  char *step = wy_check_step_key (e);
   struct wy_event *before = g_hash_table_lookup (b->fixed, step);
   size_t i;
   json_t *id;
 
   if (before)
     {
-      /* A sampler whose answer was lost may note the same batch again.  */
+      /* A sampler that lost the response to its commit may record the same
+         batch again.  */
       if (!same_samples (before, e))
         wy_check_violation (c, "delivery", before, e,
-                            "step %s is fixed twice with other samples", step);
+                            "step %s was fixed twice with different samples",
+                            step);
       g_free (step);
       return;
     }
-  claim_samples (c, b->owners, e);
+  assign_samples (c, b->owners, e);
   json_array_foreach (
       json_object_get (e->fields, "samples"), i,
       id) if (!json_string_value (id)
               || !wy_check_lookup (b->finished, json_string_value (id)))
       wy_check_violation (c, "delivery", e, NULL,
-                          "step %s holds a sample that never finished", step);
+                          "step %s contains a sample that never finished",
+                          step);
   g_hash_table_insert (b->fixed, step, e);
 }
 
 static void
-verify_used (struct wy_check *c, struct batches *b, struct wy_event *e)
+verify_delivered (struct wy_check *c, struct batches *b, struct wy_event *e)
 {
-  char *step = wy_check_step (e);
+  char *step = wy_check_step_key (e);
   struct wy_event *fixed = g_hash_table_lookup (b->fixed, step);
   bool trained = wy_event_is (e, "trainer.trained");
 
   if (fixed && !same_samples (fixed, e))
     wy_check_violation (c, "delivery", fixed, e,
-                        "step %s was handed other samples than fixed", step);
+                        "step %s was delivered with other samples than it was "
+                        "fixed with",
+                        step);
   if (trained && g_hash_table_contains (b->trained, step))
     wy_check_violation (c, "delivery", g_hash_table_lookup (b->trained, step),
                         e, "step %s was trained on twice", step);
@@ -265,10 +273,11 @@
   g_free (step);
 }
 
-/* A step has one batch; every hand-out and the trainer's own record show that
-   batch; no sample is in two.  A batch may be handed out by another process
-   before its sampler, killed after the transaction, could note it, so a
-   hand-out without step.fixed stands for it.  */
+/* A step has one batch, which every delivery and the trainer's own record
+   name, and no sample is in two batches.  A sampler that was killed after its
+   transaction may not have recorded step.fixed, and another process delivers
+   the batch.  The first delivery of a step without step.fixed therefore counts
+   as step.fixed.  */
 void
 wy_verify_delivery (struct wy_check *c)
 {
@@ -289,9 +298,9 @@
       if (!wy_event_is (e, "step.handed")
           && !wy_event_is (e, "trainer.trained"))
         continue;
-      step = wy_check_step (e);
+      step = wy_check_step_key (e);
       if (g_hash_table_contains (b.fixed, step))
-        verify_used (c, &b, e);
+        verify_delivered (c, &b, e);
       else
         verify_fixed (c, &b, e);
       g_free (step);
--- a/src/check/steps.c
+++ b/src/check/steps.c
@@ -1,5 +1,5 @@
-/* Invariants on the course of steps and versions: submitted, fixed, handed
-   out, trained on, acknowledged; published before they are loaded.  */
+/* Invariant "course": a step is submitted, fixed, delivered, trained on and
+   acknowledged, and a version is published before it is loaded.  */
 #include <string.h>
 
 #include "check/incarnations.h"
@@ -9,8 +9,9 @@
 struct stage
 {
   const char *name;
-  const char *needs;
-  const char *noted_by; /* a killed one may not have noted what is needed */
+  const char *requires;
+  const char *recorded_by; /* role; one that was killed may not have recorded
+                              what is required */
 };
 
 static const struct stage stages[] = {
@@ -20,17 +21,18 @@
   { "step.acked", "trainer.trained", "trainer" },
 };
 
-/* Its place in the order is not looked at: one process may note a stage after
-   another has acted on it.  */
+/* Each event of the stage S has the required event of the same step, at any
+   time: one process may record a stage after another has acted on it.  */
 static void
-verify_stage (struct wy_check *c, const struct wy_lives *lives,
+verify_stage (struct wy_check *c, const struct wy_incarnations *incarnations,
               const struct stage *s)
 {
   GHashTable *before;
 
-  if (!wy_check_has (c, s->needs) || wy_lives_any_killed (lives, s->noted_by))
+  if (!wy_check_has (c, s->requires)
+      || wy_incarnations_role_killed (incarnations, s->recorded_by))
     return;
-  before = wy_check_keys (c, s->needs, wy_check_step);
+  before = wy_check_keys (c, s->requires, wy_check_step_key);
   for (guint i = 0; i < c->timeline->events->len; i++)
     {
       struct wy_event *e = c->timeline->events->pdata[i];
@@ -38,19 +40,21 @@
 
       if (!wy_event_is (e, s->name))
         continue;
-      key = wy_check_step (e);
+      key = wy_check_step_key (e);
       if (!g_hash_table_contains (before, key))
         wy_check_violation (c, "course", e, NULL, "step %s: %s without %s",
-                            key, s->name, s->needs);
+                            key, s->name, s->requires);
       g_free (key);
     }
   g_hash_table_destroy (before);
 }
 
-/* An event NAME that one incarnation notes once for each KEY.  */
+/* One incarnation records an event NAME once for each key that KEY_OF
+   gives.  */
 static void
-verify_once (struct wy_check *c, const char *name,
-             char *(*key_of) (const struct wy_event *e), const char *what)
+verify_recorded_once (struct wy_check *c, const char *name,
+                      char *(*key_of) (const struct wy_event *e),
+                      const char *what)
 {
   GHashTable *seen
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -59,19 +63,19 @@
     {
       struct wy_event *e = c->timeline->events->pdata[i];
       char *one;
-      char *life;
+      char *incarnation_key;
       char *key;
 
       if (!wy_event_is (e, name))
         continue;
       one = key_of (e);
-      life = wy_event_life (e);
-      key = g_strdup_printf ("%s/%s", life, one);
+      incarnation_key = wy_event_incarnation (e);
+      key = g_strdup_printf ("%s/%s", incarnation_key, one);
       if (g_hash_table_contains (seen, key))
         wy_check_violation (c, "course", g_hash_table_lookup (seen, key), e,
                             "%s %s: %s twice", what, one, name);
       g_hash_table_insert (seen, key, e);
-      g_free (life);
+      g_free (incarnation_key);
       g_free (one);
     }
   g_hash_table_destroy (seen);
@@ -83,9 +87,9 @@
   return g_strdup (wy_event_text (e, "sample"));
 }
 
-/* Samples in batches, by the events that tell of batches.  */
+/* The samples in batches, from all events that list samples.  */
 static GHashTable *
-used_samples (const struct wy_check *c)
+batch_samples (const struct wy_check *c)
 {
   GHashTable *used
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -105,23 +109,23 @@
 static bool
 is_in (GHashTable *set, const struct wy_event *e)
 {
-  char *life = wy_event_life (e);
-  bool found = g_hash_table_contains (set, life);
+  char *incarnation_key = wy_event_incarnation (e);
+  bool found = g_hash_table_contains (set, incarnation_key);
 
-  g_free (life);
+  g_free (incarnation_key);
   return found;
 }
 
-/* A sample is dropped or goes into a batch, never both; and one of the two,
-   unless its sampler was killed or lost its lease: who takes the step over has
-   samples of its own.  */
+/* A sample is either dropped or put into a batch, never both.  It may be
+   neither if its sampler was killed or lost its lease: the sampler that takes
+   over the step draws samples of its own.  */
 static void
-verify_samples (struct wy_check *c, const struct wy_lives *lives)
+verify_samples (struct wy_check *c, const struct wy_incarnations *incarnations)
 {
   GHashTable *dropped = wy_check_index (c, "sample.dropped", "sample");
-  GHashTable *lost = wy_check_keys (c, "lease.lost", wy_event_life);
+  GHashTable *lost = wy_check_keys (c, "lease.lost", wy_event_incarnation);
   bool batches = wy_check_has (c, "step.fixed");
-  GHashTable *used = used_samples (c);
+  GHashTable *used = batch_samples (c);
 
   for (guint i = 0; i < c->timeline->events->len; i++)
     {
@@ -133,7 +137,7 @@
         wy_check_violation (c, "course", e, NULL,
                             "sample %s was dropped and is in a batch", sample);
       if (!batches || !wy_event_is (e, "sample.finished")
-          || !wy_lives_ended (lives, e) || is_in (lost, e))
+          || !wy_incarnations_stopped (incarnations, e) || is_in (lost, e))
         continue;
       if (!g_hash_table_contains (used, sample)
           && !wy_check_lookup (dropped, sample))
@@ -146,7 +150,8 @@
   g_hash_table_destroy (used);
 }
 
-/* Versions that the events NAME tell of, by what KEY_OF makes of them.  */
+/* The versions that the events NAME have, as the set of the keys that KEY_OF
+   gives.  */
 static GHashTable *
 versions_of (const struct wy_check *c, const char *name,
              char *(*key_of) (const struct wy_event *e, int64_t version))
@@ -177,7 +182,8 @@
                           e->incarnation, version);
 }
 
-/* An engine's incarnation is known to its agent, its name need not be.  */
+/* An agent knows the incarnation of its engine, but not always its name, so
+   the key has no name.  */
 static char *
 at_engine (const struct wy_event *e, int64_t version)
 {
@@ -192,21 +198,23 @@
 }
 
 static void
-need (struct wy_check *c, GHashTable *set, char *key, struct wy_event *e,
-      const char *what)
+require_version (struct wy_check *c, GHashTable *set, char *key,
+                 struct wy_event *e, const char *what)
 {
   if (!g_hash_table_contains (set, key))
     wy_check_violation (c, "course", e, NULL, "version %s %s", key, what);
   g_free (key);
 }
 
-/* The version that an engine starts with is nobody's to publish.  */
+/* Whether VERSION is the one that the engine of E started with.  It need not
+   be published.  */
 static bool
-is_first (GHashTable *started, const struct wy_event *e, int64_t version)
+is_initial_version (GHashTable *started, const struct wy_event *e,
+                    int64_t version)
 {
-  char *life = wy_event_life (e);
+  char *incarnation_key = wy_event_incarnation (e);
   char *own = at_process (e, version);
-  bool first = g_hash_table_add (started, life);
+  bool first = g_hash_table_add (started, incarnation_key);
 
   if (first)
     g_hash_table_add (started, g_strdup (own));
@@ -216,46 +224,49 @@
 }
 
 static void
-verify_run_versions (struct wy_check *c, GHashTable *told, struct wy_event *e)
+verify_run_versions (struct wy_check *c, GHashTable *reported,
+                     struct wy_event *e)
 {
   const json_t *segments = json_object_get (e->fields, "segments");
 
   for (size_t i = 0; i < json_array_size (segments); i++)
-    need (c, told,
-          at_process (e, json_integer_value (json_object_get (
-                             json_array_get (segments, i), "version"))),
-          e, "made text and was never told of");
+    require_version (
+        c, reported,
+        at_process (e, json_integer_value (json_object_get (
+                           json_array_get (segments, i), "version"))),
+        e, "produced text and was never reported");
 }
 
-/* Engines load what was published, agents tell of what their engine loaded,
-   and runs name what their agent told of.  */
+/* Engines load published versions, agents report the versions that their
+   engine loaded, and runs name versions that their agent reported.  */
 static void
-verify_versions (struct wy_check *c, const struct wy_lives *lives)
+verify_versions (struct wy_check *c,
+                 const struct wy_incarnations *incarnations)
 {
   GHashTable *published = versions_of (c, "version.published", anywhere);
   GHashTable *loaded = versions_of (c, "engine.version", at_engine);
-  GHashTable *told = versions_of (c, "target.version", at_process);
+  GHashTable *reported = versions_of (c, "target.version", at_process);
   GHashTable *started
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  bool killed = wy_lives_any_killed (lives, "entry");
+  bool killed = wy_incarnations_role_killed (incarnations, "entry");
 
   for (guint i = 0; i < c->timeline->events->len; i++)
     {
       struct wy_event *e = c->timeline->events->pdata[i];
       int64_t version = wy_event_number (e, "version", -1);
 
-      if (wy_event_is (e, "engine.version") && !is_first (started, e, version)
-          && !killed)
-        need (c, published, anywhere (e, version), e,
-              "was loaded and never published");
+      if (wy_event_is (e, "engine.version")
+          && !is_initial_version (started, e, version) && !killed)
+        require_version (c, published, anywhere (e, version), e,
+                         "was loaded and never published");
       else if (wy_event_is (e, "target.version"))
-        need (c, loaded, at_target (e, version), e,
-              "was told of and never loaded");
+        require_version (c, loaded, at_target (e, version), e,
+                         "was reported and never loaded");
       else if (wy_event_is (e, "run.end"))
-        verify_run_versions (c, told, e);
+        verify_run_versions (c, reported, e);
     }
   g_hash_table_destroy (started);
-  g_hash_table_destroy (told);
+  g_hash_table_destroy (reported);
   g_hash_table_destroy (loaded);
   g_hash_table_destroy (published);
 }
@@ -263,14 +274,14 @@
 void
 wy_verify_course (struct wy_check *c)
 {
-  struct wy_lives *lives = wy_lives_new (c->timeline);
+  struct wy_incarnations *incarnations = wy_incarnations_new (c->timeline);
 
   for (size_t i = 0; i < G_N_ELEMENTS (stages); i++)
-    verify_stage (c, lives, &stages[i]);
-  verify_once (c, "step.fixed", wy_check_step, "step");
-  verify_once (c, "sample.finished", sample_key, "sample");
-  verify_once (c, "sample.dropped", sample_key, "sample");
-  verify_samples (c, lives);
-  verify_versions (c, lives);
-  wy_lives_free (lives);
+    verify_stage (c, incarnations, &stages[i]);
+  verify_recorded_once (c, "step.fixed", wy_check_step_key, "step");
+  verify_recorded_once (c, "sample.finished", sample_key, "sample");
+  verify_recorded_once (c, "sample.dropped", sample_key, "sample");
+  verify_samples (c, incarnations);
+  verify_versions (c, incarnations);
+  wy_incarnations_free (incarnations);
 }
--- a/src/check/timeline.c
+++ b/src/check/timeline.c
@@ -1,10 +1,10 @@
 /* Timeline reader.
 
-   A checker that passes over what it can't read would call a broken run
-   good, so every doubt about the input is an error: a line that is no event,
-   a last line without its end, a gap in a process's numbers, and a process
-   that ends without saying so though nobody is on record to have killed
-   it.  */
+   A checker that skipped input it can't read could pass a run that violates an
+   invariant, so any sign of incomplete input is an error: a line that is not
+   an event, a last line without a newline, a gap in the sequence numbers of a
+   process, and a process without process.stop or process.crash for which no
+   event records a kill.  */
 #include "check/timeline.h"
 
 #include <stdbool.h>
@@ -12,7 +12,7 @@
 
 enum
 {
-  STAMP_COUNTER_BITS = 16
+  TIMESTAMP_COUNTER_BITS = 16
 };
 
 static void
@@ -24,7 +24,7 @@
   g_free (e);
 }
 
-/* Start with no events.  */
+/* Set up T without events.  */
 void
 wy_timeline_init (struct wy_timeline *t)
 {
@@ -47,7 +47,7 @@
   return v ? v : "";
 }
 
-/* Whole-number field KEY of E, or FALLBACK.  */
+/* Integer field KEY of E, or FALLBACK.  */
 int64_t
 wy_event_number (const struct wy_event *e, const char *key, int64_t fallback)
 {
@@ -56,11 +56,11 @@
   return json_is_integer (v) ? json_integer_value (v) : fallback;
 }
 
-/* Wall time of E in milliseconds, as its stamp tells it.  */
+/* Wall-clock time of E in milliseconds, from its timestamp.  */
 int64_t
 wy_event_ms (const struct wy_event *e)
 {
-  return (int64_t)(e->hlc >> STAMP_COUNTER_BITS);
+  return (int64_t)(e->hlc >> TIMESTAMP_COUNTER_BITS);
 }
 
 static struct wy_event *
@@ -88,8 +88,8 @@
   return e;
 }
 
-/* Add the events of TEXT, the content of the file NAME.  Returns 0,
-   WY_CHECK_EMALFORMED or WY_CHECK_ETRUNCATED and says why in ERROR.  */
+/* Add the events of TEXT, the content of the file NAME, to T.  Returns 0, or
+   WY_CHECK_EMALFORMED or WY_CHECK_ETRUNCATED with the reason in ERROR.  */
 int
 wy_timeline_parse (struct wy_timeline *t, const char *name, const char *text,
                    size_t size_bytes, GString *error)
@@ -104,8 +104,8 @@
 
       if (!nl)
         {
-          g_string_append_printf (error, "%s:%u: the last line is cut off\n",
-                                  name, line);
+          g_string_append_printf (
+              error, "%s:%u: the last line is incomplete\n", name, line);
           return WY_CHECK_ETRUNCATED;
         }
       e = parse_line (p, (size_t)(nl - p));
@@ -121,7 +121,7 @@
 }
 
 static gint
-by_stamp (gconstpointer a, gconstpointer b)
+by_timestamp (gconstpointer a, gconstpointer b)
 {
   const struct wy_event *x = *(const struct wy_event *const *)a;
   const struct wy_event *y = *(const struct wy_event *const *)b;
@@ -137,44 +137,45 @@
   return x->seq < y->seq ? -1 : x->seq > y->seq;
 }
 
-/* What is known of one incarnation of a process.  */
-struct life
+/* Events of one incarnation of a process.  */
+struct sequence
 {
   uint64_t last_seq;
   bool ended;
 };
 
 static char *
-life_key (const struct wy_event *e)
+incarnation_key (const struct wy_event *e)
 {
   return g_strdup_printf ("%s/%s", e->process, e->incarnation);
 }
 
 static int
-follow_lives (const struct wy_timeline *t, GHashTable *lives, GString *error)
+verify_sequences (const struct wy_timeline *t, GHashTable *sequences,
+                  GString *error)
 {
   for (guint i = 0; i < t->events->len; i++)
     {
       const struct wy_event *e = t->events->pdata[i];
-      char *key = life_key (e);
-      struct life *l = g_hash_table_lookup (lives, key);
+      char *key = incarnation_key (e);
+      struct sequence *s = g_hash_table_lookup (sequences, key);
 
-      if (!l)
+      if (!s)
         {
-          l = g_new0 (struct life, 1);
-          g_hash_table_insert (lives, g_strdup (key), l);
+          s = g_new0 (struct sequence, 1);
+          g_hash_table_insert (sequences, g_strdup (key), s);
         }
-      if (e->seq != l->last_seq + 1)
+      if (e->seq != s->last_seq + 1)
         {
           g_string_append_printf (error,
                                   "%s: event %" G_GUINT64_FORMAT
                                   " follows event %" G_GUINT64_FORMAT "\n",
-                                  key, e->seq, l->last_seq);
+                                  key, e->seq, s->last_seq);
           g_free (key);
           return WY_CHECK_ETRUNCATED;
         }
-      l->last_seq = e->seq;
-      l->ended = !strcmp (e->name, "process.stop")
+      s->last_seq = e->seq;
+      s->ended = !strcmp (e->name, "process.stop")
                  || !strcmp (e->name, "process.crash");
       g_free (key);
     }
@@ -201,12 +202,13 @@
   return false;
 }
 
-/* Put the events in order and see that none is missing.  Returns 0,
-   WY_CHECK_EEMPTY or WY_CHECK_ETRUNCATED and says why in ERROR.  */
+/* Sort the events of T by their timestamps and verify that none is missing.
+   Returns 0, or WY_CHECK_EEMPTY or WY_CHECK_ETRUNCATED with the reason in
+   ERROR.  */
 int
 wy_timeline_finish (struct wy_timeline *t, GString *error)
 {
-  GHashTable *lives;
+  GHashTable *sequences;
   GHashTableIter it;
   gpointer key;
   gpointer value;
@@ -217,26 +219,27 @@
       g_string_append (error, "no events\n");
       return WY_CHECK_EEMPTY;
     }
-  g_ptr_array_sort (t->events, by_stamp);
-  lives = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  err = follow_lives (t, lives, error);
-  g_hash_table_iter_init (&it, lives);
+  g_ptr_array_sort (t->events, by_timestamp);
+  sequences = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  err = verify_sequences (t, sequences, error);
+  g_hash_table_iter_init (&it, sequences);
   while (!err && g_hash_table_iter_next (&it, &key, &value))
     {
-      if (((struct life *)value)->ended || was_killed (t, key))
+      if (((struct sequence *)value)->ended || was_killed (t, key))
         continue;
       g_string_append_printf (error,
                               "%s: ends without process.stop, and no event "
-                              "says that it was killed\n",
+                              "records that it was killed\n",
                               (char *)key);
       err = WY_CHECK_ETRUNCATED;
     }
-  g_hash_table_destroy (lives);
+  g_hash_table_destroy (sequences);
   return err;
 }
 
 /* Read the N files at PATHS into T, which wy_timeline_init has set up, and
-   finish it.  Returns 0 or a negative enum wy_check_error.  */
+   finish it with wy_timeline_finish.  Returns 0, or a negative enum
+   wy_check_error with the reason in ERROR.  */
 int
 wy_timeline_load (struct wy_timeline *t, const char *const *paths, size_t n,
                   GString *error)
--- a/src/check/timeline.h
+++ b/src/check/timeline.h
@@ -1,4 +1,4 @@
-/* Timeline files of all processes, read and put in one order.  */
+/* Timeline files of all processes, merged in the order of timestamps.  */
 #ifndef WY_CHECK_TIMELINE_H
 #define WY_CHECK_TIMELINE_H
 
@@ -18,17 +18,17 @@
 
 struct wy_event
 {
-  uint64_t hlc;
-  uint64_t seq;
+  uint64_t hlc; /* hybrid logical clock: ms << 16 | counter */
+  uint64_t seq; /* number within the incarnation, from 1 */
   const char *process;
   const char *incarnation;
   const char *name;
-  json_t *fields; /* the whole line */
+  json_t *fields; /* all fields of the line */
 };
 
 struct wy_timeline
 {
-  GPtrArray *events; /* struct wy_event, in the order of their stamps */
+  GPtrArray *events; /* struct wy_event, in the order of their timestamps */
 };
 
 int wy_timeline_load (struct wy_timeline *t, const char *const *paths,
--- a/src/cmd/wyagentd.c
+++ b/src/cmd/wyagentd.c
@@ -1,4 +1,4 @@
-/* The agent daemon.  */
+/* wyagentd: an agent beside a target.  All work is in src/agent.  */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -26,7 +26,8 @@
   uv_stop (&d->loop);
 }
 
-/* The first signal lets work in progress finish, the second ends at once.  */
+/* The first signal starts a graceful stop, which lets work in progress finish;
+   the second stops at once.  */
 static void
 on_signal (uv_signal_t *h, int signum)
 {
@@ -105,7 +106,7 @@
   uv_signal_start (&term, on_signal, SIGTERM);
   uv_signal_start (&interrupt, on_signal, SIGINT);
   uv_run (&d.loop, UV_RUN_DEFAULT);
-  /* One more turn, for what was sent last.  */
+  /* One more iteration, to send what is still queued.  */
   uv_run (&d.loop, UV_RUN_NOWAIT);
   wy_trace_event (d.trace, "process.stop", "{s:i}", "cut", (int)d.cut);
   wy_trace_free (d.trace);
@@ -118,7 +119,7 @@
   static struct wy_agent_settings s;
   struct wy_program p = { .name = "wyagentd",
                           .summary = "Agent beside a target: queues, runs and "
-                                     "keeps the requests of all entries.",
+                                     "retains the requests of all entries.",
                           .table = wy_agent_settings_table,
                           .n = WY_AGENT_SETTINGS_COUNT,
                           .settings = &s };
--- a/src/cmd/wyentryd.c
+++ b/src/cmd/wyentryd.c
@@ -1,5 +1,5 @@
-/* wyentryd: an entry instance.  Callers', trainers' and operators' HTTP; all
-   work is in src/entry, src/yard and src/config.  */
+/* wyentryd: an entry instance, the HTTP server of callers, trainers and
+   operators.  All work is in src/entry, src/yard and src/config.  */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,9 +13,9 @@
 
 enum
 {
-  STORE_SILENCE_MS = 10000,
-  /* Turns of the loop for closing what is open at the end.  */
-  CLOSING_TURNS = 100
+  STORE_SILENCE_TIMEOUT_MS = 10000,
+  /* Loop iterations to run the close callbacks of the handles at the end.  */
+  CLOSING_ITERATIONS = 100
 };
 
 struct process
@@ -38,7 +38,8 @@
   bool stopping;
 };
 
-/* Kept reachable: parts of the HTTP server live as long as the process.  */
+/* Static, as parts of the HTTP server are never freed, and a leak checker must
+   find them reachable.  */
 static struct process process;
 
 static bool
@@ -177,7 +178,7 @@
           .holder = p->holder,
           .seed = wy_hash64 (p->incarnation, WY_ID_LEN, 1) };
 
-  p->client = wy_http_client_new (p->loop, STORE_SILENCE_MS);
+  p->client = wy_http_client_new (p->loop, STORE_SILENCE_TIMEOUT_MS);
   o.http = p->client;
   p->runner = wy_entry_runner (p->entry);
   p->orderer = wy_entry_orderer (p->entry);
@@ -208,8 +209,8 @@
   return 0;
 }
 
-/* Whoever waits for the file must find it whole, so it is put in place at
-   once.  */
+/* Write the file atomically, as a process that waits for it must not read a
+   partial one.  */
 static int
 write_ports (const struct process *p)
 {
@@ -237,8 +238,8 @@
   p->loop = uv_default_loop ();
   wy_id_new (wy_clock_system (), p->incarnation);
   p->holder = g_strconcat (s->name, "/", p->incarnation, NULL);
-  /* A caller or target that hangs up while it is written to must not end
-     the process: each write tells its own error.  */
+  /* A caller or target that closes its connection during a write must not end
+     the process; the write fails instead.  */
   signal (SIGPIPE, SIG_IGN);
   wy_log_open (s->name, (enum wy_log_level)s->log_level);
   p->metrics = wy_metrics_new ();
@@ -256,7 +257,7 @@
   return err;
 }
 
-/* Closes what can be closed, so that a leak checker sees only leaks.  */
+/* Free all resources, so that a leak checker reports only leaks.  */
 static void
 finish (struct process *p)
 {
@@ -267,7 +268,7 @@
   wy_config_service_free (p->config);
   wy_config_feed_free (p->feed);
   wy_store_free (p->store);
-  for (int i = 0; i < CLOSING_TURNS; i++)
+  for (int i = 0; i < CLOSING_ITERATIONS; i++)
     uv_run (p->loop, UV_RUN_NOWAIT);
   wy_entry_free (p->entry);
   wy_trace_free (p->trace);
@@ -283,8 +284,8 @@
 {
   struct wy_program program
       = { .name = "wyentryd",
-          .summary = "An entry of waxwingyard: HTTP of callers, trainers and"
-                     " operators.",
+          .summary = "An entry of waxwingyard: HTTP server for callers,"
+                     " trainers and operators.",
           .table = wy_entry_settings_table,
           .n = wy_entry_settings_count,
           .settings = &process.settings };
@@ -293,8 +294,8 @@
 
   if (rc >= 0)
     return rc;
-  /* A caller that hangs up while it is written to must not end the process;
-     the write fails instead.  */
+  /* A caller that closes its connection during a write must not end the
+     process; the write fails instead.  */
   signal (SIGPIPE, SIG_IGN);
   err = start (&process);
   if (err)
--- a/src/cmd/wygated.c
+++ b/src/cmd/wygated.c
@@ -1,5 +1,5 @@
-/* wygated: an entry instance on a platform whose store keeps what must last;
-   all work is in src/gate and src/jobs.  */
+/* wygated: an entry instance on a platform whose store has the durable state.
+   All work is in src/gate and src/jobs.  */
 #include <signal.h>
 #include <stdio.h>
 
@@ -10,8 +10,8 @@
 
 enum
 {
-  /* Turns of the loop for closing what is open at the end.  */
-  CLOSING_TURNS = 20
+  /* Loop iterations to run the close callbacks of the handles at the end.  */
+  CLOSING_ITERATIONS = 20
 };
 
 struct process
@@ -76,7 +76,7 @@
   wy_gate_free (p->gate);
   for (size_t i = 0; i < G_N_ELEMENTS (p->signals); i++)
     uv_close ((uv_handle_t *)&p->signals[i], NULL);
-  for (int i = 0; i < CLOSING_TURNS; i++)
+  for (int i = 0; i < CLOSING_ITERATIONS; i++)
     uv_run (p->loop, UV_RUN_NOWAIT);
   wy_json_log_close ();
 }
@@ -86,7 +86,7 @@
 {
   struct wy_program program
       = { .name = "wygated",
-          .summary = "An entry of waxwingyard that reaches its targets"
+          .summary = "An entry of waxwingyard that connects to its targets"
                      " directly.",
           .table = wy_gate_settings_table,
           .n = wy_gate_settings_count,
@@ -100,8 +100,8 @@
 
   if (rc >= 0)
     return rc;
-  /* A caller that hangs up while it is written to must not end the process;
-     the write fails instead.  */
+  /* A caller that closes its connection during a write must not end the
+     process; the write fails instead.  */
   signal (SIGPIPE, SIG_IGN);
   process.path = program.path;
   process.loop = uv_default_loop ();
--- a/src/cmd/wyorderd.c
+++ b/src/cmd/wyorderd.c
@@ -1,5 +1,5 @@
-/* wyorderd: beside one replica, orders it to load new versions of weights;
-   all work is in src/orders.  */
+/* wyorderd: runs beside one replica and orders it to load new weight versions.
+   All work is in src/orders.  */
 #include <signal.h>
 #include <stdio.h>
 
@@ -9,12 +9,12 @@
 
 enum
 {
-  CLOSING_TURNS = 20
+  /* Loop iterations to run the close callbacks of the handles at the end.  */
+  CLOSING_ITERATIONS = 20
 };
 
-/* The settings hold nothing that can change while the process runs, so a
-   request to read them again is only logged; without a handler it would end
-   the process.  */
+/* No setting can change while the process runs, so SIGHUP, the request to
+   reload them, is only logged.  Without a handler it would kill wyorderd.  */
 static void
 on_signal (uv_signal_t *s, int number)
 {
@@ -49,7 +49,7 @@
   wy_orderer_daemon_free (d);
   for (size_t i = 0; i < G_N_ELEMENTS (numbers); i++)
     uv_close ((uv_handle_t *)&signals[i], NULL);
-  for (int i = 0; i < CLOSING_TURNS; i++)
+  for (int i = 0; i < CLOSING_ITERATIONS; i++)
     uv_run (loop, UV_RUN_NOWAIT);
   wy_json_log_close ();
   return WY_EXIT_OK;
@@ -61,8 +61,8 @@
   static struct wy_orders_settings settings;
   struct wy_program program
       = { .name = "wyorderd",
-          .summary = "Orders the replica on this machine to load new versions"
-                     " of weights.",
+          .summary = "Orders the replica on this machine to load new weight"
+                     " versions.",
           .table = wy_orders_settings_table,
           .n = wy_orders_settings_count,
           .settings = &settings };
--- a/src/cmd/wystandin.c
+++ b/src/cmd/wystandin.c
@@ -1,4 +1,5 @@
-/* Stand-ins of the systems around the service, for tests and the demo.  */
+/* wystandin: stand-ins for the systems around the service, for tests and the
+   demo.  */
 #include <stdio.h>
 #include <string.h>
 
@@ -23,7 +24,7 @@
   fputs ("Usage: wystandin KIND --config FILE\n\nKinds:\n", out);
   for (size_t i = 0; kinds[i]; i++)
     fprintf (out, "  %-9s %s\n", kinds[i]->name, kinds[i]->summary);
-  fputs ("\nwystandin KIND --help tells the options of a kind.\n", out);
+  fputs ("\nwystandin KIND --help shows the options of a kind.\n", out);
   return rc;
 }
 
--- a/src/ctl/call.c
+++ b/src/ctl/call.c
@@ -1,4 +1,4 @@
-/* One call to an entry, the next entry when one does not answer.  */
+/* One request to an entry, or to the next one if it does not respond.  */
 #include "ctl/ctl.h"
 
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 struct pending
 {
   uv_loop_t *loop;
-  struct wy_ctl_answer *out;
+  struct wy_ctl_response *out;
 };
 
 static void
@@ -30,7 +30,7 @@
 
 static void
 try_entry (const struct wy_ctl *ctl, const char *entry, const char *method,
-           const char *path, const char *body, struct wy_ctl_answer *out)
+           const char *path, const char *body, struct wy_ctl_response *out)
 {
   char **at = g_strsplit (entry, ":", 2);
   char *bearer = g_strdup_printf ("Bearer %s", ctl->token ? ctl->token : "");
@@ -56,52 +56,53 @@
   wy_http_fetch (client, &o, on_done, &p);
   uv_run (&loop, UV_RUN_DEFAULT);
   wy_http_client_free (client);
-  /* Handles that are closing go within the next turns.  */
+  /* Handles that are closing are freed in the next loop iterations.  */
   while (uv_loop_close (&loop) == UV_EBUSY)
     uv_run (&loop, UV_RUN_NOWAIT);
   g_free (bearer);
   g_strfreev (at);
 }
 
-/* Ask the entries in turn until one answers.  OUT must be cleared with
-   wy_ctl_answer_clear.  */
+/* Send the request to one entry after the other until one responds.  Clear OUT
+   with wy_ctl_response_clear.  */
 void
 wy_ctl_call (const struct wy_ctl *ctl, const char *method, const char *path,
-             const char *body, struct wy_ctl_answer *out)
+             const char *body, struct wy_ctl_response *out)
 {
   memset (out, 0, sizeof *out);
   for (guint i = 0; i < ctl->entries->len && out->status == 0; i++)
     try_entry (ctl, ctl->entries->pdata[i], method, path, body, out);
 }
 
-/* Free what A holds.  */
+/* Free the contents of R.  */
 void
-wy_ctl_answer_clear (struct wy_ctl_answer *a)
+wy_ctl_response_clear (struct wy_ctl_response *r)
 {
-  json_decref (a->json);
-  g_free (a->text);
-  memset (a, 0, sizeof *a);
+  json_decref (r->json);
+  g_free (r->text);
+  memset (r, 0, sizeof *r);
 }
 
-/* Print A, free it, and tell the exit code it stands for.  */
+/* Print R and clear it.  Returns the exit code for its status, an enum
+   wy_ctl_exit.  */
 int
-wy_ctl_finish (const struct wy_ctl *ctl, struct wy_ctl_answer *a)
+wy_ctl_print_response (const struct wy_ctl *ctl, struct wy_ctl_response *r)
 {
   int rc = WY_CTL_OK;
 
-  if (a->status == 0)
+  if (r->status == 0)
     {
-      fprintf (stderr, "wyctl: no entry answered\n");
+      fprintf (stderr, "wyctl: no entry responds\n");
       return WY_CTL_UNREACHABLE;
     }
-  if (a->status == 409)
+  if (r->status == 409)
     rc = WY_CTL_CONFLICT;
-  else if (a->status < 200 || a->status > 299)
+  else if (r->status < 200 || r->status > 299)
     rc = WY_CTL_FAILED;
-  if (ctl->json || !a->json)
-    printf ("%s\n", a->text);
+  if (ctl->json || !r->json)
+    printf ("%s\n", r->text);
   else
-    wy_ctl_print (rc ? stderr : stdout, a->json);
-  wy_ctl_answer_clear (a);
+    wy_ctl_print (rc ? stderr : stdout, r->json);
+  wy_ctl_response_clear (r);
   return rc;
 }
--- a/src/ctl/check.c
+++ b/src/ctl/check.c
@@ -1,4 +1,4 @@
-/* wyctl check: the promises, verified from timeline files.  */
+/* wyctl check: verifies the invariants from timeline files.  */
 #include "check/check.h"
 
 #include "ctl/ctl.h"
@@ -39,8 +39,8 @@
           c->timeline->events->len, c->violations->len);
 }
 
-/* Verify the timeline files ARGS.  Exit code 0 when no promise is broken, 1
-   when one is, 2 when the files can't be trusted to be whole.  */
+/* Verify the N timeline files ARGS.  Exit code 0 if no invariant is violated,
+   1 if one is, 2 if the files are incomplete or invalid.  */
 int
 wy_ctl_check (const struct wy_ctl *ctl, char **args, int n)
 {
--- a/src/ctl/chrome.c
+++ b/src/ctl/chrome.c
@@ -1,5 +1,5 @@
-/* Time line of all processes in the Chrome trace format: a row per process,
-   a bar per run and per request, a mark for everything else.  */
+/* Timeline of all processes in the Chrome trace format: a row per process, a
+   bar per run and per request, an instant event for everything else.  */
 #include "ctl/chrome.h"
 
 #include <string.h>
@@ -9,14 +9,15 @@
 enum
 {
   US_PER_MS = 1000,
-  STAMP_COUNTER_MASK = 0xffff
+  TIMESTAMP_COUNTER_MASK = 0xffff
 };
 
+/* A pair of events that the trace shows as a bar.  */
 struct bar
 {
   const char *begins;
   const char *ends[4];
-  const char *id;
+  const char *id; /* field that joins begin and end */
   const char *category;
 };
 
@@ -61,7 +62,7 @@
   return GPOINTER_TO_INT (row);
 }
 
-/* The events of T as a Chrome trace; the caller frees it with json_decref. */
+/* The events of T as a Chrome trace, to be freed with json_decref.  */
 json_t *
 wy_chrome_trace (const struct wy_timeline *t)
 {
@@ -74,8 +75,9 @@
       const struct bar *bar;
       const char *ph = phase_of (e, &bar);
       json_int_t row = row_of (rows, out, e->process);
-      json_int_t us = wy_event_ms (e) * US_PER_MS
-                      + (json_int_t)(e->hlc & STAMP_COUNTER_MASK) % US_PER_MS;
+      json_int_t us
+          = wy_event_ms (e) * US_PER_MS
+            + (json_int_t)(e->hlc & TIMESTAMP_COUNTER_MASK) % US_PER_MS;
       json_t *o = json_pack ("{s:s, s:I, s:I, s:i, s:s, s:O}", "ph", ph, "ts",
                              us, "pid", row, "tid", 1, "name",
                              bar ? bar->category : e->name, "args", e->fields);
@@ -94,8 +96,8 @@
   return json_pack ("{s:o, s:s}", "traceEvents", out, "displayTimeUnit", "ms");
 }
 
-/* Write the timeline of the N files at PATHS to the file OUT.  Returns an exit
-   code.  */
+/* Write the timeline of the N files at PATHS to the file OUT.  Returns an enum
+   wy_ctl_exit.  */
 int
 wy_ctl_chrome (const char *out, const char *const *paths, int n)
 {
@@ -107,7 +109,8 @@
   wy_timeline_init (&t);
   if (n < 1 || wy_timeline_load (&t, paths, (size_t)n, error))
     {
-      fprintf (stderr, "wyctl: %s", n < 1 ? "no files\n" : error->str);
+      fprintf (stderr, "wyctl: %s",
+               n < 1 ? "timeline files are needed\n" : error->str);
       goto end;
     }
   trace = wy_chrome_trace (&t);
--- a/src/ctl/chrome.h
+++ b/src/ctl/chrome.h
@@ -1,4 +1,4 @@
-/* Time line of all processes in the Chrome trace format.  */
+/* Timeline of all processes in the Chrome trace format.  */
 #ifndef WY_CTL_CHROME_H
 #define WY_CTL_CHROME_H
 
--- a/src/ctl/commands.c
+++ b/src/ctl/commands.c
@@ -1,4 +1,4 @@
-/* Commands that are one call to an entry.  */
+/* Commands that send one request to an entry.  */
 #include "ctl/ctl.h"
 
 #include <stdlib.h>
@@ -6,69 +6,69 @@
 static int
 get (const struct wy_ctl *ctl, const char *path)
 {
-  struct wy_ctl_answer a;
+  struct wy_ctl_response r;
 
-  wy_ctl_call (ctl, "GET", path, NULL, &a);
-  return wy_ctl_finish (ctl, &a);
+  wy_ctl_call (ctl, "GET", path, NULL, &r);
+  return wy_ctl_print_response (ctl, &r);
 }
 
 static int
-missing (const char *what)
+missing_argument (const char *what)
 {
   fprintf (stderr, "wyctl: %s is needed; see wyctl --help\n", what);
   return WY_CTL_USAGE;
 }
 
-/* State of targets, yards and leases.  */
+/* Show the state of targets, yards and leases.  */
 int
 wy_ctl_status (const struct wy_ctl *ctl, char **args, int n)
 {
   return get (ctl, "/v1/status");
 }
 
-/* The configuration in force.  */
+/* Show the configuration in force.  */
 int
 wy_ctl_config (const struct wy_ctl *ctl, char **args, int n)
 {
   return get (ctl, "/v1/config");
 }
 
-/* Requests that are refused because they crashed targets.  */
+/* List the requests that are rejected because they crashed targets.  */
 int
 wy_ctl_blocks (const struct wy_ctl *ctl, char **args, int n)
 {
   return get (ctl, "/v1/blocks");
 }
 
-/* Lift the block of the fingerprint ARGS[0].  */
+/* Remove the block of the fingerprint ARGS[0].  */
 int
 wy_ctl_unblock (const struct wy_ctl *ctl, char **args, int n)
 {
-  struct wy_ctl_answer a;
+  struct wy_ctl_response r;
   char *path;
 
   if (n < 1)
-    return missing ("a fingerprint");
+    return missing_argument ("a fingerprint");
   path = g_strdup_printf ("/v1/blocks/%s", args[0]);
-  wy_ctl_call (ctl, "DELETE", path, NULL, &a);
+  wy_ctl_call (ctl, "DELETE", path, NULL, &r);
   g_free (path);
-  return wy_ctl_finish (ctl, &a);
+  return wy_ctl_print_response (ctl, &r);
 }
 
-/* Drain the target ARGS[0], or take it back with --undo.  */
+/* Drain the target ARGS[0], or end its drain with --undo.  */
 int
 wy_ctl_drain (const struct wy_ctl *ctl, char **args, int n)
 {
-  struct wy_ctl_answer a;
+  struct wy_ctl_response r;
   char *path;
 
   if (n < 1)
-    return missing ("a target");
+    return missing_argument ("a target");
   path = g_strdup_printf ("/v1/targets/%s/%s", args[0],
                           ctl->undo ? "undrain" : "drain");
-  wy_ctl_call (ctl, "POST", path, "{}", &a);
+  wy_ctl_call (ctl, "POST", path, "{}", &r);
   g_free (path);
-  return wy_ctl_finish (ctl, &a);
+  return wy_ctl_print_response (ctl, &r);
 }
 
 static json_t *
@@ -88,43 +88,43 @@
 {
   json_t *body = json_pack ("{s:o}", "document", document);
   char *text;
-  struct wy_ctl_answer a;
+  struct wy_ctl_response r;
 
   if (digest)
     json_object_set_new (body, "digest", json_string (digest));
   text = json_dumps (body, JSON_COMPACT);
   json_decref (body);
-  wy_ctl_call (ctl, "POST", path, text, &a);
+  wy_ctl_call (ctl, "POST", path, text, &r);
   free (text);
-  return wy_ctl_finish (ctl, &a);
+  return wy_ctl_print_response (ctl, &r);
 }
 
-/* Show what the document ARGS[0] would change, and the digest that apply
-   needs.  Changes nothing.  */
+/* Show what the configuration document ARGS[0] would change, and the digest
+   that wyctl apply requires.  Changes nothing.  */
 int
 wy_ctl_plan (const struct wy_ctl *ctl, char **args, int n)
 {
   json_t *document;
 
   if (n < 1)
-    return missing ("a document");
+    return missing_argument ("a configuration document");
   document = load_document (args[0]);
   if (!document)
     return WY_CTL_USAGE;
   return post_document (ctl, "/v1/plan", document, NULL);
 }
 
-/* Put the document ARGS[0] in force, if nothing has changed since the plan
-   whose digest is given.  */
+/* Apply the configuration document ARGS[0], if nothing has changed since the
+   plan whose digest is given.  */
 int
 wy_ctl_apply (const struct wy_ctl *ctl, char **args, int n)
 {
   json_t *document;
 
   if (n < 1)
-    return missing ("a document");
+    return missing_argument ("a configuration document");
   if (!ctl->digest)
-    return missing ("--digest, as wyctl plan prints it,");
+    return missing_argument ("--digest, as wyctl plan prints it,");
   document = load_document (args[0]);
   if (!document)
     return WY_CTL_USAGE;
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -13,36 +13,37 @@
 enum wy_ctl_exit
 {
   WY_CTL_OK = 0,
-  WY_CTL_FAILED = 1,      /* refused, or a promise is broken */
-  WY_CTL_USAGE = 2,       /* wrong command line, settings or input */
-  WY_CTL_UNREACHABLE = 3, /* no entry answered */
-  WY_CTL_CONFLICT = 4     /* somebody else's change came first */
+  WY_CTL_FAILED = 1,      /* rejected, or an invariant violated */
+  WY_CTL_USAGE = 2,       /* invalid command line, settings or input */
+  WY_CTL_UNREACHABLE = 3, /* no entry responded */
+  WY_CTL_CONFLICT = 4     /* the state changed since the plan */
 };
 
 struct wy_ctl
 {
-  GPtrArray *entries; /* "host:port", tried in turn */
+  GPtrArray *entries; /* "host:port", in the order of attempts */
   char *token;
   int64_t timeout_ms;
   bool json;
   bool undo;
   bool follow;
-  char *digest;
+  char *digest; /* of the plan to apply, or NULL */
   char *chrome; /* file to write, or NULL */
 };
 
-struct wy_ctl_answer
+struct wy_ctl_response
 {
-  int status; /* 0: no entry answered */
+  int status; /* 0: no entry responded */
   json_t *json;
   char *text;
 };
 
 void wy_ctl_call (const struct wy_ctl *ctl, const char *method,
                   const char *path, const char *body,
-                  struct wy_ctl_answer *out);
-void wy_ctl_answer_clear (struct wy_ctl_answer *a);
-int wy_ctl_finish (const struct wy_ctl *ctl, struct wy_ctl_answer *a);
+                  struct wy_ctl_response *out);
+void wy_ctl_response_clear (struct wy_ctl_response *r);
+int wy_ctl_print_response (const struct wy_ctl *ctl,
+                           struct wy_ctl_response *r);
 void wy_ctl_print (FILE *f, const json_t *o);
 
 int wy_ctl_status (const struct wy_ctl *ctl, char **args, int n);
--- a/src/ctl/explain.c
+++ b/src/ctl/explain.c
@@ -1,11 +1,12 @@
-/* wyctl explain: the story of one request, job or item from the log lines of
-   all processes.
-
-   The lines that name the id come first to mind, but its cause often stands
-   in others: the job that an item belongs to, the target that it ran on, a
-   store lost or an entry gone while it lasted.  Those are joined in, in the
-   order of their times.  Lines that are torn or no log lines are counted and
-   passed over: the end of a file is often one.  */
+/* wyctl explain: the log lines of all processes about one request, job, item
+   or usage window.
+
+   The cause of a failure is often in lines that don't name the id: those of
+   the job that an item belongs to, of the target that it ran on, of a store
+   that became unreachable or an entry that failed meanwhile.  The output joins
+   these with the lines that name the id, in the order of time.  Lines that are
+   incomplete or not log lines are skipped and counted, as the last line of a
+   file is often incomplete.  */
 #include "ctl/ctl.h"
 
 #include <stdlib.h>
@@ -13,7 +14,8 @@
 
 enum
 {
-  /* What happened so long before and after is shown as well.  */
+  /* Related lines so long before and after the id's own are shown as
+     well.  */
   AROUND_MS = 2000,
   MS_PER_S = 1000
 };
@@ -23,17 +25,18 @@
   json_t *doc;
   double t_s;
   const char *event;
-  bool chosen;
+  bool selected;
 };
 
-struct story
+/* The lines to show, and the names in them that related lines share.  */
+struct selection
 {
   GPtrArray *lines; /* struct log_line */
   GHashTable *jobs;
   GHashTable *targets;
   GHashTable *services;
   GHashTable *processes;
-  bool of_usage; /* the story of a window of usage */
+  bool has_usage; /* a selected line is about usage */
   uint32_t unreadable;
   double from_s;
   double to_s;
@@ -57,7 +60,7 @@
 }
 
 static void
-add_line (struct story *s, const char *text)
+add_line (struct selection *s, const char *text)
 {
   const char *start = strchr (text, '{');
   json_t *doc = start ? json_loads (start, 0, NULL) : NULL;
@@ -79,7 +82,7 @@
 }
 
 static bool
-read_file (struct story *s, const char *path)
+read_file (struct selection *s, const char *path)
 {
   char *text = NULL;
   char **lines;
@@ -110,28 +113,28 @@
 }
 
 static void
-remember (GHashTable *set, const char *text)
+add_name (GHashTable *set, const char *text)
 {
   if (*text)
     g_hash_table_add (set, g_strdup (text));
 }
 
 static void
-choose (struct story *s, struct log_line *l)
+select_line (struct selection *s, struct log_line *l)
 {
-  l->chosen = true;
+  l->selected = true;
   if (s->from_s == 0 || l->t_s < s->from_s)
     s->from_s = l->t_s;
   if (l->t_s > s->to_s)
     s->to_s = l->t_s;
-  s->of_usage = s->of_usage || g_str_has_prefix (l->event, "usage.");
-  remember (s->processes, text_of (l, "process"));
-  remember (s->targets, text_of (l, "target"));
-  remember (s->jobs, text_of (l, "job"));
-  remember (s->services, text_of (l, "service"));
+  s->has_usage = s->has_usage || g_str_has_prefix (l->event, "usage.");
+  add_name (s->processes, text_of (l, "process"));
+  add_name (s->targets, text_of (l, "target"));
+  add_name (s->jobs, text_of (l, "job"));
+  add_name (s->services, text_of (l, "service"));
 }
 
-/* Whether TEXT is ID, or the key of a job ID: "ORGANISATION/ID".  */
+/* Whether TEXT is ID, or the key of the job ID: "ORGANISATION/ID".  */
 static bool
 is_id (const char *text, const char *id)
 {
@@ -140,7 +143,7 @@
   return !strcmp (text, id) || (name && !strcmp (name + 1, id));
 }
 
-/* Whether L is about the window of usage with the number ID.  */
+/* Whether L is about the usage window with the number ID.  */
 static bool
 is_window (const struct log_line *l, const char *id)
 {
@@ -152,7 +155,7 @@
 }
 
 static bool
-names (const struct log_line *l, const char *id)
+names_id (const struct log_line *l, const char *id)
 {
   const char *key;
   json_t *v;
@@ -166,7 +169,7 @@
 }
 
 static uint32_t
-choose_named (struct story *s, const char *id)
+select_naming (struct selection *s, const char *id)
 {
   uint32_t n = 0;
 
@@ -174,62 +177,64 @@
     {
       struct log_line *l = g_ptr_array_index (s->lines, i);
 
-      if (!names (l, id))
+      if (!names_id (l, id))
         continue;
-      choose (s, l);
+      select_line (s, l);
       n++;
     }
   return n;
 }
 
 static void
-choose_jobs (struct story *s)
+select_jobs (struct selection *s)
 {
   for (guint i = 0; i < s->lines->len; i++)
     {
       struct log_line *l = g_ptr_array_index (s->lines, i);
 
-      if (!l->chosen && g_str_has_prefix (l->event, "job.")
+      if (!l->selected && g_str_has_prefix (l->event, "job.")
           && g_hash_table_contains (s->jobs, text_of (l, "id")))
-        choose (s, l);
+        select_line (s, l);
     }
 }
 
 static bool
-is_around (const struct story *s, const struct log_line *l)
+is_around (const struct selection *s, const struct log_line *l)
 {
   double around_s = (double)AROUND_MS / MS_PER_S;
 
   return l->t_s >= s->from_s - around_s && l->t_s <= s->to_s + around_s;
 }
 
-/* Whether L tells what became of something that the story depends on.  */
+/* Whether L reports a change of something that the selected lines depend on: a
+   target, a process, its store or configuration, an entry, the duties.  */
 static bool
-is_cause (const struct story *s, const struct log_line *l)
+is_related (const struct selection *s, const struct log_line *l)
 {
   if (g_str_has_prefix (l->event, "target."))
     return g_hash_table_contains (s->targets, text_of (l, "id"))
            || (g_hash_table_contains (s->services, text_of (l, "service"))
                && g_hash_table_contains (s->processes,
                                          text_of (l, "process")));
-  /* Single calls fail by the dozen while the store is away.  */
+  /* Failures of single store calls are left out: there are dozens while the
+     store is unreachable.  */
   if (!strcmp (l->event, "store.lost") || !strcmp (l->event, "store.regained")
       || g_str_has_prefix (l->event, "process.")
       || g_str_has_prefix (l->event, "config."))
     return g_hash_table_contains (s->processes, text_of (l, "process"));
   return !strcmp (l->event, "entry.gone")
-         || (s->of_usage && g_str_has_prefix (l->event, "duties."));
+         || (s->has_usage && g_str_has_prefix (l->event, "duties."));
 }
 
 static void
-choose_causes (struct story *s)
+select_related (struct selection *s)
 {
   for (guint i = 0; i < s->lines->len; i++)
     {
       struct log_line *l = g_ptr_array_index (s->lines, i);
 
-      if (!l->chosen && is_around (s, l) && is_cause (s, l))
-        l->chosen = true;
+      if (!l->selected && is_around (s, l) && is_related (s, l))
+        l->selected = true;
     }
 }
 
@@ -245,7 +250,7 @@
 }
 
 static void
-print_line (const struct wy_ctl *ctl, const struct story *s,
+print_line (const struct wy_ctl *ctl, const struct selection *s,
             const struct log_line *l)
 {
   const char *key;
@@ -277,38 +282,40 @@
 }
 
 static int
-tell (const struct wy_ctl *ctl, struct story *s, const char *id)
+print_selection (const struct wy_ctl *ctl, struct selection *s, const char *id)
 {
-  uint32_t n = choose_named (s, id);
+  uint32_t n = select_naming (s, id);
 
   if (n == 0)
     {
-      fprintf (stderr, "wyctl: no line names %s\n", id);
+      fprintf (stderr, "wyctl: no log line names %s\n", id);
       return WY_CTL_FAILED;
     }
-  choose_jobs (s);
-  choose_causes (s);
+  select_jobs (s);
+  select_related (s);
   for (guint i = 0; i < s->lines->len; i++)
     {
       const struct log_line *l = g_ptr_array_index (s->lines, i);
 
-      if (l->chosen)
+      if (l->selected)
         print_line (ctl, s, l);
     }
   if (s->unreadable)
-    fprintf (stderr, "wyctl: %u lines could not be read\n", s->unreadable);
+    fprintf (stderr,
+             "wyctl: skipped %u lines that are not complete log lines\n",
+             s->unreadable);
   return WY_CTL_OK;
 }
 
-/* Tell the story of the id ARGS[0] from the log files that follow.  */
+/* Print the lines about the id ARGS[0] from the log files that follow it.  */
 int
 wy_ctl_explain (const struct wy_ctl *ctl, char **args, int n)
 {
-  struct story s = { .lines = g_ptr_array_new_with_free_func (free_line),
-                     .jobs = new_set (),
-                     .targets = new_set (),
-                     .services = new_set (),
-                     .processes = new_set () };
+  struct selection s = { .lines = g_ptr_array_new_with_free_func (free_line),
+                         .jobs = new_set (),
+                         .targets = new_set (),
+                         .services = new_set (),
+                         .processes = new_set () };
   int rc = WY_CTL_OK;
 
   if (n < 2)
@@ -321,7 +328,7 @@
       rc = WY_CTL_USAGE;
   g_ptr_array_sort (s.lines, by_time);
   if (rc == WY_CTL_OK)
-    rc = tell (ctl, &s, args[0]);
+    rc = print_selection (ctl, &s, args[0]);
   g_ptr_array_free (s.lines, TRUE);
   g_hash_table_destroy (s.jobs);
   g_hash_table_destroy (s.targets);
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -15,22 +15,21 @@
 };
 
 static const struct command commands[] = {
-  { "status", "", "targets, yards and leases; of a gate, its beliefs",
+  { "status", "", "targets, yards and leases; of a gate, its view of them",
     wy_ctl_status },
-  { "watch", "", "status, shown again every second", wy_ctl_watch },
+  { "watch", "", "status, updated every second", wy_ctl_watch },
   { "config", "", "the configuration in force", wy_ctl_config },
   { "plan", "FILE", "what a document would change", wy_ctl_plan },
-  { "apply", "FILE --digest D", "put a planned document in force",
-    wy_ctl_apply },
+  { "apply", "FILE --digest D", "apply a planned document", wy_ctl_apply },
   { "drain", "TARGET [--undo]", "take a target out of service", wy_ctl_drain },
-  { "blocks", "", "requests refused because they crashed targets",
+  { "blocks", "", "requests rejected because they crashed targets",
     wy_ctl_blocks },
   { "unblock", "FINGERPRINT", "accept such a request again", wy_ctl_unblock },
   { "events", "[--follow] | --chrome OUT FILE...",
-    "events of an entry, or a time line of all files", wy_ctl_events },
-  { "check", "FILE...", "verify the promises from timeline files",
+    "events of an entry, or a Chrome trace of timeline files", wy_ctl_events },
+  { "check", "FILE...", "verify the invariants from timeline files",
     wy_ctl_check },
-  { "explain", "ID FILE...", "the story of an id from the processes' logs",
+  { "explain", "ID FILE...", "log lines about an id and related events",
     wy_ctl_explain },
 };
 
@@ -51,9 +50,9 @@
   for (size_t i = 0; i < G_N_ELEMENTS (commands); i++)
     g_string_append_printf (s, "  %-8s %-36s %s\n", commands[i].name,
                             commands[i].arguments, commands[i].help);
-  g_string_append (s, "\nExit codes: 0 done, 1 refused or a promise broken, 2 "
-                      "wrong usage or input,\n3 no entry answered, 4 another "
-                      "change came first.");
+  g_string_append (s, "\nExit codes: 0 success, 1 rejected or an invariant "
+                      "violated, 2 invalid usage or\ninput, 3 no entry "
+                      "responded, 4 the state changed since the plan.");
   return g_string_free (s, FALSE);
 }
 
@@ -86,7 +85,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (commands); i++)
     if (!strcmp (commands[i].name, argv[1]))
       return commands[i].run (ctl, argv + 2, argc - 2);
-  fprintf (stderr, "wyctl: no command %s; see wyctl --help\n", argv[1]);
+  fprintf (stderr, "wyctl: unknown command %s; see wyctl --help\n", argv[1]);
   return WY_CTL_USAGE;
 }
 
@@ -100,7 +99,7 @@
   g_string_free (s, TRUE);
 }
 
-/* Run wyctl; returns its exit code.  */
+/* Run wyctl.  Returns its exit code, an enum wy_ctl_exit.  */
 int
 wy_ctl_main (int argc, char **argv)
 {
@@ -123,7 +122,7 @@
           { "describe-settings", 0, 0, G_OPTION_ARG_NONE, &describe_only,
             "Print the table of settings and exit", NULL },
           { "entry", 'e', 0, G_OPTION_ARG_STRING, &entry,
-            "Entry to ask first (or WYCTL_ENTRY)", "HOST:PORT" },
+            "Entry to try first (or WYCTL_ENTRY)", "HOST:PORT" },
           { "token", 't', 0, G_OPTION_ARG_STRING, &token,
             "Operator's token (or WYCTL_TOKEN)", "TOKEN" },
           { "json", 'j', 0, G_OPTION_ARG_NONE, &json, "Print JSON", NULL },
@@ -131,9 +130,9 @@
             "Digest of the plan to apply", "DIGEST" },
           { "undo", 0, 0, G_OPTION_ARG_NONE, &undo, "End a drain", NULL },
           { "follow", 'f', 0, G_OPTION_ARG_NONE, &follow,
-            "Go on showing events", NULL },
+            "Continue with new events as they occur", NULL },
           { "chrome", 0, 0, G_OPTION_ARG_FILENAME, &ctl.chrome,
-            "Write a Chrome trace of the files given", "OUT" },
+            "Write a Chrome trace of the given timeline files", "OUT" },
           { "version", 'V', 0, G_OPTION_ARG_NONE, &version,
             "Print the version and exit", NULL },
           { NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL } };
--- a/src/ctl/print.c
+++ b/src/ctl/print.c
@@ -1,4 +1,5 @@
-/* Answers as text: scalars a line each, lists of objects as tables.  */
+/* JSON responses as text: a line for each scalar, a table for a list of
+   objects.  */
 #include "ctl/ctl.h"
 
 #include <stdlib.h>
@@ -76,7 +77,7 @@
   }
 }
 
-/* Print the object O on F for a reader.  */
+/* Print the JSON value O on F as text.  */
 void
 wy_ctl_print (FILE *f, const json_t *o)
 {
--- a/src/ctl/watch.c
+++ b/src/ctl/watch.c
@@ -1,4 +1,4 @@
-/* Commands that go on until they are interrupted: watch and events.  */
+/* Commands that can run until they are interrupted: watch and events.  */
 #include "ctl/ctl.h"
 
 #include <stdlib.h>
@@ -9,10 +9,10 @@
 
 enum
 {
-  WATCH_EVERY_S = 1
+  WATCH_INTERVAL_S = 1
 };
 
-/* Show the status again and again.  */
+/* Show the status every WATCH_INTERVAL_S seconds until a request fails.  */
 int
 wy_ctl_watch (const struct wy_ctl *ctl, char **args, int n)
 {
@@ -26,7 +26,7 @@
       fflush (stdout);
       if (rc)
         return rc;
-      sleep (WATCH_EVERY_S);
+      sleep (WATCH_INTERVAL_S);
     }
 }
 
@@ -59,9 +59,10 @@
   putchar ('\n');
 }
 
-/* Print the lines of TEXT.  Returns the number of the last one, AFTER when
-   there is none; the next call asks to start after it.  An entry that has
-   forgotten old lines gives later ones, so they are not counted here.  */
+/* Print the lines of TEXT.  Returns the sequence number of the last one, or
+   AFTER if there is none, from which the next request continues.  The number
+   is read from the lines and not counted, as an entry that has evicted old
+   lines continues with later ones.  */
 static uint64_t
 print_lines (const struct wy_ctl *ctl, const char *text, uint64_t after)
 {
@@ -93,25 +94,25 @@
 
   for (;;)
     {
-      struct wy_ctl_answer a;
+      struct wy_ctl_response r;
       char *path
           = g_strdup_printf ("/v1/events?after=%" G_GUINT64_FORMAT, after);
 
-      wy_ctl_call (ctl, "GET", path, NULL, &a);
+      wy_ctl_call (ctl, "GET", path, NULL, &r);
       g_free (path);
-      if (a.status != 200)
-        return wy_ctl_finish (ctl, &a);
-      after = print_lines (ctl, a.text, after);
-      wy_ctl_answer_clear (&a);
+      if (r.status != 200)
+        return wy_ctl_print_response (ctl, &r);
+      after = print_lines (ctl, r.text, after);
+      wy_ctl_response_clear (&r);
       if (!ctl->follow)
         return WY_CTL_OK;
       fflush (stdout);
-      sleep (WATCH_EVERY_S);
+      sleep (WATCH_INTERVAL_S);
     }
 }
 
-/* Events of an entry, or with --chrome the files ARGS of all processes as one
-   time line for a trace viewer.  */
+/* Print the events of an entry, or with --chrome write the timeline files ARGS
+   as one trace for a viewer.  */
 int
 wy_ctl_events (const struct wy_ctl *ctl, char **args, int n)
 {
--- a/tests/test_check.c
+++ b/tests/test_check.c
@@ -1,12 +1,12 @@
-/* The checker: for each invariant a timeline that breaks just that one, and
-   one close to it that breaks none.  Input that can't be trusted to be whole
-   is never a pass.  */
+/* The checker: for each invariant a timeline that violates only that one, and
+   a similar one that violates none.  Incomplete input must never pass.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
 #include "check/check.h"
 
-/* The start of PROCESS, which is ready at once; returns the events added.  */
+/* Add the start of PROCESS, which is ready at once.  Returns the number of
+   events added.  */
 static int
 begin (GString *text, const char *process, uint64_t ms)
 {
@@ -22,9 +22,9 @@
   return 2;
 }
 
-/* Each row is "delay process event fields"; stamps rise by the delay, in ms,
-   and every process that does not start or end itself is started and
-   ended.  */
+/* Build T from N rows "delay process event fields".  Timestamps rise by the
+   delay, in ms.  A process without process.start gets one, and each process
+   but S gets process.stop.  */
 static void
 build (struct wy_timeline *t, const char *const *rows, size_t n)
 {
@@ -79,7 +79,7 @@
 
 struct scenario
 {
-  const char *invariant; /* NULL: none is broken */
+  const char *invariant; /* NULL: none is violated */
   const char *rows[ROWS];
 };
 
@@ -102,8 +102,8 @@
 #define READ(position, item, digest)                                          \
   "5 S result.read \"job\":\"j\",\"position\":" position ",\"item\":\"" item  \
   "\",\"digest\":\"" digest "\""
-#define WHOLE "5 S text.whole \"item\":\"i\""
-#define ANSWER(req, status, mark)                                             \
+#define COMPLETE "5 S text.whole \"item\":\"i\""
+#define RESPONSE(req, status, mark)                                           \
   "5 S replica.answered \"req\":\"" req "\",\"status\":" status               \
   ",\"mark\":\"" mark "\""
 #define SCORE(state, score)                                                   \
@@ -262,23 +262,23 @@
       "5 S job.checked \"job\":\"j\",\"results\":0", "5 S process.stop" } },
   { "results", { "5 S job.accepted \"job\":\"j\"", "5 S process.stop" } },
   { NULL,
-    { WHOLE, ANSWER ("s", "200", "m"), SCORE ("completed", "m"),
+    { COMPLETE, RESPONSE ("s", "200", "m"), SCORE ("completed", "m"),
       "5 S process.stop" } },
-  { "scores", { WHOLE, SCORE ("completed", ""), "5 S process.stop" } },
+  { "scores", { COMPLETE, SCORE ("completed", ""), "5 S process.stop" } },
   { "scores",
-    { WHOLE, ANSWER ("other", "200", "m"), SCORE ("completed", "m"),
+    { COMPLETE, RESPONSE ("other", "200", "m"), SCORE ("completed", "m"),
       "5 S process.stop" } },
   { "scores",
-    { WHOLE, ANSWER ("s", "500", "m"), SCORE ("completed", "m"),
+    { COMPLETE, RESPONSE ("s", "500", "m"), SCORE ("completed", "m"),
       "5 S process.stop" } },
   { "scores",
-    { ANSWER ("s", "200", "m"), WHOLE, SCORE ("completed", "m"),
+    { RESPONSE ("s", "200", "m"), COMPLETE, SCORE ("completed", "m"),
       "5 S process.stop" } },
   { NULL,
-    { WHOLE, ANSWER ("s", "500", "m"), ANSWER ("s", "500", "n"),
+    { COMPLETE, RESPONSE ("s", "500", "m"), RESPONSE ("s", "500", "n"),
       SCORE ("abandoned", ""), "5 S process.stop" } },
   { "scores",
-    { WHOLE, ANSWER ("s", "500", "m"), ANSWER ("s", "200", "n"),
+    { COMPLETE, RESPONSE ("s", "500", "m"), RESPONSE ("s", "200", "n"),
       SCORE ("abandoned", ""), "5 S process.stop" } },
   { "course",
     { TRUTH, SAMPLE, SAMPLE, BATCH ("step.fixed", "\"s1\"", "3", "4") } },
@@ -290,7 +290,7 @@
       "5 G engine.version \"version\":2" } },
 };
 
-Test (check, each_broken_promise_is_found_by_name)
+Test (check, each_violation_is_reported_by_name)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (scenarios); i++)
     {
@@ -337,7 +337,7 @@
   "{\"hlc\":65536,\"proc\":\"a\",\"inc\":\"1\",\"seq\":" seq ",\"ev\":\"" ev  \
   "\"}\n"
 
-Test (check, doubtful_input_is_refused)
+Test (check, incomplete_input_is_an_error)
 {
   static const struct
   {
--- a/tests/test_check_mutations.c
+++ b/tests/test_check_mutations.c
@@ -1,81 +1,90 @@
-/* A checker that notices: one event of each kind is doubled or left out of a
-   whole timeline, and its process's events are numbered anew so that no gap
-   gives it away.  What that means is stated for each kind.  */
+/* Mutations of a valid timeline: one event of each kind is duplicated or left
+   out, and the events of its process are renumbered, so that no gap in the
+   numbers shows it.  The checker must report each mutation that violates an
+   invariant.  A table has the expected verdict for each kind.  */
 #include <criterion/criterion.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "check/check.h"
 
-/* What a change of the timeline is: a promise broken, or, with the reason,
-   nothing that anybody was promised.  */
-#define BROKEN NULL
+/* Verdict on a mutation: the checker must report a violation.  Any other
+   verdict is the reason why the mutation is valid, so that it must not.  */
+#define VIOLATION NULL
 
 struct kind
 {
   const char *name;
-  const char *doubled; /* BROKEN, or why it is harmless */
+  const char *duplicated; /* VIOLATION, or why it is valid */
   const char *dropped;
 };
 
 static const struct kind kinds[] = {
-  { "caller.got", BROKEN, BROKEN },
-  { "caller.sent", "a call under the same key is another try", BROKEN },
-  { "config.accepted", "an entry that reads its own revision back notes it",
-    BROKEN },
-  { "config.in_force", "taking what is in force changes nothing", BROKEN },
-  { "engine.run", BROKEN, BROKEN },
-  { "engine.version", "loading what it has changes nothing", BROKEN },
-  { "fault.cleared", BROKEN, "a fault may last to the end" },
-  { "fault.injected", "it lasts until it is cleared, once", BROKEN },
-  { "fence.accepted", "one holder is accepted again and again",
-    "only the refusal of old ones is promised" },
-  { "lease.acquired", BROKEN, BROKEN },
-  { "lease.lost", "it stays lost", "the next holder's fence tells" },
-  { "lease.released", BROKEN, "a lease ends by itself too" },
-  { "process.drain", "a stop may be asked for twice",
+  { "caller.got", VIOLATION, VIOLATION },
+  { "caller.sent", "a request with the same key is another attempt",
+    VIOLATION },
+  { "config.accepted", "an entry that reads its own revision back records it",
+    VIOLATION },
+  { "config.in_force", "applying the revision in force changes nothing",
+    VIOLATION },
+  { "engine.run", VIOLATION, VIOLATION },
+  { "engine.version", "loading the current version changes nothing",
+    VIOLATION },
+  { "fault.cleared", VIOLATION,
+    "a fault may last to the end of the timeline" },
+  { "fault.injected", "one clear ends it", VIOLATION },
+  { "fence.accepted", "a holder may be accepted repeatedly",
+    "only stale tokens need to be rejected" },
+  { "lease.acquired", VIOLATION, VIOLATION },
+  { "lease.lost", "it stays lost", "the next holder's token shows it" },
+  { "lease.released", VIOLATION, "a lease may expire instead" },
+  { "process.drain", "a stop may be requested twice",
     "a process may stop at once" },
-  { "process.ready", "it is still ready", BROKEN },
-  { "process.start", BROKEN, BROKEN },
-  { "process.stop", BROKEN, BROKEN },
-  { "request.abandoned", BROKEN, BROKEN },
-  { "request.answered", BROKEN, BROKEN },
-  { "request.broken", BROKEN, BROKEN },
-  { "request.received", BROKEN, BROKEN },
-  { "request.refused", BROKEN, BROKEN },
-  { "request.submitted", "a submission may be lost on its way", BROKEN },
-  { "run.end", BROKEN, BROKEN },
-  { "run.paused", "it is still paused", BROKEN },
-  { "run.refused", "it did not run, which is all it says",
-    "the request is submitted elsewhere all the same" },
-  { "run.resumed", BROKEN, "a paused run may end" },
-  { "run.start", BROKEN, BROKEN },
-  { "sample.dropped", BROKEN, BROKEN },
-  { "sample.finished", BROKEN, BROKEN },
-  { "service.executed", BROKEN, BROKEN },
-  { "step.acked", "a trainer may say it again",
+  { "process.ready", "it is still ready", VIOLATION },
+  { "process.start", VIOLATION, VIOLATION },
+  { "process.stop", VIOLATION, VIOLATION },
+  { "request.abandoned", VIOLATION, VIOLATION },
+  { "request.answered", VIOLATION, VIOLATION },
+  { "request.broken", VIOLATION, VIOLATION },
+  { "request.received", VIOLATION, VIOLATION },
+  { "request.refused", VIOLATION, VIOLATION },
+  { "request.submitted", "a submission may be lost in transit", VIOLATION },
+  { "run.end", VIOLATION, VIOLATION },
+  { "run.paused", "it is still paused", VIOLATION },
+  { "run.refused", "the event only says that the request did not run",
+    "the request is submitted to another target in either case" },
+  { "run.resumed", VIOLATION, "a paused run may end" },
+  { "run.start", VIOLATION, VIOLATION },
+  { "sample.dropped", VIOLATION, VIOLATION },
+  { "sample.finished", VIOLATION, VIOLATION },
+  { "service.executed", VIOLATION, VIOLATION },
+  { "step.acked", "a trainer may acknowledge again",
     "a trainer need not acknowledge its last step" },
-  { "step.fixed", BROKEN, BROKEN },
-  { "step.handed", "a batch is handed out as often as it is asked for",
-    BROKEN },
-  { "step.submitted", "a trainer may submit it again", BROKEN },
-  { "store.back", BROKEN, "it may stay away to the end" },
-  { "store.outage", "it is still away", BROKEN },
-  { "suspect.blocked", "it stays blocked", "a refusal shows it" },
+  { "step.fixed", VIOLATION, VIOLATION },
+  { "step.handed", "a batch is delivered as often as it is requested",
+    VIOLATION },
+  { "step.submitted", "a trainer may submit it again", VIOLATION },
+  { "store.back", VIOLATION,
+    "the store may be unreachable to the end of the timeline" },
+  { "store.outage", "the store is still unreachable", VIOLATION },
+  { "suspect.blocked", "it stays blocked", "a rejected request shows it" },
   { "suspect.lifted", "it stays lifted", "a run shows it" },
   { "suspect.marked", "it stays marked", "only a second crash counts" },
-  { "target.down", BROKEN, "a doubted target may come up again" },
-  { "target.leaving", "it is still leaving", BROKEN },
-  { "target.left", BROKEN, BROKEN },
-  { "target.up", "a doubted target is found up again", BROKEN },
-  { "target.version", "it is told on each connection", BROKEN },
-  { "trainer.trained", BROKEN, BROKEN },
-  { "version.published", "a trainer may publish it again", BROKEN },
+  { "target.down", VIOLATION,
+    "a target may be recorded as up again without it" },
+  { "target.leaving", "it is still leaving", VIOLATION },
+  { "target.left", VIOLATION, VIOLATION },
+  { "target.up", "a target is recorded as up again after its connection broke",
+    VIOLATION },
+  { "target.version", "it is reported on each connection", VIOLATION },
+  { "trainer.trained", VIOLATION, VIOLATION },
+  { "version.published", "a trainer may publish it again", VIOLATION },
 };
 
-/* One of each kind, in a story that breaks no promise: entry E, agent A beside
-   engine G, agent B beside service P, callers C, trainer T, the tester D.  */
-static const char *const story[] = {
+/* A valid timeline with events of each kind: entries E and F, agent A beside
+   engine G, agent B beside service P, callers C, trainer T, fault
+   injector D.  */
+static const char *const valid_rows[] = {
   "D process.start",
   "E process.start \"role\":\"entry\"",
   "E lease.acquired \"lease\":\"l\",\"fence\":1",
@@ -104,7 +113,7 @@
   "C process.ready",
   "T process.start \"role\":\"trainer\"",
   "T process.ready",
-  /* A call that an engine serves.  */
+  /* A request that an engine serves.  */
   "C caller.sent \"key\":\"k1\"",
   "E request.received \"req\":\"r1\",\"key\":\"k1\"",
   "E request.submitted \"req\":\"r1\",\"target\":\"G\"",
@@ -120,7 +129,7 @@
   "\"sent\":\"b\"",
   "C caller.got \"key\":\"k1\",\"req\":\"r1\",\"status\":200,"
   "\"digest\":\"b\"",
-  /* One that a service executes, after another target refused it.  */
+  /* One that a service executes, after another target rejected it.  */
   "C caller.sent \"key\":\"k2\"",
   "E request.received \"req\":\"r2\",\"key\":\"k2\"",
   "E request.submitted \"req\":\"r2\",\"target\":\"G\"",
@@ -144,7 +153,7 @@
   "\"digest\":\"e\"",
   "E request.answered \"req\":\"r7\",\"run\":\"u7\",\"digest\":\"e\","
   "\"sent\":\"e\"",
-  /* One refused, one broken off, one whose caller left.  */
+  /* One rejected, one interrupted, one abandoned by its caller.  */
   "C caller.sent \"key\":\"k3\"",
   "E request.received \"req\":\"r3\",\"key\":\"k3\"",
   "E request.refused \"req\":\"r3\",\"ran\":\"no\"",
@@ -153,7 +162,7 @@
   "E request.broken \"req\":\"r4\"",
   "E request.received \"req\":\"r5\"",
   "E request.abandoned \"req\":\"r5\"",
-  /* A step, and the version made of it.  */
+  /* A step, and the version trained on it.  */
   "E step.submitted \"yard\":\"y\",\"trainer\":\"t\",\"step\":1",
   "E request.received \"req\":\"r6\"",
   "E request.submitted \"req\":\"r6\",\"target\":\"G\"",
@@ -190,7 +199,7 @@
   "T trainer.trained \"yard\":\"y\",\"trainer\":\"t\",\"step\":2,"
   "\"samples\":[\"s3\"],\"oldest\":1",
   "E step.acked \"yard\":\"y\",\"trainer\":\"t\",\"step\":2",
-  /* Faults, beliefs, and the end.  */
+  /* Faults, suspected requests, and the end.  */
   "D fault.injected \"kind\":\"down\",\"target\":\"store\"",
   "E store.outage",
   "D fault.cleared \"kind\":\"down\",\"target\":\"store\"",
@@ -215,21 +224,22 @@
   "D process.stop \"cut\":0",
 };
 
-/* The same on a platform whose entries keep no timeline: what its stand-in saw
-   as callers, trainer and replicas.  */
+/* The same for a platform whose entries record no timeline: events that the
+   stand-in platform records as callers, trainer and replicas.  */
 static const struct kind platform_kinds[] = {
-  { "caller.got", BROKEN, BROKEN },
-  { "caller.sent", "a call under the same key is another try", BROKEN },
-  { "job.accepted", "a job may be submitted and accepted again", BROKEN },
-  { "job.checked", "a job may be read again", BROKEN },
-  { "process.ready", "it is still ready", "nothing waits for a stand-in" },
-  { "process.start", BROKEN, BROKEN },
-  { "process.stop", BROKEN, BROKEN },
-  { "replica.ran", "idempotent requests and items may run again", BROKEN },
-  { "result.read", "reading again tells the same", BROKEN },
+  { "caller.got", VIOLATION, VIOLATION },
+  { "caller.sent", "a request with the same key is another attempt",
+    VIOLATION },
+  { "job.accepted", "a job may be submitted and accepted again", VIOLATION },
+  { "job.checked", "a job may be read again", VIOLATION },
+  { "process.ready", "it is still ready", "no process depends on a stand-in" },
+  { "process.start", VIOLATION, VIOLATION },
+  { "process.stop", VIOLATION, VIOLATION },
+  { "replica.ran", "idempotent requests and items may run again", VIOLATION },
+  { "result.read", "a second read returns the same result", VIOLATION },
 };
 
-static const char *const platform_story[] = {
+static const char *const platform_rows[] = {
   "S process.start \"role\":\"platform\"",
   "S process.ready",
   "S caller.sent \"key\":\"k1\"",
@@ -253,8 +263,8 @@
 enum
 {
   STEP_MS = 10,
-  /* The last events, so that processes live past the time within which a
-     configuration must be in force.  */
+  /* The last LATE_ROWS events come LATE_MS after the others, so that processes
+     run past the time limit for a configuration to be in force.  */
   LATE_ROWS = 13,
   LATE_MS = 9000,
   STAMP_COUNTER_BITS = 16
@@ -314,17 +324,18 @@
   return v ? v : "";
 }
 
-/* Write LINE to OUT with the next number of its process.  */
+/* Write LINE to OUT with the next sequence number of its incarnation.  */
 static void
 write_line (GString *out, GHashTable *numbers, const json_t *line)
 {
   json_t *copy = json_copy ((json_t *)line);
-  char *life
+  char *incarnation_key
       = g_strconcat (text_of (line, "proc"), "/", text_of (line, "inc"), NULL);
-  gint n = GPOINTER_TO_INT (g_hash_table_lookup (numbers, life)) + 1;
+  gint n
+      = GPOINTER_TO_INT (g_hash_table_lookup (numbers, incarnation_key)) + 1;
   char *text;
 
-  g_hash_table_insert (numbers, life, GINT_TO_POINTER (n));
+  g_hash_table_insert (numbers, incarnation_key, GINT_TO_POINTER (n));
   json_object_set_new (copy, "seq", json_integer (n));
   text = json_dumps (copy, JSON_COMPACT);
   g_string_append (out, text);
@@ -333,30 +344,31 @@
   json_decref (copy);
 }
 
-/* Whether the checker objects to LINES with number AT written TIMES times.  */
+/* Whether the checker reports an error or violation, with its text in WHY, for
+   LINES with line AT written TIMES times.  */
 static bool
-is_broken (const GPtrArray *lines, guint at, guint times, GString *why)
+is_reported (const GPtrArray *lines, guint at, guint times, GString *why)
 {
   GString *out = g_string_new (NULL);
   GString *error = g_string_new (NULL);
   GHashTable *numbers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   struct wy_timeline t;
-  bool broken;
+  bool reported;
 
   for (guint i = 0; i < lines->len; i++)
     for (guint n = i == at ? times : 1; n > 0; n--)
       write_line (out, numbers, lines->pdata[i]);
   wy_timeline_init (&t);
-  broken = wy_timeline_parse (&t, "t", out->str, out->len, error)
-           || wy_timeline_finish (&t, error);
-  if (!broken)
+  reported = wy_timeline_parse (&t, "t", out->str, out->len, error)
+             || wy_timeline_finish (&t, error);
+  if (!reported)
     {
       struct wy_check c;
 
       wy_check_run (&c, &t);
-      broken = c.violations->len > 0;
-      if (broken)
+      reported = c.violations->len > 0;
+      if (reported)
         g_string_assign (
             why, ((struct wy_violation *)c.violations->pdata[0])->text);
       wy_check_free (&c);
@@ -367,12 +379,12 @@
   g_hash_table_destroy (numbers);
   g_string_free (error, TRUE);
   g_string_free (out, TRUE);
-  return broken;
+  return reported;
 }
 
-/* Whether the life that noted line I lost a lease, at whatever time.  */
+/* Whether the incarnation that recorded line I lost a lease, at any time.  */
 static bool
-lost_a_lease (const GPtrArray *lines, guint i)
+incarnation_lost_lease (const GPtrArray *lines, guint i)
 {
   for (guint k = 0; k < lines->len; k++)
     if (!strcmp (text_of (lines->pdata[k], "ev"), "lease.lost")
@@ -384,11 +396,12 @@
   return false;
 }
 
-/* The first event NAME in LINES, of an entry where entries note it too: what
-   a stand-in says of itself is nobody's promise.  Nor is what becomes of the
-   samples of a sampler that has lost its lease, as in a recording in which the
-   table service was away for longer than the lease: who takes the step over
-   has samples of its own.  */
+/* Index of the event NAME in LINES to mutate, or their number if there is
+   none.  For process events it is the first of an entry if there is one, as no
+   invariant covers those of a stand-in.  sample.dropped of a sampler that lost
+   its lease is skipped: in a recording the table service may be unreachable
+   for longer than the lease, and the sampler that takes over the step draws
+   samples of its own.  */
 static guint
 find (const GPtrArray *lines, const char *name)
 {
@@ -401,7 +414,8 @@
 
       if (strcmp (text_of (lines->pdata[i], "ev"), name) != 0)
         continue;
-      if (!strcmp (name, "sample.dropped") && lost_a_lease (lines, i))
+      if (!strcmp (name, "sample.dropped")
+          && incarnation_lost_lease (lines, i))
         continue;
       if (!of_entry || *process == 'E' || g_str_has_prefix (process, "entry"))
         return i;
@@ -411,15 +425,15 @@
 }
 
 static void
-verify (const GPtrArray *lines, const struct kind *k, const char *harmless,
+verify (const GPtrArray *lines, const struct kind *k, const char *verdict,
         guint at, guint times)
 {
   GString *why = g_string_new (NULL);
-  bool broken = is_broken (lines, at, times, why);
+  bool reported = is_reported (lines, at, times, why);
 
-  cr_expect_eq (broken, harmless == BROKEN, "%s %s: %s", k->name,
-                times ? "doubled" : "dropped",
-                broken ? why->str : "not noticed");
+  cr_expect_eq (reported, verdict == VIOLATION, "%s %s: %s", k->name,
+                times ? "duplicated" : "dropped",
+                reported ? why->str : "no violation reported");
   g_string_free (why, TRUE);
 }
 
@@ -429,7 +443,7 @@
 {
   GString *why = g_string_new (NULL);
 
-  cr_assert_not (is_broken (lines, lines->len, 1, why), "%s", why->str);
+  cr_assert_not (is_reported (lines, lines->len, 1, why), "%s", why->str);
   for (size_t i = 0; i < n; i++)
     {
       guint at = find (lines, k[i].name);
@@ -437,29 +451,29 @@
       if (recorded && at == lines->len)
         continue;
       cr_assert_lt (at, lines->len, "%s", k[i].name);
-      verify (lines, &k[i], k[i].doubled, at, 2);
+      verify (lines, &k[i], k[i].duplicated, at, 2);
       verify (lines, &k[i], k[i].dropped, at, 0);
     }
   g_string_free (why, TRUE);
 }
 
-/* A fault in the service makes one event too many or too few.  Whoever reads
-   the verdict of a run must be able to trust that it would have been seen.
-   WY_TIMELINE names a recorded timeline to use instead of the built-in one. */
+/* A fault in the service shows as an event too many or too few, which the
+   checker must not miss.  WY_TIMELINE names a recorded timeline to use instead
+   of the built-in one.  */
 Test (mutations, each_kind_has_its_verdict)
 {
   const char *path = getenv ("WY_TIMELINE");
   GPtrArray *lines
-      = path ? load (path) : built_in (story, G_N_ELEMENTS (story));
+      = path ? load (path) : built_in (valid_rows, G_N_ELEMENTS (valid_rows));
 
   verify_all (lines, kinds, G_N_ELEMENTS (kinds), path);
   g_ptr_array_free (lines, TRUE);
 }
 
-/* The same where only the platform's side is known.  */
+/* The same for a timeline of the platform alone.  */
 Test (mutations, platform_kinds)
 {
-  GPtrArray *lines = built_in (platform_story, G_N_ELEMENTS (platform_story));
+  GPtrArray *lines = built_in (platform_rows, G_N_ELEMENTS (platform_rows));
 
   verify_all (lines, platform_kinds, G_N_ELEMENTS (platform_kinds), false);
   g_ptr_array_free (lines, TRUE);
@@ -477,7 +491,7 @@
 /* Each kind of event that occurs has a verdict.  */
 Test (mutations, no_kind_is_left_out)
 {
-  GPtrArray *lines = built_in (story, G_N_ELEMENTS (story));
+  GPtrArray *lines = built_in (valid_rows, G_N_ELEMENTS (valid_rows));
 
   for (guint i = 0; i < lines->len; i++)
     {
--- a/tests/test_ctl.c
+++ b/tests/test_ctl.c
@@ -76,8 +76,8 @@
   return wy_ctl_main (argc, argv);
 }
 
-/* No entry listens, or the command line is wrong.  Scripts tell the two apart
-   by the exit code.  */
+/* No entry listens, or the command line is invalid.  Scripts distinguish the
+   two by the exit code.  */
 Test (ctl, exit_codes)
 {
   static const struct
--- a/tests/test_explain.c
+++ b/tests/test_explain.c
@@ -1,4 +1,4 @@
-/* wyctl explain on logs with missing and torn lines.  */
+/* wyctl explain on logs with missing and incomplete lines.  */
 #include <criterion/criterion.h>
 #include <criterion/redirect.h>
 #include <stdio.h>
@@ -54,9 +54,9 @@
   return wy_ctl_explain (&ctl, args, 3);
 }
 
-/* An engineer has an item's id.  The story must hold its own lines in order,
-   its job's, and what happened to its target, and not its neighbours'.  */
-Test (explain, joins_what_belongs_together, .init = cr_redirect_stdout)
+/* The output for an item's id has its own lines, those of its job and those
+   about its target, in the order of time, and no lines of other items.  */
+Test (explain, related_lines_are_joined, .init = cr_redirect_stdout)
 {
   cr_expect_eq (explain ("i1"), WY_CTL_OK);
   fflush (stdout);
@@ -91,7 +91,7 @@
   return wy_ctl_explain (&ctl, args, 2);
 }
 
-/* The story of a window holds who held the duties.  */
+/* The output for a usage window includes changes of the duties' holder.  */
 Test (explain, window_of_usage, .init = cr_redirect_stdout)
 {
   cr_expect_eq (explain_duties ("7"), WY_CTL_OK);
@@ -104,7 +104,7 @@
       "generation=2\n");
 }
 
-/* A job is found by the name that its caller knows.  */
+/* A job is found by its id without the organisation, as callers know it.  */
 Test (explain, job_of_an_organisation, .init = cr_redirect_stdout)
 {
   cr_expect_eq (explain_duties ("j7"), WY_CTL_OK);
@@ -113,7 +113,7 @@
                            "            id=acme/j7\n");
 }
 
-Test (explain, nothing_known_is_said)
+Test (explain, unknown_id_fails)
 {
   cr_expect_eq (explain ("nobody"), WY_CTL_FAILED);
 }
