--- a/src/standin/call.c
+++ b/src/standin/call.c
@@ -1,4 +1,4 @@
-/* Requests to a stand-in, with the faults that act on their answers.  */
+/* Requests to a stand-in and the faults that affect their responses.  */
 #include "standin/standin.h"
 
 #include <stdlib.h>
@@ -10,8 +10,8 @@
   CRASH_EXIT_CODE = 86
 };
 
-/* An answer held back by the fault "slow".  */
-struct held
+/* A response delayed by the fault "slow".  */
+struct delayed_response
 {
   uv_timer_t timer; /* must stay first */
   struct wy_standin_call *call;
@@ -32,28 +32,28 @@
 {
   struct wy_standin_call *c = ctx;
 
-  c->gone = true;
+  c->disconnected = true;
   if (c->ended && c->silent)
     {
       release (c);
       return;
     }
-  if (c->on_gone && !c->ended)
-    c->on_gone (c, c->gone_ctx);
+  if (c->on_disconnect && !c->ended)
+    c->on_disconnect (c, c->disconnect_ctx);
 }
 
-/* Set the fault that the body of EX orders.  */
+/* Set the fault described in the body of EX.  */
 static void
-order_fault (struct wy_standin *s, struct wy_http_exchange *ex)
+set_fault (struct wy_standin *s, struct wy_http_exchange *ex)
 {
   size_t n;
   const char *p = wy_http_body (ex, &n);
-  json_t *order = json_loadb (p, n, 0, NULL);
-  int kind = wy_standin_faults_set (&s->faults, order, wy_standin_now_ms (s));
+  json_t *doc = json_loadb (p, n, 0, NULL);
+  int kind = wy_standin_faults_set (&s->faults, doc, wy_standin_now_ms (s));
   GHashTableIter it;
   gpointer open;
 
-  json_decref (order);
+  json_decref (doc);
   if (kind == WY_FAULT_SILENT)
     {
       g_hash_table_iter_init (&it, s->calls);
@@ -86,13 +86,13 @@
 
   if (!strcmp (wy_http_path (ex), "/fault"))
     {
-      order_fault (s, ex);
+      set_fault (s, ex);
       return;
     }
-  f = wy_standin_fault_on (s, WY_FAULT_CRASH_ON);
+  f = wy_standin_active_fault (s, WY_FAULT_CRASH_ON);
   if (f && body_contains (ex, f->text))
     _exit (CRASH_EXIT_CODE);
-  f = wy_standin_fault_on (s, WY_FAULT_DOWN);
+  f = wy_standin_active_fault (s, WY_FAULT_DOWN);
   if (f && f->text && !strcmp (f->text, "refuse"))
     {
       wy_http_close_connection (ex);
@@ -112,19 +112,19 @@
   if (s->kind->on_request)
     s->kind->on_request (s, c);
   else
-    wy_standin_answer (c, 404, NULL);
+    wy_standin_respond_json (c, 404, NULL);
 }
 
-/* Tell whether C is METHOD on exactly PATH.  */
+/* Return whether the request C has METHOD and exactly PATH.  */
 bool
-wy_standin_is (const struct wy_standin_call *c, const char *method,
-               const char *path)
+wy_standin_matches (const struct wy_standin_call *c, const char *method,
+                    const char *path)
 {
   return !strcmp (wy_http_method (c->ex), method)
          && !strcmp (wy_http_path (c->ex), path);
 }
 
-/* The rest of the path of C after PREFIX, or NULL.  */
+/* Return the path of C after PREFIX, or NULL if it does not begin with it.  */
 const char *
 wy_standin_path_after (const struct wy_standin_call *c, const char *prefix)
 {
@@ -133,7 +133,7 @@
   return g_str_has_prefix (path, prefix) ? path + strlen (prefix) : NULL;
 }
 
-/* The number KEY of the query of C, or FALLBACK.  */
+/* Return the number KEY of the query of C, or FALLBACK if it is missing.  */
 int64_t
 wy_standin_query_number (const struct wy_standin_call *c, const char *key,
                          int64_t fallback)
@@ -149,9 +149,10 @@
   return v;
 }
 
-/* The JSON object in the body of C; an empty one when there is none.  */
+/* Return the JSON object in the body of C, or an empty object if the body is
+   anything else.  The caller owns it.  */
 json_t *
-wy_standin_body (const struct wy_standin_call *c)
+wy_standin_body_json (const struct wy_standin_call *c)
 {
   size_t n;
   const char *p = wy_http_body (c->ex, &n);
@@ -164,19 +165,19 @@
 }
 
 static void
-send_answer (struct wy_standin_call *c, int status, const char *content_type,
-             const void *p, size_t n)
+send_response (struct wy_standin_call *c, int status, const char *content_type,
+               const void *p, size_t n)
 {
   struct wy_standin *s = c->standin;
   struct wy_standin_fault *lose
-      = wy_standin_fault_on (s, WY_FAULT_LOSE_ANSWER);
+      = wy_standin_active_fault (s, WY_FAULT_LOSE_RESPONSE);
 
   c->ended = true;
-  if (!c->gone && c->silent)
+  if (!c->disconnected && c->silent)
     return;
-  if (!c->gone && lose && wy_rng_unit (&s->rng) < lose->value)
+  if (!c->disconnected && lose && wy_rng_unit (&s->rng) < lose->value)
     wy_http_close_connection (c->ex);
-  else if (!c->gone)
+  else if (!c->disconnected)
     {
       wy_http_on_abort (c->ex, NULL, NULL);
       wy_http_respond (c->ex, status, content_type, p, n);
@@ -185,35 +186,35 @@
 }
 
 static void
-on_held_closed (uv_handle_t *h)
+on_delay_closed (uv_handle_t *h)
 {
   g_free (h);
 }
 
 static void
-on_held_due (uv_timer_t *t)
+on_delay_end (uv_timer_t *t)
 {
-  struct held *h = (struct held *)t;
+  struct delayed_response *h = (struct delayed_response *)t;
 
-  send_answer (h->call, h->status, h->content_type, h->body->str,
-               h->body->len);
+  send_response (h->call, h->status, h->content_type, h->body->str,
+                 h->body->len);
   g_free (h->content_type);
   g_string_free (h->body, TRUE);
-  uv_close ((uv_handle_t *)t, on_held_closed);
+  uv_close ((uv_handle_t *)t, on_delay_closed);
 }
 
-/* Answer C whole and end it.  */
+/* Send a response with the N bytes at P as its body and end C.  */
 void
-wy_standin_answer_bytes (struct wy_standin_call *c, int status,
-                         const char *content_type, const void *p, size_t n)
+wy_standin_respond (struct wy_standin_call *c, int status,
+                    const char *content_type, const void *p, size_t n)
 {
   struct wy_standin_fault *slow
-      = wy_standin_fault_on (c->standin, WY_FAULT_SLOW);
-  struct held *h;
+      = wy_standin_active_fault (c->standin, WY_FAULT_SLOW);
+  struct delayed_response *h;
 
   if (!slow || slow->value < 1)
     {
-      send_answer (c, status, content_type, p, n);
+      send_response (c, status, content_type, p, n);
       return;
     }
   h = g_malloc0 (sizeof *h);
@@ -222,55 +223,56 @@
   h->content_type = g_strdup (content_type);
   h->body = g_string_new_len (n ? p : "", (gssize)n);
   uv_timer_init (c->standin->loop, &h->timer);
-  uv_timer_start (&h->timer, on_held_due, (uint64_t)slow->value, 0);
+  uv_timer_start (&h->timer, on_delay_end, (uint64_t)slow->value, 0);
 }
 
-/* Answer C with BODY, which is taken, and end it.  */
+/* Respond to C with BODY ("{}" if NULL), whose reference is consumed, and end
+   C.  */
 void
-wy_standin_answer (struct wy_standin_call *c, int status, json_t *body)
+wy_standin_respond_json (struct wy_standin_call *c, int status, json_t *body)
 {
   char *text = body ? json_dumps (body, JSON_COMPACT) : g_strdup ("{}");
 
   json_decref (body);
-  wy_standin_answer_bytes (c, status, "application/json", text, strlen (text));
+  wy_standin_respond (c, status, "application/json", text, strlen (text));
   g_free (text);
 }
 
-/* Refuse C because a limit per second is reached.  */
+/* Reject C with 429 because a rate limit is reached.  */
 void
-wy_standin_refuse_rate (struct wy_standin_call *c)
+wy_standin_reject_rate (struct wy_standin_call *c)
 {
-  if (!c->gone)
+  if (!c->disconnected)
     wy_http_add_header (c->ex, "retry-after", "1");
-  wy_standin_answer (c, 429, json_pack ("{s:s}", "error", "rate"));
+  wy_standin_respond_json (c, 429, json_pack ("{s:s}", "error", "rate"));
 }
 
-/* Begin a streamed answer.  */
+/* Begin a streamed response.  */
 void
 wy_standin_stream_begin (struct wy_standin_call *c, int status,
                          const char *content_type)
 {
   c->streaming = true;
-  if (!c->gone && !c->silent)
+  if (!c->disconnected && !c->silent)
     wy_http_stream_begin (c->ex, status, content_type);
 }
 
-/* Append to a streamed answer.  */
+/* Append N bytes at P to a streamed response.  */
 void
 wy_standin_stream_write (struct wy_standin_call *c, const char *p, size_t n)
 {
-  if (!c->gone && !c->silent)
+  if (!c->disconnected && !c->silent)
     wy_http_stream_write (c->ex, p, n);
 }
 
-/* End a streamed answer, and C with it.  */
+/* End a streamed response and C.  */
 void
 wy_standin_stream_end (struct wy_standin_call *c)
 {
   c->ended = true;
-  if (!c->gone && c->silent)
+  if (!c->disconnected && c->silent)
     return;
-  if (!c->gone)
+  if (!c->disconnected)
     {
       wy_http_on_abort (c->ex, NULL, NULL);
       wy_http_stream_end (c->ex);
--- a/src/standin/callers.c
+++ b/src/standin/callers.c
@@ -1,6 +1,6 @@
-/* Callers: each sends one request after the other.  A request that times out,
-   loses its connection or is refused is sent again through the next entry,
-   with the same key.  */
+/* Simulated callers, each of which sends one request at a time.  A request
+   that times out, loses its connection or is rejected is retried through the
+   next entry with the same idempotency key.  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,206 +10,213 @@
 
 enum
 {
-  STOP_LIMIT_MS = 8000 /* what is still open then counts as unknown */
+  STOP_TIMEOUT_MS = 8000 /* outcome of requests open then: unknown */
 };
 
-static void begin (uv_timer_t *t);
-static void attempt (struct wy_errand *e);
+static void begin_request (uv_timer_t *t);
+static void send_attempt (struct wy_caller *caller);
 
 static int64_t
-now_us (const struct wy_errand *e)
+now_us (const struct wy_caller *caller)
 {
-  return wy_clock_mono_us (e->callers->standin->clock);
+  return wy_clock_mono_us (caller->callers->standin->clock);
 }
 
 static void
-rest (struct wy_errand *e)
+schedule_next (struct wy_caller *caller)
 {
-  struct wy_callers *c = e->callers;
+  struct wy_callers *c = caller->callers;
   int64_t mean_ms = c->o->think_ms;
 
   uv_timer_start (
-      &e->timer, begin,
+      &caller->timer, begin_request,
       (uint64_t)((double)mean_ms * 2 * wy_rng_unit (&c->standin->rng)), 0);
 }
 
 static void
 quit (struct wy_callers *c)
 {
-  wy_callers_books_write (&c->books, c->o);
+  wy_callers_report_write (&c->stats, c->o);
   wy_standin_quit (c->standin);
 }
 
-/* The request of E is over.  */
+/* Record the OUTCOME of the request of CALLER and schedule its next one.  */
 void
-wy_errand_end (struct wy_errand *e, enum wy_errand_end how)
+wy_caller_finish (struct wy_caller *caller, enum wy_caller_outcome outcome)
 {
-  static const char *const names[WY_ERRAND_ENDS]
+  static const char *const outcome_names[WY_CALLER_OUTCOMES]
       = { "answered", "no", "unknown", "failed" };
-  struct wy_callers *c = e->callers;
+  struct wy_callers *c = caller->callers;
 
-  c->books.ends[e->kind][how]++;
-  if (how == WY_ERRAND_ANSWERED)
-    wy_hist_add (&c->books.latency_us[e->kind],
-                 (uint64_t)(now_us (e) - e->began_us));
-  if (e->kind == WY_ERRAND_FILING)
-    json_object_set_new (c->books.filings, e->key, json_string (names[how]));
+  c->stats.outcomes[caller->kind][outcome]++;
+  if (outcome == WY_CALLER_OUTCOME_OK)
+    wy_hist_add (&c->stats.latency_us[caller->kind],
+                 (uint64_t)(now_us (caller) - caller->started_us));
+  if (caller->kind == WY_CALLER_FILING)
+    json_object_set_new (c->stats.filings, caller->key,
+                         json_string (outcome_names[outcome]));
   c->open--;
   if (!c->standin->stopping)
-    rest (e);
+    schedule_next (caller);
   else if (c->open == 0)
     quit (c);
 }
 
 static void
-on_again (uv_timer_t *t)
+on_retry_timer (uv_timer_t *t)
 {
-  attempt (t->data);
+  send_attempt (t->data);
 }
 
-/* Send it again through the next entry, or give up with HOW.  */
+/* Retry the request of CALLER through the next entry after AFTER_MS, or end
+   it with OUTCOME if all attempts are used up.  */
 void
-wy_errand_again (struct wy_errand *e, int64_t after_ms, enum wy_errand_end how)
+wy_caller_retry (struct wy_caller *caller, int64_t after_ms,
+                 enum wy_caller_outcome outcome)
 {
-  if (e->tries >= e->callers->o->tries)
+  if (caller->tries >= caller->callers->o->tries)
     {
-      wy_errand_end (e, how);
+      wy_caller_finish (caller, outcome);
       return;
     }
-  e->callers->books.resent++;
-  wy_entries_next (&e->entries);
-  uv_timer_start (&e->timer, on_again, (uint64_t)after_ms, 0);
+  caller->callers->stats.resent++;
+  wy_entry_list_next (&caller->entries);
+  uv_timer_start (&caller->timer, on_retry_timer, (uint64_t)after_ms, 0);
 }
 
 static void
 on_head (void *ctx, int status, const struct wy_http_header_field *headers,
          size_t n)
 {
-  struct wy_errand *e = ctx;
+  struct wy_caller *caller = ctx;
 
-  e->status = status;
+  caller->status = status;
   for (size_t i = 0; i < n; i++)
     if (!g_ascii_strcasecmp (headers[i].name, "waxwing-request-id"))
       {
-        g_free (e->request);
-        e->request = g_strdup (headers[i].value);
+        g_free (caller->request);
+        caller->request = g_strdup (headers[i].value);
       }
 }
 
 static void
 on_data (void *ctx, const char *p, size_t n)
 {
-  struct wy_errand *e = ctx;
+  struct wy_caller *caller = ctx;
 
-  if (e->kind == WY_ERRAND_STREAM && !e->has_data && e->status == 200)
-    wy_hist_add (&e->callers->books.first_us,
-                 (uint64_t)(now_us (e) - e->began_us));
-  e->has_data = true;
-  g_string_append_len (e->body, p, (gssize)n);
+  if (caller->kind == WY_CALLER_STREAM && !caller->has_data
+      && caller->status == 200)
+    wy_hist_add (&caller->callers->stats.first_token_us,
+                 (uint64_t)(now_us (caller) - caller->started_us));
+  caller->has_data = true;
+  g_string_append_len (caller->body, p, (gssize)n);
 }
 
 static json_t *
-body_of (const struct wy_errand *e)
+request_body (const struct wy_caller *caller)
 {
-  const struct wy_callers_settings *o = e->callers->o;
+  const struct wy_callers_settings *o = caller->callers->o;
 
-  if (e->kind == WY_ERRAND_FILING)
-    return json_pack ("{s:s, s:s}", "key", e->key, "value", e->prompt);
+  if (caller->kind == WY_CALLER_FILING)
+    return json_pack ("{s:s, s:s}", "key", caller->key, "value",
+                      caller->prompt);
   return json_pack ("{s:s, s:s, s:I, s:b, s:s}", "model", o->model, "prompt",
-                    e->prompt, "max_tokens", (json_int_t)o->max_tokens,
-                    "stream", e->kind == WY_ERRAND_STREAM, "request_id",
-                    e->key);
+                    caller->prompt, "max_tokens", (json_int_t)o->max_tokens,
+                    "stream", caller->kind == WY_CALLER_STREAM, "request_id",
+                    caller->key);
 }
 
 static char *
-path_of (const struct wy_errand *e)
+request_path (const struct wy_caller *caller)
 {
-  if (e->asking)
-    return g_strdup_printf ("/v1/requests/%s:%s", e->callers->o->service,
-                            e->key);
-  if (e->kind == WY_ERRAND_FILING)
-    return g_strdup_printf ("/services/%s/filings", e->callers->o->service);
+  if (caller->asking_outcome)
+    return g_strdup_printf ("/v1/requests/%s:%s", caller->callers->o->service,
+                            caller->key);
+  if (caller->kind == WY_CALLER_FILING)
+    return g_strdup_printf ("/services/%s/filings",
+                            caller->callers->o->service);
   return g_strdup ("/v1/completions");
 }
 
-/* Send the request of E, or the question for its outcome.  */
+/* Send the request of CALLER, or the query for its outcome.  */
 static void
-attempt (struct wy_errand *e)
+send_attempt (struct wy_caller *caller)
 {
-  json_t *body = e->asking ? NULL : body_of (e);
+  json_t *body = caller->asking_outcome ? NULL : request_body (caller);
   char *text = body ? json_dumps (body, JSON_COMPACT) : g_strdup ("");
-  char *path = path_of (e);
+  char *path = request_path (caller);
   struct wy_http_header_field headers[]
       = { { "content-type", "application/json" },
-          { "idempotency-key", e->key },
+          { "idempotency-key", caller->key },
           { "waxwing-idempotent", "no" } };
   struct wy_http_call_options o
-      = { .method = e->asking ? "GET" : "POST",
+      = { .method = caller->asking_outcome ? "GET" : "POST",
           .path = path,
           .headers = headers,
-          .n_headers = e->kind == WY_ERRAND_FILING ? 3 : 1,
+          .n_headers = caller->kind == WY_CALLER_FILING ? 3 : 1,
           .body = text,
           .body_size_bytes = strlen (text),
-          .timeout_ms = (uint32_t)e->callers->o->timeout_ms,
+          .timeout_ms = (uint32_t)caller->callers->o->timeout_ms,
           .on_head = on_head,
           .on_data = on_data,
-          .on_end = wy_errand_on_end,
-          .ctx = e };
+          .on_end = wy_caller_on_call_end,
+          .ctx = caller };
 
-  e->tries++;
-  e->status = 0;
-  e->has_data = false;
-  g_string_truncate (e->body, 0);
-  wy_entries_target (&e->entries, &o);
-  wy_http_call_start (e->callers->standin->client, &o);
+  caller->tries++;
+  caller->status = 0;
+  caller->has_data = false;
+  g_string_truncate (caller->body, 0);
+  wy_entry_list_set_target (&caller->entries, &o);
+  wy_http_call_start (caller->callers->standin->client, &o);
   json_decref (body);
   g_free (text);
   g_free (path);
 }
 
-/* Begin a new request of the caller of T.  */
+/* Begin a new request of the caller that owns the timer T.  */
 static void
-begin (uv_timer_t *t)
+begin_request (uv_timer_t *t)
 {
-  struct wy_errand *e = t->data;
-  struct wy_callers *c = e->callers;
+  struct wy_caller *caller = t->data;
+  struct wy_callers *c = caller->callers;
   struct wy_rng *rng = &c->standin->rng;
 
   if (c->standin->stopping)
     return;
   c->open++;
-  wy_id_new (c->standin->clock, e->key);
-  g_free (e->request);
-  e->request = g_strdup ("");
-  g_free (e->prompt);
-  e->prompt = g_strdup_printf (
+  wy_id_new (c->standin->clock, caller->key);
+  g_free (caller->request);
+  caller->request = g_strdup ("");
+  g_free (caller->prompt);
+  caller->prompt = g_strdup_printf (
       "Office %u: gauge reading %" G_GINT64_FORMAT
       " at the north wall; which foundation comes first?",
       wy_rng_below (rng, (uint32_t)c->o->prompts), ++c->serial);
-  e->tries = 0;
-  e->asking = false;
-  e->began_us = now_us (e);
+  caller->tries = 0;
+  caller->asking_outcome = false;
+  caller->started_us = now_us (caller);
   wy_trace_event (c->standin->trace, "caller.sent", "{s:s, s:s}", "req", "",
-                  "key", e->key);
-  attempt (e);
+                  "key", caller->key);
+  send_attempt (caller);
 }
 
 static int
-add (struct wy_callers *c, enum wy_errand_kind kind, int64_t n)
+add_callers (struct wy_callers *c, enum wy_caller_kind kind, int64_t n)
 {
   for (int64_t i = 0; i < n; i++)
     {
-      struct wy_errand *e = g_new0 (struct wy_errand, 1);
+      struct wy_caller *caller = g_new0 (struct wy_caller, 1);
 
-      e->callers = c;
-      e->kind = kind;
-      e->body = g_string_new (NULL);
-      if (wy_entries_init (&e->entries, c->o->entries))
+      caller->callers = c;
+      caller->kind = kind;
+      caller->body = g_string_new (NULL);
+      if (wy_entry_list_init (&caller->entries, c->o->entries))
         return -1;
-      e->entries.at = wy_rng_below (&c->standin->rng, e->entries.hosts->len);
-      uv_timer_init (c->standin->loop, &e->timer);
-      e->timer.data = e;
-      rest (e);
+      caller->entries.current
+          = wy_rng_below (&c->standin->rng, caller->entries.hosts->len);
+      uv_timer_init (c->standin->loop, &caller->timer);
+      caller->timer.data = caller;
+      schedule_next (caller);
     }
   return 0;
 }
@@ -222,21 +229,21 @@
   s->state = c;
   c->standin = s;
   c->o = s->settings;
-  wy_callers_books_init (&c->books);
+  wy_callers_stats_init (&c->stats);
   uv_timer_init (s->loop, &c->stop_timer);
   c->stop_timer.data = c;
-  return add (c, WY_ERRAND_WHOLE, c->o->whole)
-         || add (c, WY_ERRAND_STREAM, c->o->stream)
-         || add (c, WY_ERRAND_FILING, c->o->filings);
+  return add_callers (c, WY_CALLER_COMPLETION, c->o->whole)
+         || add_callers (c, WY_CALLER_STREAM, c->o->stream)
+         || add_callers (c, WY_CALLER_FILING, c->o->filings);
 }
 
 static void
-on_stop_limit (uv_timer_t *t)
+on_stop_timeout (uv_timer_t *t)
 {
   quit (t->data);
 }
 
-/* Wait for the requests in progress.  */
+/* Wait for the requests in progress, for STOP_TIMEOUT_MS at most.  */
 static void
 on_stop (struct wy_standin *s)
 {
@@ -245,7 +252,7 @@
   if (c->open == 0)
     quit (c);
   else
-    uv_timer_start (&c->stop_timer, on_stop_limit, STOP_LIMIT_MS, 0);
+    uv_timer_start (&c->stop_timer, on_stop_timeout, STOP_TIMEOUT_MS, 0);
 }
 
 const struct wy_standin_kind wy_standin_callers
--- a/src/standin/callers.h
+++ b/src/standin/callers.h
@@ -1,4 +1,4 @@
-/* Stand-in callers: what their files share.  */
+/* Simulated callers: declarations shared by callers*.c.  */
 #ifndef WY_STANDIN_CALLERS_H
 #define WY_STANDIN_CALLERS_H
 
@@ -7,21 +7,21 @@
 #include "standin/entry_list.h"
 #include "standin/standin.h"
 
-enum wy_errand_kind
+enum wy_caller_kind
 {
-  WY_ERRAND_WHOLE,
-  WY_ERRAND_STREAM,
-  WY_ERRAND_FILING,
-  WY_ERRAND_KINDS
+  WY_CALLER_COMPLETION,
+  WY_CALLER_STREAM,
+  WY_CALLER_FILING,
+  WY_CALLER_KINDS
 };
 
-enum wy_errand_end
+enum wy_caller_outcome
 {
-  WY_ERRAND_ANSWERED,
-  WY_ERRAND_NOT_RUN, /* refused, proven not to have run */
-  WY_ERRAND_UNKNOWN, /* may have run */
-  WY_ERRAND_FAILED,  /* ran and failed */
-  WY_ERRAND_ENDS
+  WY_CALLER_OUTCOME_OK,
+  WY_CALLER_OUTCOME_NOT_RUN, /* rejected, known not to have run */
+  WY_CALLER_OUTCOME_UNKNOWN, /* may have run */
+  WY_CALLER_OUTCOME_FAILED,  /* ran and failed */
+  WY_CALLER_OUTCOMES
 };
 
 struct wy_callers_settings
@@ -46,65 +46,66 @@
 
 extern const struct wy_setting wy_callers_table[WY_CALLERS_SETTINGS];
 
-struct wy_callers_books
+struct wy_callers_stats
 {
-  uint64_t ends[WY_ERRAND_KINDS][WY_ERRAND_ENDS];
-  uint64_t refusals; /* answers that said "not run", also repeated ones */
+  uint64_t outcomes[WY_CALLER_KINDS][WY_CALLER_OUTCOMES];
+  uint64_t not_run_responses; /* responses with "ran" no, retries included */
   uint64_t resent;
   uint64_t outcomes_asked;
-  uint64_t cut; /* streams that ended before they were whole */
+  uint64_t partial; /* streams that ended early */
   uint64_t spliced;
   uint64_t duplicates;
-  struct wy_hist latency_us[WY_ERRAND_KINDS];
-  struct wy_hist first_us; /* until the first token of a stream */
-  json_t *filings;         /* key -> how it ended */
+  struct wy_hist latency_us[WY_CALLER_KINDS];
+  struct wy_hist first_token_us; /* time to the first token of a stream */
+  json_t *filings;               /* key -> outcome */
 };
 
-/* What the text of a completion proves.  */
+/* Result of checking the text of a completion.  */
 enum wy_text_verdict
 {
   WY_TEXT_COMPLETE,
   WY_TEXT_PARTIAL,
-  WY_TEXT_SPLICED /* tokens of two runs, missing or twice */
+  WY_TEXT_SPLICED /* tokens of several runs, missing or repeated */
 };
 
 struct wy_callers
 {
   struct wy_standin *standin;
   const struct wy_callers_settings *o;
-  struct wy_callers_books books;
+  struct wy_callers_stats stats;
   guint open; /* requests in progress */
   int64_t serial;
   uv_timer_t stop_timer;
 };
 
-/* One caller and its request.  */
-struct wy_errand
+/* One caller and its current request.  */
+struct wy_caller
 {
   struct wy_callers *callers;
-  enum wy_errand_kind kind;
-  struct wy_entries entries;
+  enum wy_caller_kind kind;
+  struct wy_entry_list entries;
   uv_timer_t timer;
   char key[WY_ID_SIZE_BYTES];
-  char *request; /* as the service names it, or "" */
+  char *request; /* id given by the service, or "" */
   char *prompt;
   int64_t tries;
-  int64_t began_us;
-  bool asking; /* for the outcome, not for the answer */
+  int64_t started_us;
+  bool asking_outcome; /* queries the outcome instead of sending the request */
   int status;
   bool has_data;
   GString *body;
 };
 
-void wy_errand_end (struct wy_errand *e, enum wy_errand_end how);
-void wy_errand_again (struct wy_errand *e, int64_t after_ms,
-                      enum wy_errand_end how);
-void wy_errand_on_end (void *ctx, int err);
+void wy_caller_finish (struct wy_caller *caller,
+                       enum wy_caller_outcome outcome);
+void wy_caller_retry (struct wy_caller *caller, int64_t after_ms,
+                      enum wy_caller_outcome outcome);
+void wy_caller_on_call_end (void *ctx, int err);
 
 enum wy_text_verdict wy_callers_check_text (const char *text);
 char *wy_callers_join_events (const char *events, bool *done);
-void wy_callers_books_init (struct wy_callers_books *b);
-void wy_callers_books_write (const struct wy_callers_books *b,
-                             const struct wy_callers_settings *o);
+void wy_callers_stats_init (struct wy_callers_stats *stats);
+void wy_callers_report_write (const struct wy_callers_stats *stats,
+                              const struct wy_callers_settings *o);
 
 #endif
--- a/src/standin/callers_report.c
+++ b/src/standin/callers_report.c
@@ -1,4 +1,4 @@
-/* Settings of the stand-in callers, and what they note.  */
+/* Settings and report of the simulated callers.  */
 #include <stddef.h>
 
 #include "standin/callers.h"
@@ -34,20 +34,20 @@
     "entries are engines, called without the service in between" },
 };
 
-static const char *const kind_names[WY_ERRAND_KINDS]
+static const char *const kind_names[WY_CALLER_KINDS]
     = { "whole", "stream", "filing" };
-static const char *const end_names[WY_ERRAND_ENDS]
+static const char *const outcome_names[WY_CALLER_OUTCOMES]
     = { "answered", "refused_not_run", "unknown", "failed" };
 
-/* Make B empty.  */
+/* Initialise STATS with no requests counted.  */
 void
-wy_callers_books_init (struct wy_callers_books *b)
+wy_callers_stats_init (struct wy_callers_stats *stats)
 {
-  *b = (struct wy_callers_books){ .filings = json_object () };
+  *stats = (struct wy_callers_stats){ .filings = json_object () };
 }
 
 static json_t *
-latency (const struct wy_hist *h)
+latency_json (const struct wy_hist *h)
 {
   return json_pack ("{s:I, s:f, s:f, s:f}", "n", (json_int_t)h->n, "p50_ms",
                     (double)wy_hist_quantile (h, 0.5) / WY_US_PER_MS, "p99_ms",
@@ -55,28 +55,30 @@
                     "max_ms", (double)h->max / WY_US_PER_MS);
 }
 
-/* Write the report.  */
+/* Write the report STATS to the file that the settings O name, if any.  */
 void
-wy_callers_books_write (const struct wy_callers_books *b,
-                        const struct wy_callers_settings *o)
+wy_callers_report_write (const struct wy_callers_stats *stats,
+                         const struct wy_callers_settings *o)
 {
-  json_t *j = json_pack (
-      "{s:I, s:I, s:I, s:I, s:I, s:I, s:o}", "refusals",
-      (json_int_t)b->refusals, "resent", (json_int_t)b->resent,
-      "outcomes_asked", (json_int_t)b->outcomes_asked, "cut",
-      (json_int_t)b->cut, "spliced", (json_int_t)b->spliced, "duplicates",
-      (json_int_t)b->duplicates, "first_token", latency (&b->first_us));
+  json_t *j = json_pack ("{s:I, s:I, s:I, s:I, s:I, s:I, s:o}", "refusals",
+                         (json_int_t)stats->not_run_responses, "resent",
+                         (json_int_t)stats->resent, "outcomes_asked",
+                         (json_int_t)stats->outcomes_asked, "cut",
+                         (json_int_t)stats->partial, "spliced",
+                         (json_int_t)stats->spliced, "duplicates",
+                         (json_int_t)stats->duplicates, "first_token",
+                         latency_json (&stats->first_token_us));
 
-  for (int k = 0; k < WY_ERRAND_KINDS; k++)
+  for (int k = 0; k < WY_CALLER_KINDS; k++)
     {
-      json_t *kind = latency (&b->latency_us[k]);
+      json_t *kind = latency_json (&stats->latency_us[k]);
 
-      for (int e = 0; e < WY_ERRAND_ENDS; e++)
-        json_object_set_new (kind, end_names[e],
-                             json_integer ((json_int_t)b->ends[k][e]));
+      for (int e = 0; e < WY_CALLER_OUTCOMES; e++)
+        json_object_set_new (kind, outcome_names[e],
+                             json_integer ((json_int_t)stats->outcomes[k][e]));
       json_object_set_new (j, kind_names[k], kind);
     }
-  json_object_set (j, "filings", b->filings);
+  json_object_set (j, "filings", stats->filings);
   if (*o->report)
     json_dump_file (j, o->report, JSON_INDENT (2));
   json_decref (j);
--- a/src/standin/callers_response.c
+++ b/src/standin/callers_response.c
@@ -1,4 +1,4 @@
-/* What callers make of an answer, a refusal or a lost connection.  */
+/* Handling of responses, rejections and lost connections by the callers.  */
 #include <stdio.h>
 #include <string.h>
 
@@ -8,11 +8,11 @@
 
 enum
 {
-  AGAIN_MS = 200
+  RETRY_DELAY_MS = 200
 };
 
 static const char *
-ran_of (const json_t *problem)
+ran_field (const json_t *problem)
 {
   const char *ran = json_string_value (json_object_get (problem, "ran"));
 
@@ -20,136 +20,140 @@
 }
 
 static void
-note_got (struct wy_errand *e, const char *ran)
+log_response (struct wy_caller *caller, const char *ran)
 {
   char digest[2 * sizeof (XXH64_hash_t) + 1] = "";
 
-  /* The text of a whole completion is made from what the target sent, so
-     only other bodies can be compared.  */
-  if (e->kind != WY_ERRAND_WHOLE)
-    snprintf (digest, sizeof digest, "%016llx",
-              (unsigned long long)XXH64 (e->body->str, e->body->len, 0));
-  wy_trace_event (e->callers->standin->trace, "caller.got",
-                  "{s:s, s:s, s:i, s:s, s:s}", "req", e->request, "key",
-                  e->key, "status", e->status, "ran", ran, "digest", digest);
+  /* The service assembles the text of an unstreamed completion from the
+     target's stream, so the digest would not match the target's.  */
+  if (caller->kind != WY_CALLER_COMPLETION)
+    snprintf (
+        digest, sizeof digest, "%016llx",
+        (unsigned long long)XXH64 (caller->body->str, caller->body->len, 0));
+  wy_trace_event (caller->callers->standin->trace, "caller.got",
+                  "{s:s, s:s, s:i, s:s, s:s}", "req", caller->request, "key",
+                  caller->key, "status", caller->status, "ran", ran, "digest",
+                  digest);
 }
 
 static void
-ask_outcome (struct wy_errand *e)
+ask_outcome (struct wy_caller *caller)
 {
-  e->asking = true;
-  e->callers->books.outcomes_asked++;
-  wy_errand_again (e, AGAIN_MS, WY_ERRAND_UNKNOWN);
+  caller->asking_outcome = true;
+  caller->callers->stats.outcomes_asked++;
+  wy_caller_retry (caller, RETRY_DELAY_MS, WY_CALLER_OUTCOME_UNKNOWN);
 }
 
-/* What became of a filing whose answer was lost.  */
+/* Handle the outcome of a filing whose response was lost.  */
 static void
-take_outcome (struct wy_errand *e, const json_t *j)
+handle_outcome (struct wy_caller *caller, const json_t *j)
 {
-  const char *ran = ran_of (j);
+  const char *ran = ran_field (j);
 
-  if (e->status == 200 && !strcmp (ran, "yes"))
-    wy_errand_end (
-        e, WY_ERRAND_UNKNOWN); /* executed, the answer itself is lost */
-  else if (e->status == 200 && !strcmp (ran, "no"))
+  if (caller->status == 200 && !strcmp (ran, "yes"))
+    wy_caller_finish (
+        caller,
+        WY_CALLER_OUTCOME_UNKNOWN); /* executed, but the response is lost */
+  else if (caller->status == 200 && !strcmp (ran, "no"))
     {
-      e->asking = false;
-      wy_errand_again (e, AGAIN_MS, WY_ERRAND_NOT_RUN);
+      caller->asking_outcome = false;
+      wy_caller_retry (caller, RETRY_DELAY_MS, WY_CALLER_OUTCOME_NOT_RUN);
     }
   else
-    wy_errand_again (e, AGAIN_MS, WY_ERRAND_UNKNOWN);
+    wy_caller_retry (caller, RETRY_DELAY_MS, WY_CALLER_OUTCOME_UNKNOWN);
 }
 
 static void
-take_filing (struct wy_errand *e, const json_t *j)
+handle_filing (struct wy_caller *caller, const json_t *j)
 {
   const char *key = json_string_value (json_object_get (j, "key"));
 
   if (json_integer_value (json_object_get (j, "executions")) != 1)
-    e->callers->books.duplicates++;
-  if (!key || strcmp (key, e->key) != 0)
-    e->callers->books.spliced++;
-  wy_errand_end (e, WY_ERRAND_ANSWERED);
+    caller->callers->stats.duplicates++;
+  if (!key || strcmp (key, caller->key) != 0)
+    caller->callers->stats.spliced++;
+  wy_caller_finish (caller, WY_CALLER_OUTCOME_OK);
 }
 
 static void
-take_text (struct wy_errand *e, const json_t *j)
+handle_completion (struct wy_caller *caller, const json_t *j)
 {
   bool done = true;
   char *text;
-  const char *whole = json_string_value (json_object_get (
+  const char *full_text = json_string_value (json_object_get (
       json_array_get (json_object_get (j, "choices"), 0), "text"));
 
-  if (e->kind == WY_ERRAND_STREAM)
-    text = wy_callers_join_events (e->body->str, &done);
+  if (caller->kind == WY_CALLER_STREAM)
+    text = wy_callers_join_events (caller->body->str, &done);
   else
-    text = g_strdup (whole ? whole : "");
+    text = g_strdup (full_text ? full_text : "");
   switch (wy_callers_check_text (text))
     {
     case WY_TEXT_COMPLETE:
       if (done)
         {
-          wy_errand_end (e, WY_ERRAND_ANSWERED);
+          wy_caller_finish (caller, WY_CALLER_OUTCOME_OK);
           break;
         }
       /* fall through */
     case WY_TEXT_PARTIAL:
-      e->callers->books.cut++;
-      wy_errand_again (e, AGAIN_MS, WY_ERRAND_UNKNOWN);
+      caller->callers->stats.partial++;
+      wy_caller_retry (caller, RETRY_DELAY_MS, WY_CALLER_OUTCOME_UNKNOWN);
       break;
     case WY_TEXT_SPLICED:
-      e->callers->books.spliced++;
-      wy_errand_end (e, WY_ERRAND_ANSWERED);
+      caller->callers->stats.spliced++;
+      wy_caller_finish (caller, WY_CALLER_OUTCOME_OK);
       break;
     }
   g_free (text);
 }
 
 static void
-take_refusal (struct wy_errand *e, const json_t *j)
+handle_error (struct wy_caller *caller, const json_t *j)
 {
-  const char *ran = ran_of (j);
+  const char *ran = ran_field (j);
   int64_t after_ms
       = json_integer_value (json_object_get (j, "retry_after_ms"));
 
   if (!strcmp (ran, "no"))
     {
-      e->callers->books.refusals++;
-      wy_errand_again (e, MAX (after_ms, AGAIN_MS), WY_ERRAND_NOT_RUN);
+      caller->callers->stats.not_run_responses++;
+      wy_caller_retry (caller, MAX (after_ms, RETRY_DELAY_MS),
+                       WY_CALLER_OUTCOME_NOT_RUN);
     }
-  else if (e->kind == WY_ERRAND_FILING)
-    ask_outcome (e);
+  else if (caller->kind == WY_CALLER_FILING)
+    ask_outcome (caller);
   else
-    wy_errand_again (e, MAX (after_ms, AGAIN_MS),
-                     strcmp (ran, "yes") != 0 ? WY_ERRAND_UNKNOWN
-                                              : WY_ERRAND_FAILED);
+    wy_caller_retry (caller, MAX (after_ms, RETRY_DELAY_MS),
+                     strcmp (ran, "yes") != 0 ? WY_CALLER_OUTCOME_UNKNOWN
+                                              : WY_CALLER_OUTCOME_FAILED);
 }
 
-/* The call of the errand CTX has ended with ERR.  */
+/* The call of the caller CTX has ended with ERR, 0 or a WY_HTTP_E code.  */
 void
-wy_errand_on_end (void *ctx, int err)
+wy_caller_on_call_end (void *ctx, int err)
 {
-  struct wy_errand *e = ctx;
-  json_t *j = json_loadb (e->body->str, e->body->len, 0, NULL);
+  struct wy_caller *caller = ctx;
+  json_t *j = json_loadb (caller->body->str, caller->body->len, 0, NULL);
 
-  if (err || e->status == 0)
+  if (err || caller->status == 0)
     {
-      /* With a key it is safe to send again: the service tells a repeated
-         request.  Without one only idempotent requests are sent.  */
-      e->callers->books.cut += e->has_data;
-      wy_errand_again (e, AGAIN_MS, WY_ERRAND_UNKNOWN);
+      /* A request with a key can be retried safely, as the service recognises
+         duplicates; requests without a key are idempotent.  */
+      caller->callers->stats.partial += caller->has_data;
+      wy_caller_retry (caller, RETRY_DELAY_MS, WY_CALLER_OUTCOME_UNKNOWN);
     }
-  else if (e->asking)
-    take_outcome (e, j);
+  else if (caller->asking_outcome)
+    handle_outcome (caller, j);
   else
     {
-      note_got (e, e->status == 200 ? "yes" : ran_of (j));
-      if (e->status != 200)
-        take_refusal (e, j);
-      else if (e->kind == WY_ERRAND_FILING)
-        take_filing (e, j);
+      log_response (caller, caller->status == 200 ? "yes" : ran_field (j));
+      if (caller->status != 200)
+        handle_error (caller, j);
+      else if (caller->kind == WY_CALLER_FILING)
+        handle_filing (caller, j);
       else
-        take_text (e, j);
+        handle_completion (caller, j);
     }
   json_decref (j);
 }
--- a/src/standin/callers_text.c
+++ b/src/standin/callers_text.c
@@ -1,12 +1,12 @@
-/* Reading of completions: the stand-in engine names the run and the index in
-   the text of each token (" RUN:INDEX", the last one with a full stop), so a
-   text proves by itself whether it is whole and of one run.  */
+/* Checking of completions.  The engine stand-in writes each token as
+   " RUN:INDEX", the last one followed by a full stop, so that the text itself
+   shows whether it is complete and from a single run.  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "standin/callers.h"
 
-/* Tell whether TEXT is the whole text of one run.  */
+/* Return whether TEXT is the complete text of a single run.  */
 enum wy_text_verdict
 wy_callers_check_text (const char *text)
 {
@@ -35,8 +35,8 @@
   return v;
 }
 
-/* Join the texts of the server-sent EVENTS, to be freed by the caller; DONE
-   tells whether the last event was there.  */
+/* Return the concatenated texts of the server-sent EVENTS, which the caller
+   frees.  *DONE is set to whether the final event was among them.  */
 char *
 wy_callers_join_events (const char *events, bool *done)
 {
--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -1,5 +1,5 @@
-/* Model engine: continuous batching on a timer, its control calls and its
-   lagging reports.  */
+/* Stand-in of a model engine: continuous batching driven by a timer, control
+   calls and delayed load reports.  */
 #include "standin/engine.h"
 
 #include <stddef.h>
@@ -7,21 +7,21 @@
 
 #include "standin/kinds.h"
 
-static void on_step (uv_timer_t *t);
+static void on_step_timer (uv_timer_t *t);
 
-/* Microseconds of the monotonic clock.  */
+/* Return the monotonic time in microseconds.  */
 int64_t
 wy_engine_now_us (const struct wy_engine *e)
 {
   return wy_clock_mono_us (e->standin->clock);
 }
 
-/* Do what is due and set the timer for the next step.  */
+/* Run the steps that are due and set the timer for the next one.  */
 void
-wy_engine_turn (struct wy_engine *e)
+wy_engine_run_due_steps (struct wy_engine *e)
 {
   struct wy_standin_fault *slow
-      = wy_standin_fault_on (e->standin, WY_FAULT_SLOW);
+      = wy_standin_active_fault (e->standin, WY_FAULT_SLOW);
   int64_t slow_us = slow ? (int64_t)(slow->value * WY_US_PER_MS) : 0;
   int64_t now_us = wy_engine_now_us (e);
   int64_t next_us = wy_engine_batch_advance (&e->batch, now_us, slow_us);
@@ -30,21 +30,22 @@
   if (next_us == 0)
     return;
   uv_update_time (e->standin->loop);
-  /* Rounded up: a timer that fires early would only spin.  Steps are counted
-     from the end of the one before, so that the rate stays right.  */
+  /* Rounded up: a timer that fires early would only spin.  A step starts at
+     the computed end of the previous one, so rounding does not lower the
+     token rate.  */
   wait_us = (uint64_t)MAX (next_us - now_us, 0);
-  uv_timer_start (&e->step_timer, on_step,
+  uv_timer_start (&e->step_timer, on_step_timer,
                   (wait_us + WY_US_PER_MS - 1) / WY_US_PER_MS, 0);
 }
 
 static void
-on_step (uv_timer_t *t)
+on_step_timer (uv_timer_t *t)
 {
-  wy_engine_turn (t->data);
+  wy_engine_run_due_steps (t->data);
 }
 
 static void
-take_load (uv_timer_t *t)
+update_load_report (uv_timer_t *t)
 {
   struct wy_engine *e = t->data;
   const GQueue *q = e->batch.queue;
@@ -66,30 +67,30 @@
 {
   struct wy_engine *e = s->state;
 
-  if (wy_standin_is (c, "POST", "/v1/completions"))
-    wy_engine_complete (e, c);
-  else if (wy_standin_is (c, "POST", "/control/cancel"))
+  if (wy_standin_matches (c, "POST", "/v1/completions"))
+    wy_engine_start_completion (e, c);
+  else if (wy_standin_matches (c, "POST", "/control/cancel"))
     wy_engine_cancel (e, c);
-  else if (wy_standin_is (c, "POST", "/control/pause"))
+  else if (wy_standin_matches (c, "POST", "/control/pause"))
     wy_engine_pause (e, c, false);
-  else if (wy_standin_is (c, "POST", "/control/resume"))
+  else if (wy_standin_matches (c, "POST", "/control/resume"))
     wy_engine_pause (e, c, true);
-  else if (wy_standin_is (c, "POST", "/control/export"))
+  else if (wy_standin_matches (c, "POST", "/control/export"))
     wy_engine_export (e, c);
-  else if (wy_standin_is (c, "POST", "/control/import"))
+  else if (wy_standin_matches (c, "POST", "/control/import"))
     wy_engine_import (e, c);
-  else if (wy_standin_is (c, "POST", "/control/order"))
-    wy_engine_order (e, c);
-  else if (wy_standin_is (c, "GET", "/control/load"))
-    wy_standin_answer (c, 200, json_incref (e->load));
-  else if (wy_standin_is (c, "GET", "/control/cache-events"))
-    wy_standin_answer (
+  else if (wy_standin_matches (c, "POST", "/control/order"))
+    wy_engine_handle_order (e, c);
+  else if (wy_standin_matches (c, "GET", "/control/load"))
+    wy_standin_respond_json (c, 200, json_incref (e->load));
+  else if (wy_standin_matches (c, "GET", "/control/cache-events"))
+    wy_standin_respond_json (
         c, 200,
         wy_engine_cache_events (&e->batch.cache,
                                 wy_standin_query_number (c, "after", 0),
                                 wy_engine_now_us (e) / WY_US_PER_MS));
   else
-    wy_standin_answer (c, 404, NULL);
+    wy_standin_respond_json (c, 404, NULL);
 }
 
 static void
@@ -122,7 +123,7 @@
   e->standin = s;
   e->o = s->settings;
   e->streams = g_hash_table_new (g_str_hash, g_str_equal);
-  /* Not the seed alone: a restarted engine must not repeat its nonces.  */
+  /* Not the seed alone, as a restarted engine must not repeat its nonces.  */
   wy_rng_seed (&e->rng, wy_rng_u64 (&s->rng) ^ (uint64_t)uv_hrtime ());
   init_batch (e);
   wy_engine_order_init (e);
@@ -130,9 +131,9 @@
   e->step_timer.data = e;
   uv_timer_init (s->loop, &e->load_timer);
   e->load_timer.data = e;
-  take_load (&e->load_timer);
-  uv_timer_start (&e->load_timer, take_load, (uint64_t)e->o->load_lag_ms,
-                  (uint64_t)e->o->load_lag_ms);
+  update_load_report (&e->load_timer);
+  uv_timer_start (&e->load_timer, update_load_report,
+                  (uint64_t)e->o->load_lag_ms, (uint64_t)e->o->load_lag_ms);
   if (e->batch.version)
     wy_trace_event (s->trace, "engine.version", "{s:I}", "version",
                     (json_int_t)e->batch.version);
--- a/src/standin/engine.h
+++ b/src/standin/engine.h
@@ -1,4 +1,4 @@
-/* Stand-in engine: what its files share.  */
+/* Engine stand-in: declarations shared by engine*.c.  */
 #ifndef WY_STANDIN_ENGINE_H
 #define WY_STANDIN_ENGINE_H
 
@@ -33,7 +33,8 @@
 
 extern const struct wy_setting wy_engine_table[WY_ENGINE_SETTINGS];
 
-/* Staging of a version: its size, then its bytes chunk by chunk.  */
+/* Download of a version of the weights: first its size, then its bytes in
+   chunks.  */
 struct wy_engine_stage
 {
   int64_t version; /* 0: none in progress */
@@ -43,7 +44,7 @@
   char *host;
   uint16_t port;
   uv_timer_t timer;
-  GPtrArray *calls; /* struct wy_standin_call that wait for it */
+  GPtrArray *calls; /* struct wy_standin_call *, waiting for its end */
 };
 
 struct wy_engine
@@ -53,21 +54,22 @@
   struct wy_engine_batch batch;
   uv_timer_t step_timer;
   uv_timer_t load_timer;
-  json_t *load;        /* as it was when last taken */
+  json_t *load;        /* load report, renewed every load_lag_ms */
   GHashTable *streams; /* request id -> struct wy_engine_stream */
   struct wy_rng rng;
   struct wy_engine_stage stage;
   int64_t staged;
   int64_t fence;
-  int64_t activating;
+  int64_t activating_version;
   uv_timer_t activate_timer;
-  struct wy_standin_call *activate_call;
+  struct wy_standin_call *activation_call;
 };
 
 int64_t wy_engine_now_us (const struct wy_engine *e);
-void wy_engine_turn (struct wy_engine *e);
+void wy_engine_run_due_steps (struct wy_engine *e);
 
-void wy_engine_complete (struct wy_engine *e, struct wy_standin_call *c);
+void wy_engine_start_completion (struct wy_engine *e,
+                                 struct wy_standin_call *c);
 void wy_engine_import (struct wy_engine *e, struct wy_standin_call *c);
 void wy_engine_cancel (struct wy_engine *e, struct wy_standin_call *c);
 void wy_engine_pause (struct wy_engine *e, struct wy_standin_call *c,
@@ -77,7 +79,7 @@
 void wy_engine_on_done (struct wy_engine_stream *s, void *ctx);
 
 void wy_engine_order_init (struct wy_engine *e);
-void wy_engine_order (struct wy_engine *e, struct wy_standin_call *c);
+void wy_engine_handle_order (struct wy_engine *e, struct wy_standin_call *c);
 void wy_engine_stage_start (struct wy_engine *e, struct wy_standin_call *c,
                             int64_t version, const char *source);
 
--- a/src/standin/engine_batch.c
+++ b/src/standin/engine_batch.c
@@ -1,18 +1,18 @@
-/* Continuous batching: every step makes one token for each running stream,
-   and takes longer the more streams run.  All that arrives is admitted; what
-   finds no slot or no KV memory waits in order of arrival.  */
+/* Continuous batching: each step makes one token for every running stream and
+   takes longer the more streams run.  All streams are accepted; those without
+   a slot or KV memory wait in order of arrival.  */
 #include "standin/engine_batch.h"
 
 #include "base/clock.h"
 
 enum
 {
-  /* After a pause of the process the steps missed are not made up: a real
-     engine makes no tokens while it is stopped.  */
+  /* Steps missed by more than this while the process was stopped are skipped,
+     as a real engine makes no tokens while it is stopped.  */
   CATCH_UP_MAX_US = 50000
 };
 
-/* Make B empty.  */
+/* Initialise B without streams.  */
 void
 wy_engine_batch_init (struct wy_engine_batch *b,
                       const struct wy_engine_batch_options *o)
@@ -23,7 +23,7 @@
     g_queue_init (&b->queue[i]);
 }
 
-/* Free S, which must have left its batch.  */
+/* Free S, which must not be in a batch.  */
 void
 wy_engine_stream_free (struct wy_engine_stream *s)
 {
@@ -36,7 +36,7 @@
   g_free (s);
 }
 
-/* The segments of S as JSON.  */
+/* Return the segments of S as a JSON array.  */
 json_t *
 wy_engine_segments_json (const struct wy_engine_stream *s)
 {
@@ -55,20 +55,20 @@
 }
 
 static void
-move (struct wy_engine_batch *b, struct wy_engine_stream *s,
-      enum wy_engine_place to)
+move_to_queue (struct wy_engine_batch *b, struct wy_engine_stream *s,
+               enum wy_engine_stream_state to)
 {
-  g_queue_unlink (&b->queue[s->place], &s->link);
-  s->place = to;
+  g_queue_unlink (&b->queue[s->state], &s->link);
+  s->state = to;
   g_queue_push_tail_link (&b->queue[to], &s->link);
 }
 
-/* Admit S, whatever the load.  */
+/* Queue S for a slot, whatever the load.  */
 void
 wy_engine_batch_add (struct wy_engine_batch *b, struct wy_engine_stream *s)
 {
   s->link.data = s;
-  s->place = WY_ENGINE_WAITING;
+  s->state = WY_ENGINE_WAITING;
   g_queue_push_tail_link (&b->queue[WY_ENGINE_WAITING], &s->link);
 }
 
@@ -82,33 +82,34 @@
   s->prefix = NULL;
 }
 
-/* Take S out of the batch.  */
+/* Remove S from the batch and release its KV memory.  */
 void
 wy_engine_batch_remove (struct wy_engine_batch *b, struct wy_engine_stream *s)
 {
   release_kv (b, s);
-  g_queue_unlink (&b->queue[s->place], &s->link);
+  g_queue_unlink (&b->queue[s->state], &s->link);
 }
 
-/* Take the slot of S, not its KV memory.  */
+/* Pause S: it loses its slot but keeps its KV memory.  */
 void
 wy_engine_batch_pause (struct wy_engine_batch *b, struct wy_engine_stream *s)
 {
-  move (b, s, WY_ENGINE_PAUSED);
+  move_to_queue (b, s, WY_ENGINE_PAUSED);
 }
 
-/* Let S wait for a slot again, before those that never ran.  */
+/* Queue the paused stream S for a slot, ahead of all waiting streams.  */
 void
 wy_engine_batch_resume (struct wy_engine_batch *b, struct wy_engine_stream *s)
 {
-  if (s->place != WY_ENGINE_PAUSED)
+  if (s->state != WY_ENGINE_PAUSED)
     return;
   g_queue_unlink (&b->queue[WY_ENGINE_PAUSED], &s->link);
-  s->place = WY_ENGINE_WAITING;
+  s->state = WY_ENGINE_WAITING;
   g_queue_push_head_link (&b->queue[WY_ENGINE_WAITING], &s->link);
 }
 
-/* Take N tokens of KV memory, evicting cached prefixes when needed.  */
+/* Allocate KV memory for N tokens, evicting cached prefixes as needed.  Return
+   false if there is not enough.  */
 static bool
 take_kv (struct wy_engine_batch *b, uint32_t n, int64_t now_us)
 {
@@ -125,17 +126,18 @@
   return true;
 }
 
-/* Give S its prompt's KV memory; what is not cached takes prefill time.  */
+/* Allocate KV memory for the prompt of S and set the time its prefill ends;
+   only the part that is not cached needs prefill.  */
 static bool
 admit (struct wy_engine_batch *b, struct wy_engine_stream *s, int64_t now_us)
 {
   uint32_t prefix_tokens = MIN (
-      s->prompt_tokens, wy_engine_tokens_of (WY_ENGINE_PREFIX_SIZE_BYTES));
+      s->prompt_tokens, wy_engine_token_count (WY_ENGINE_PREFIX_SIZE_BYTES));
   uint32_t own = s->prompt_tokens - prefix_tokens + s->next;
   uint32_t prefill = own;
 
   if (s->kv || s->prefix)
-    return true; /* resumed, its memory is still there */
+    return true; /* resumed with its KV memory */
   s->prefix = wy_engine_cache_use (&b->cache, s->prefix_name);
   if (!s->prefix)
     {
@@ -172,7 +174,7 @@
 
       if (!admit (b, s, now_us))
         return;
-      move (b, s, WY_ENGINE_RUNNING);
+      move_to_queue (b, s, WY_ENGINE_RUNNING);
     }
 }
 
@@ -193,15 +195,16 @@
   b->o.on_token (s, b->o.ctx);
 }
 
-/* Make one token for each running stream that is prefilled and finds KV
-   memory.  Returns whether any of them made progress or is in prefill.  */
+/* Make one token for each running stream whose prefill is done and for which
+   there is KV memory.  Return whether any stream made progress or is in
+   prefill.  */
 static bool
 make_tokens (struct wy_engine_batch *b, int64_t now_us)
 {
   bool progress = false;
   GList *prev;
 
-  /* The youngest first, so that in short memory the oldest stalls.  */
+  /* Youngest first, so that the oldest stall when memory is short.  */
   for (GList *l = b->queue[WY_ENGINE_RUNNING].tail; l; l = prev)
     {
       struct wy_engine_stream *s = l->data;
@@ -225,8 +228,8 @@
   return progress;
 }
 
-/* Break a standstill: the youngest stream gives its memory up and computes
-   it again later, else nothing would ever move.  */
+/* Resolve a deadlock in which no running stream gets KV memory: preempt the
+   youngest, which computes its KV state again later.  */
 static void
 preempt_youngest (struct wy_engine_batch *b)
 {
@@ -237,7 +240,7 @@
     return;
   release_kv (b, s);
   g_queue_unlink (&b->queue[WY_ENGINE_RUNNING], &s->link);
-  s->place = WY_ENGINE_WAITING;
+  s->state = WY_ENGINE_WAITING;
   g_queue_push_head_link (&b->queue[WY_ENGINE_WAITING], &s->link);
 }
 
@@ -251,8 +254,8 @@
   return (int64_t)(us / b->o.time_scale) + slow_us;
 }
 
-/* Do all steps that end by NOW_US, each SLOW_US longer than it need be.
-   Returns the time the next step ends, or 0 when nothing runs.  */
+/* Run all steps that end by NOW_US, each lengthened by SLOW_US.  Return the
+   time at which the next step ends, or 0 if nothing runs.  */
 int64_t
 wy_engine_batch_advance (struct wy_engine_batch *b, int64_t now_us,
                          int64_t slow_us)
@@ -278,7 +281,7 @@
   return b->step_at_us;
 }
 
-/* Make no token until UNTIL_US, as while weights are swapped.  */
+/* Make no tokens until UNTIL_US, as during a change of weights.  */
 void
 wy_engine_batch_stall (struct wy_engine_batch *b, int64_t until_us)
 {
@@ -286,7 +289,7 @@
     b->step_at_us = MAX (b->step_at_us, until_us);
 }
 
-/* Put VERSION in force for every token from now on.  */
+/* Use VERSION of the weights for all tokens from now on.  */
 void
 wy_engine_batch_swap (struct wy_engine_batch *b, int64_t version,
                       int64_t now_us)
--- a/src/standin/engine_batch.h
+++ b/src/standin/engine_batch.h
@@ -1,4 +1,4 @@
-/* Continuous batching of the stand-in engine, without I/O.  */
+/* Continuous batching of the engine stand-in, without I/O.  */
 #ifndef WY_STANDIN_ENGINE_BATCH_H
 #define WY_STANDIN_ENGINE_BATCH_H
 
@@ -10,14 +10,14 @@
 
 #include "standin/engine_cache.h"
 
-enum wy_engine_place
+enum wy_engine_stream_state
 {
   WY_ENGINE_WAITING,
   WY_ENGINE_RUNNING,
   WY_ENGINE_PAUSED
 };
 
-/* Tokens FROM up to, not including, TO came from VERSION.  */
+/* Tokens FROM to TO - 1 were made with VERSION of the weights.  */
 struct wy_engine_segment
 {
   int64_t version;
@@ -29,18 +29,18 @@
 {
   char *request_id;
   char *run;
-  char *nonce; /* in the text of each token; survives a move */
+  char *nonce; /* in the text of each token; kept when exported */
   char *prompt;
   char *prefix_name;
   uint32_t prompt_tokens;
-  uint32_t next; /* index of the token that comes next */
+  uint32_t next; /* index of the next token */
   uint32_t total;
   bool by_length; /* ends at max_tokens */
-  bool prefilled; /* its KV came with an import */
-  enum wy_engine_place place;
-  GList link;       /* in the queue of its place */
-  int64_t ready_us; /* prefill is done then */
-  uint32_t kv;      /* tokens held, without the cached prefix */
+  bool prefilled; /* its KV memory was imported */
+  enum wy_engine_stream_state state;
+  GList link;       /* in the queue of its state */
+  int64_t ready_us; /* end of its prefill */
+  uint32_t kv;      /* tokens allocated, without the cached prefix */
   struct wy_engine_prefix *prefix;
   GArray *segments; /* struct wy_engine_segment */
   void *ctx;
@@ -55,9 +55,9 @@
   uint32_t kv_total; /* tokens */
   double time_scale; /* 2: twice as fast */
   struct wy_engine_cache_options cache;
-  /* A token was made; its index is s->next - 1.  */
+  /* Called for each token made; its index is s->next - 1.  */
   void (*on_token) (struct wy_engine_stream *s, void *ctx);
-  /* All tokens were made; the stream has left the batch.  */
+  /* Called when all tokens are made and the stream has left the batch.  */
   void (*on_done) (struct wy_engine_stream *s, void *ctx);
   void *ctx;
 };
@@ -66,7 +66,7 @@
 {
   struct wy_engine_batch_options o;
   struct wy_engine_cache cache;
-  GQueue queue[3]; /* by place; oldest first */
+  GQueue queue[3]; /* by state, oldest first */
   uint32_t kv_used;
   int64_t version;
   int64_t step_at_us; /* end of the step in progress; 0: idle */
--- a/src/standin/engine_cache.c
+++ b/src/standin/engine_cache.c
@@ -1,5 +1,6 @@
-/* Prefix cache of the stand-in engine: least recently used goes first; what
-   is stored and evicted is told late, and some of it never.  */
+/* Prefix cache of the engine stand-in.  The least recently used prefix is
+   evicted first.  Events for stored and evicted prefixes are reported with a
+   delay, and a share of them is lost.  */
 #include "standin/engine_cache.h"
 
 #include <string.h>
@@ -9,7 +10,7 @@
 enum
 {
   BYTES_PER_TOKEN = 4,
-  EVENTS_KEPT = 4096
+  EVENTS_MAX = 4096
 };
 
 struct event
@@ -20,14 +21,14 @@
   char *name;
 };
 
-/* Tokens that SIZE_BYTES of text are counted as.  */
+/* Return the number of tokens in SIZE_BYTES of text.  */
 uint32_t
-wy_engine_tokens_of (uint64_t size_bytes)
+wy_engine_token_count (uint64_t size_bytes)
 {
   return (uint32_t)((size_bytes + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN);
 }
 
-/* Name of the prefix of PROMPT; the caller frees it.  */
+/* Return the name of the prefix of PROMPT, which the caller frees.  */
 char *
 wy_engine_prefix_name (const char *prompt)
 {
@@ -37,7 +38,7 @@
                           wy_hash64 (prompt, n, 0));
 }
 
-/* Make C empty.  */
+/* Initialise C without prefixes.  */
 void
 wy_engine_cache_init (struct wy_engine_cache *c,
                       const struct wy_engine_cache_options *o)
@@ -51,12 +52,13 @@
 }
 
 static void
-tell (struct wy_engine_cache *c, bool stored, const char *name, int64_t now_ms)
+record_event (struct wy_engine_cache *c, bool stored, const char *name,
+              int64_t now_ms)
 {
   struct event *e;
 
   c->seq++;
-  if (wy_rng_unit (&c->rng) < c->o.event_gap_share)
+  if (wy_rng_unit (&c->rng) < c->o.event_loss_share)
     return;
   e = g_new0 (struct event, 1);
   e->seq = c->seq;
@@ -64,15 +66,15 @@
   e->stored = stored;
   e->name = g_strdup (name);
   g_queue_push_tail (&c->events, e);
-  if (c->events.length <= EVENTS_KEPT)
+  if (c->events.length <= EVENTS_MAX)
     return;
   e = g_queue_pop_head (&c->events);
   g_free (e->name);
   g_free (e);
 }
 
-/* Take a reference on the prefix NAME, or return NULL when it is not
-   cached.  */
+/* Return the prefix NAME with a new reference, or NULL if it is not cached.
+ */
 struct wy_engine_prefix *
 wy_engine_cache_use (struct wy_engine_cache *c, const char *name)
 {
@@ -83,7 +85,7 @@
   return p;
 }
 
-/* Store the prefix NAME, with a reference on it.  */
+/* Store the prefix NAME of TOKENS tokens and return it with a reference.  */
 struct wy_engine_prefix *
 wy_engine_cache_store (struct wy_engine_cache *c, const char *name,
                        uint32_t tokens, int64_t now_ms)
@@ -95,11 +97,11 @@
   p->refs = 1;
   p->link.data = p;
   g_hash_table_insert (c->prefixes, p->name, p);
-  tell (c, true, name, now_ms);
+  record_event (c, true, name, now_ms);
   return p;
 }
 
-/* Give a reference back; the prefix stays cached.  */
+/* Release a reference to P, which stays cached until it is evicted.  */
 void
 wy_engine_cache_release (struct wy_engine_cache *c, struct wy_engine_prefix *p)
 {
@@ -107,8 +109,8 @@
     g_queue_push_tail_link (&c->idle, &p->link);
 }
 
-/* Evict the prefix used least recently.  Returns the tokens freed, 0 when
-   every prefix is in use.  */
+/* Evict the least recently used prefix.  Return the number of tokens freed, or
+   0 if every prefix is in use.  */
 uint32_t
 wy_engine_cache_evict (struct wy_engine_cache *c, int64_t now_ms)
 {
@@ -121,13 +123,14 @@
   p = l->data;
   tokens = p->tokens;
   g_hash_table_remove (c->prefixes, p->name);
-  tell (c, false, p->name, now_ms);
+  record_event (c, false, p->name, now_ms);
   g_free (p->name);
   g_free (p);
   return tokens;
 }
 
-/* Evict all that is not in use: new weights make cached prefixes wrong.  */
+/* Evict all prefixes that are not in use, as new weights make them invalid.
+ *FREED is set to the number of tokens freed.  */
 void
 wy_engine_cache_clear (struct wy_engine_cache *c, int64_t now_ms,
                        uint32_t *freed)
@@ -139,7 +142,8 @@
     *freed += n;
 }
 
-/* The events after number AFTER that are old enough to be told.  */
+/* Return the events with a sequence number above AFTER that are at least
+   event_delay_ms old.  */
 json_t *
 wy_engine_cache_events (const struct wy_engine_cache *c, int64_t after,
                         int64_t now_ms)
@@ -153,7 +157,7 @@
 
       if (e->seq <= after)
         continue;
-      if (e->at_ms + c->o.event_lag_ms > now_ms)
+      if (e->at_ms + c->o.event_delay_ms > now_ms)
         break;
       next = e->seq;
       json_array_append_new (list, json_pack ("{s:I, s:s, s:s}", "seq",
--- a/src/standin/engine_cache.h
+++ b/src/standin/engine_cache.h
@@ -1,4 +1,4 @@
-/* Prefix cache of the stand-in engine.  */
+/* Prefix cache of the engine stand-in.  */
 #ifndef WY_STANDIN_ENGINE_CACHE_H
 #define WY_STANDIN_ENGINE_CACHE_H
 
@@ -10,14 +10,14 @@
 
 #include "base/rng.h"
 
-/* A prefix is the first bytes of a prompt, named by the hexadecimal XXH64 of
-   them with seed 0; a shorter prompt is its own prefix.  */
+/* A prefix is the first bytes of a prompt, or all of a shorter prompt, named
+   by their XXH64 with seed 0 in hexadecimal.  */
 #define WY_ENGINE_PREFIX_SIZE_BYTES 1024
 
 struct wy_engine_cache_options
 {
-  int64_t event_lag_ms;
-  double event_gap_share; /* share of events that are never told */
+  int64_t event_delay_ms;
+  double event_loss_share; /* share of events that are lost */
   uint64_t seed;
 };
 
@@ -26,7 +26,7 @@
   char *name;
   uint32_t tokens;
   uint32_t refs; /* streams that use it; 0: may be evicted */
-  GList link;    /* in the order of last use */
+  GList link;    /* in the queue of idle prefixes */
 };
 
 struct wy_engine_cache
@@ -39,7 +39,7 @@
   struct wy_rng rng;
 };
 
-uint32_t wy_engine_tokens_of (uint64_t size_bytes);
+uint32_t wy_engine_token_count (uint64_t size_bytes);
 char *wy_engine_prefix_name (const char *prompt);
 void wy_engine_cache_init (struct wy_engine_cache *c,
                            const struct wy_engine_cache_options *o);
--- a/src/standin/engine_order.c
+++ b/src/standin/engine_order.c
@@ -1,4 +1,5 @@
-/* Orders to the stand-in engine: stage a version, put it in force.  */
+/* Orders to the engine stand-in: stage a version of the weights, activate it.
+ */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,7 +9,7 @@
 {
   RETRY_MS = 100,
   FETCH_TIMEOUT_MS = 5000,
-  FAILURES_MAX = 100 /* about ten seconds of a store that refuses */
+  FAILURES_MAX = 100 /* about ten seconds of failing calls */
 };
 
 static void fetch_next (struct wy_engine *e);
@@ -20,9 +21,9 @@
                     "staged", (json_int_t)e->staged);
 }
 
-/* End the staging; those that wait for it learn how.  */
+/* End the staging in progress and respond to the calls that wait for it.  */
 static void
-stage_end (struct wy_engine *e, bool ok)
+finish_staging (struct wy_engine *e, bool ok)
 {
   struct wy_engine_stage *g = &e->stage;
 
@@ -31,9 +32,9 @@
   g->version = 0;
   g_clear_pointer (&g->host, g_free);
   for (guint i = 0; i < g->calls->len; i++)
-    wy_standin_answer (g->calls->pdata[i], ok ? 200 : 500,
-                       ok ? versions_json (e)
-                          : json_pack ("{s:s}", "error", "stage failed"));
+    wy_standin_respond_json (
+        g->calls->pdata[i], ok ? 200 : 500,
+        ok ? versions_json (e) : json_pack ("{s:s}", "error", "stage failed"));
   g_ptr_array_set_size (g->calls, 0);
 }
 
@@ -47,44 +48,44 @@
 fetch_failed (struct wy_engine *e, int status)
 {
   if (status == 404 || ++e->stage.failures > FAILURES_MAX)
-    stage_end (e, false);
+    finish_staging (e, false);
   else
     uv_timer_start (&e->stage.timer, on_retry, RETRY_MS, 0);
 }
 
 static void
-on_fetched (void *ctx, const struct wy_http_response *a)
+on_fetched (void *ctx, const struct wy_http_response *r)
 {
   struct wy_engine *e = ctx;
   struct wy_engine_stage *g = &e->stage;
   json_t *size;
 
-  if (a->err || a->status != 200)
+  if (r->err || r->status != 200)
     {
-      fetch_failed (e, a->err ? 0 : a->status);
+      fetch_failed (e, r->err ? 0 : r->status);
       return;
     }
   if (g->size_bytes < 0)
     {
-      size = json_loadb (a->body, a->size_bytes, 0, NULL);
+      size = json_loadb (r->body, r->size_bytes, 0, NULL);
       g->size_bytes
           = json_integer_value (json_object_get (size, "size_bytes"));
       json_decref (size);
     }
-  else if (a->size_bytes > 0)
-    g->offset += (int64_t)a->size_bytes;
+  else if (r->size_bytes > 0)
+    g->offset += (int64_t)r->size_bytes;
   else
     {
       fetch_failed (e, 0);
       return;
     }
   if (g->offset >= g->size_bytes)
-    stage_end (e, true);
+    finish_staging (e, true);
   else
     fetch_next (e);
 }
 
-/* Fetch the size, then one chunk after the other.  */
+/* Fetch the size if it is not known yet, else the next chunk.  */
 static void
 fetch_next (struct wy_engine *e)
 {
@@ -108,8 +109,8 @@
   g_free (path);
 }
 
-/* Fetch VERSION from SOURCE ("HOST:PORT"), or from the weight store when it
-   is empty, and answer C when all of it is here.  */
+/* Fetch VERSION from SOURCE ("HOST:PORT"), or from the weight store if SOURCE
+   is NULL or empty, and respond to C when it is complete.  */
 void
 wy_engine_stage_start (struct wy_engine *e, struct wy_standin_call *c,
                        int64_t version, const char *source)
@@ -118,12 +119,12 @@
 
   if (version == e->staged || version == e->batch.version)
     {
-      wy_standin_answer (c, 200, versions_json (e));
+      wy_standin_respond_json (c, 200, versions_json (e));
       return;
     }
   if (g->version && g->version != version)
     {
-      wy_standin_answer (c, 500, json_pack ("{s:s}", "error", "busy"));
+      wy_standin_respond_json (c, 500, json_pack ("{s:s}", "error", "busy"));
       return;
     }
   g_ptr_array_add (g->calls, c);
@@ -133,34 +134,35 @@
   g->size_bytes = -1;
   g->offset = 0;
   g->failures = 0;
-  if (wy_standin_address (source && *source ? source : e->o->weights, &g->host,
-                          &g->port))
+  if (wy_standin_parse_address (source && *source ? source : e->o->weights,
+                                &g->host, &g->port))
     fetch_next (e);
   else
-    stage_end (e, true); /* an engine without a store has all versions */
+    finish_staging (e, true); /* without a store, nothing needs fetching */
 }
 
 static void
 on_activated (uv_timer_t *t)
 {
   struct wy_engine *e = t->data;
-  struct wy_standin_call *c = e->activate_call;
-  int64_t version = e->activating;
+  struct wy_standin_call *c = e->activation_call;
+  int64_t version = e->activating_version;
   struct wy_standin_fault *f
-      = wy_standin_fault_on (e->standin, WY_FAULT_FAIL_LOAD);
+      = wy_standin_active_fault (e->standin, WY_FAULT_FAIL_LOAD);
 
-  e->activating = 0;
+  e->activating_version = 0;
   if (f)
     {
       f->value -= 1;
       f->on = f->value >= 1;
-      wy_standin_answer (c, 500, json_pack ("{s:s}", "error", "load failed"));
+      wy_standin_respond_json (c, 500,
+                               json_pack ("{s:s}", "error", "load failed"));
       return;
     }
   wy_engine_batch_swap (&e->batch, version, wy_engine_now_us (e));
   wy_trace_event (e->standin->trace, "engine.version", "{s:I}", "version",
                   (json_int_t)version);
-  wy_standin_answer (c, 200, versions_json (e));
+  wy_standin_respond_json (c, 200, versions_json (e));
 }
 
 static void
@@ -170,27 +172,27 @@
 
   if (version == e->batch.version)
     {
-      wy_standin_answer (c, 200, versions_json (e));
+      wy_standin_respond_json (c, 200, versions_json (e));
       return;
     }
-  if (e->activating)
+  if (e->activating_version)
     error = "busy";
   else if (version != e->staged)
     error = "not staged";
   if (error)
     {
-      wy_standin_answer (c, 500, json_pack ("{s:s}", "error", error));
+      wy_standin_respond_json (c, 500, json_pack ("{s:s}", "error", error));
       return;
     }
-  e->activating = version;
-  e->activate_call = c;
+  e->activating_version = version;
+  e->activation_call = c;
   wy_engine_batch_stall (&e->batch, wy_engine_now_us (e)
                                         + e->o->activate_ms * WY_US_PER_MS);
   uv_timer_start (&e->activate_timer, on_activated,
                   (uint64_t)e->o->activate_ms, 0);
 }
 
-/* Prepare E for orders.  */
+/* Initialise the timers and the staging state of E.  */
 void
 wy_engine_order_init (struct wy_engine *e)
 {
@@ -201,11 +203,11 @@
   e->activate_timer.data = e;
 }
 
-/* POST /control/order.  */
+/* Handle POST /control/order.  */
 void
-wy_engine_order (struct wy_engine *e, struct wy_standin_call *c)
+wy_engine_handle_order (struct wy_engine *e, struct wy_standin_call *c)
 {
-  json_t *body = wy_standin_body (c);
+  json_t *body = wy_standin_body_json (c);
   const char *order = json_string_value (json_object_get (body, "order"));
   const char *model = json_string_value (json_object_get (body, "model"));
   const char *source = json_string_value (json_object_get (body, "source"));
@@ -213,12 +215,13 @@
   int64_t fence = json_integer_value (json_object_get (body, "fence"));
 
   if (e->o->check_fence && fence < e->fence)
-    wy_standin_answer (c, 409,
-                       json_pack ("{s:s, s:I}", "error", "fence", "highest",
-                                  (json_int_t)e->fence));
+    wy_standin_respond_json (c, 409,
+                             json_pack ("{s:s, s:I}", "error", "fence",
+                                        "highest", (json_int_t)e->fence));
   else if (!order || !model || strcmp (model, e->o->model) != 0
            || version <= 0)
-    wy_standin_answer (c, 400, json_pack ("{s:s}", "error", "wrong order"));
+    wy_standin_respond_json (c, 400,
+                             json_pack ("{s:s}", "error", "wrong order"));
   else
     {
       e->fence = MAX (e->fence, fence);
@@ -227,8 +230,8 @@
       else if (!strcmp (order, "activate"))
         activate (e, c, version);
       else
-        wy_standin_answer (c, 400,
-                           json_pack ("{s:s}", "error", "unknown order"));
+        wy_standin_respond_json (
+            c, 400, json_pack ("{s:s}", "error", "unknown order"));
     }
   json_decref (body);
 }
--- a/src/standin/engine_settings.c
+++ b/src/standin/engine_settings.c
@@ -1,4 +1,4 @@
-/* Settings of the stand-in engine.  */
+/* Settings of the engine stand-in.  */
 #include <stddef.h>
 
 #include "standin/engine.h"
--- a/src/standin/engine_stream.c
+++ b/src/standin/engine_stream.c
@@ -1,4 +1,4 @@
-/* Streams of the stand-in engine: start, control and events.  */
+/* Streams of the engine stand-in: start, control calls and events.  */
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
@@ -14,7 +14,7 @@
 
 #define TWO_PI 6.283185307179586
 
-/* What the call of a stream needs.  */
+/* The call that a stream writes to.  */
 struct output
 {
   struct wy_engine *engine;
@@ -23,7 +23,7 @@
 };
 
 static const char *
-text_of (const json_t *body, const char *key)
+string_member (const json_t *body, const char *key)
 {
   const char *v = json_string_value (json_object_get (body, key));
 
@@ -31,16 +31,16 @@
 }
 
 static void
-refuse (struct wy_standin_call *c, int status, const char *error)
+respond_error (struct wy_standin_call *c, int status, const char *error)
 {
-  wy_standin_answer (c, status, json_pack ("{s:s}", "error", error));
+  wy_standin_respond_json (c, status, json_pack ("{s:s}", "error", error));
 }
 
-/* Tokens that the answer to PROMPT would have without a limit: log-normal,
-   with a small share of very long ones.  The same for the same prompt and
-   SEED, so that a repeated request takes as long as before.  */
+/* Return the length in tokens of the completion of PROMPT without a limit:
+   log-normal, with a small share of very long ones.  It is the same for the
+   same PROMPT and SEED, so that a retried request takes as long as before.  */
 static uint32_t
-draw_length (const struct wy_engine *e, const char *prompt, int64_t seed)
+completion_length (const struct wy_engine *e, const char *prompt, int64_t seed)
 {
   struct wy_rng r;
   double normal;
@@ -65,7 +65,7 @@
 }
 
 /* Send the token just made.  The last one ends with a full stop, so that a
-   reader can tell a whole text from a cut one.  */
+   reader can tell a complete text from a truncated one.  */
 void
 wy_engine_on_token (struct wy_engine_stream *s, void *ctx)
 {
@@ -81,25 +81,26 @@
   g_free (text);
 }
 
-/* Close the stream S, which has left the batch.  */
+/* Send the final event of S, which has left the batch, and free it.  */
 static void
-finish (struct wy_engine *e, struct wy_engine_stream *s, const char *how)
+end_stream (struct wy_engine *e, struct wy_engine_stream *s,
+            const char *reason)
 {
   struct output *out = s->ctx;
   json_t *segments = wy_engine_segments_json (s);
   json_t *last = json_pack ("{s:s, s:b, s:s, s:i, s:O}", "run", s->run, "done",
-                            1, "finish", how, "tokens", (int)s->next,
+                            1, "finish", reason, "tokens", (int)s->next,
                             "segments", segments);
   char *json = json_dumps (last, JSON_COMPACT);
   char *text = g_strdup_printf ("data: %s\n\n", json);
 
   wy_trace_event (e->standin->trace, "engine.run", "{s:s, s:o, s:s}", "run",
-                  s->run, "segments", segments, "finish", how);
+                  s->run, "segments", segments, "finish", reason);
   write_event (s, text);
   g_free (text);
   free (json);
   json_decref (last);
-  out->call->on_gone = NULL;
+  out->call->on_disconnect = NULL;
   wy_standin_stream_end (out->call);
   g_hash_table_remove (e->streams, s->request_id);
   wy_engine_stream_free (s);
@@ -107,23 +108,24 @@
   g_free (out);
 }
 
-/* Called by the batch when a stream has made its last token.  */
+/* Called by the batch when S has made its last token.  */
 void
 wy_engine_on_done (struct wy_engine_stream *s, void *ctx)
 {
-  finish (ctx, s, s->by_length ? "length" : "stop");
+  end_stream (ctx, s, s->by_length ? "length" : "stop");
 }
 
 static void
-stop_stream (struct wy_engine *e, struct wy_engine_stream *s, const char *how)
+stop_stream (struct wy_engine *e, struct wy_engine_stream *s,
+             const char *reason)
 {
   wy_engine_batch_remove (&e->batch, s);
-  finish (e, s, how);
+  end_stream (e, s, reason);
 }
 
-/* The agent hung up: nobody reads the stream any more.  */
+/* The agent closed the connection: cancel the stream.  */
 static void
-on_gone (struct wy_standin_call *c, void *ctx)
+on_disconnect (struct wy_standin_call *c, void *ctx)
 {
   struct wy_engine_stream *s = ctx;
 
@@ -131,8 +133,8 @@
 }
 
 static void
-begin (struct wy_engine *e, struct wy_standin_call *c,
-       struct wy_engine_stream *s)
+begin_stream (struct wy_engine *e, struct wy_standin_call *c,
+              struct wy_engine_stream *s)
 {
   struct output *out = g_new0 (struct output, 1);
   json_t *run = json_string (s->run);
@@ -143,13 +145,13 @@
   json_decref (run);
   s->ctx = out;
   s->prefix_name = wy_engine_prefix_name (s->prompt);
-  s->prompt_tokens = wy_engine_tokens_of (strlen (s->prompt));
+  s->prompt_tokens = wy_engine_token_count (strlen (s->prompt));
   g_hash_table_insert (e->streams, s->request_id, s);
   wy_standin_stream_begin (c, 200, "text/event-stream");
-  c->on_gone = on_gone;
-  c->gone_ctx = s;
+  c->on_disconnect = on_disconnect;
+  c->disconnect_ctx = s;
   wy_engine_batch_add (&e->batch, s);
-  wy_engine_turn (e);
+  wy_engine_run_due_steps (e);
 }
 
 static struct wy_engine_stream *
@@ -164,90 +166,91 @@
   return s;
 }
 
-/* POST /v1/completions.  A run takes the name that the agent gives it as
-   "run", else that of the request.  */
+/* Handle POST /v1/completions.  The run is named by the member "run" of the
+   body, or by the request id if that is missing.  */
 void
-wy_engine_complete (struct wy_engine *e, struct wy_standin_call *c)
+wy_engine_start_completion (struct wy_engine *e, struct wy_standin_call *c)
 {
-  json_t *body = wy_standin_body (c);
-  const char *id = text_of (body, "request_id");
-  const char *run = text_of (body, "run");
-  const char *prompt = text_of (body, "prompt");
+  json_t *body = wy_standin_body_json (c);
+  const char *id = string_member (body, "request_id");
+  const char *run = string_member (body, "run");
+  const char *prompt = string_member (body, "prompt");
   json_int_t max = json_integer_value (json_object_get (body, "max_tokens"));
   int64_t seed = json_integer_value (json_object_get (body, "seed"));
   struct wy_engine_stream *s;
 
-  if (strcmp (text_of (body, "model"), e->o->model) != 0)
-    refuse (c, 404, "no such model");
+  if (strcmp (string_member (body, "model"), e->o->model) != 0)
+    respond_error (c, 404, "no such model");
   else if (!*id || g_hash_table_contains (e->streams, id))
-    refuse (c, 400, "request_id missing or in use");
+    respond_error (c, 400, "request_id missing or in use");
   else if (e->batch.version == 0
            || json_integer_value (json_object_get (body, "min_version"))
                   > e->batch.version)
-    refuse (c, 503, "no_version");
+    respond_error (c, 503, "no_version");
   else
     {
       s = stream_new (id, *run ? run : id, prompt);
       s->nonce = g_strdup_printf (
           "%08x", (unsigned)(wy_rng_u64 (&e->rng) >> NONCE_BITS));
-      s->total = draw_length (e, prompt, seed);
+      s->total = completion_length (e, prompt, seed);
       if (max <= 0)
         max = MAX_TOKENS_DEFAULT;
       s->by_length = s->total > (uint32_t)max;
       s->total = MIN (s->total, (uint32_t)max);
-      begin (e, c, s);
+      begin_stream (e, c, s);
     }
   json_decref (body);
 }
 
 static struct wy_engine_stream *
-find (struct wy_engine *e, const json_t *body)
+find_stream (struct wy_engine *e, const json_t *body)
 {
-  return g_hash_table_lookup (e->streams, text_of (body, "request_id"));
+  return g_hash_table_lookup (e->streams, string_member (body, "request_id"));
 }
 
-/* POST /control/cancel.  */
+/* Handle POST /control/cancel.  */
 void
 wy_engine_cancel (struct wy_engine *e, struct wy_standin_call *c)
 {
-  json_t *body = wy_standin_body (c);
-  struct wy_engine_stream *s = find (e, body);
+  json_t *body = wy_standin_body_json (c);
+  struct wy_engine_stream *s = find_stream (e, body);
 
   json_decref (body);
-  wy_standin_answer (c, 200, json_pack ("{s:b}", "cancelled", s != NULL));
+  wy_standin_respond_json (c, 200,
+                           json_pack ("{s:b}", "cancelled", s != NULL));
   if (s)
     stop_stream (e, s, "cancelled");
 }
 
-/* POST /control/pause and, when RESUME, /control/resume.  */
+/* Handle POST /control/pause, or /control/resume if RESUME.  */
 void
 wy_engine_pause (struct wy_engine *e, struct wy_standin_call *c, bool resume)
 {
-  json_t *body = wy_standin_body (c);
-  struct wy_engine_stream *s = find (e, body);
+  json_t *body = wy_standin_body_json (c);
+  struct wy_engine_stream *s = find_stream (e, body);
 
   json_decref (body);
   if (s && resume)
     wy_engine_batch_resume (&e->batch, s);
   else if (s)
     wy_engine_batch_pause (&e->batch, s);
-  wy_standin_answer (c, 200, json_pack ("{s:b}", "ok", s != NULL));
-  wy_engine_turn (e);
+  wy_standin_respond_json (c, 200, json_pack ("{s:b}", "ok", s != NULL));
+  wy_engine_run_due_steps (e);
 }
 
-/* POST /control/export.  */
+/* Handle POST /control/export.  */
 void
 wy_engine_export (struct wy_engine *e, struct wy_standin_call *c)
 {
-  json_t *body = wy_standin_body (c);
-  struct wy_engine_stream *s = find (e, body);
+  json_t *body = wy_standin_body_json (c);
+  struct wy_engine_stream *s = find_stream (e, body);
   json_t *state;
   char *blob;
 
   json_decref (body);
   if (!s)
     {
-      refuse (c, 404, "no such stream");
+      respond_error (c, 404, "no such stream");
       return;
     }
   state = json_pack ("{s:s, s:s, s:s, s:s, s:i, s:i, s:b, s:o}", "request_id",
@@ -258,7 +261,7 @@
   blob = json_dumps (state, JSON_COMPACT);
   json_decref (state);
   stop_stream (e, s, "exported");
-  wy_standin_answer (c, 200, json_pack ("{s:s}", "blob", blob));
+  wy_standin_respond_json (c, 200, json_pack ("{s:s}", "blob", blob));
   free (blob);
 }
 
@@ -279,33 +282,35 @@
   }
 }
 
-/* POST /control/import.  The stream keeps its request id, unless the body
-   gives another one.  */
+/* Handle POST /control/import.  The stream keeps its request id unless the
+   body names another one.  */
 void
 wy_engine_import (struct wy_engine *e, struct wy_standin_call *c)
 {
-  json_t *body = wy_standin_body (c);
-  json_t *state = json_loads (text_of (body, "blob"), 0, NULL);
-  const char *id = text_of (body, "request_id");
+  json_t *body = wy_standin_body_json (c);
+  json_t *state = json_loads (string_member (body, "blob"), 0, NULL);
+  const char *id = string_member (body, "request_id");
   struct wy_engine_stream *s;
 
   if (!*id)
-    id = text_of (state, "request_id");
+    id = string_member (state, "request_id");
   if (!*id || g_hash_table_contains (e->streams, id))
-    refuse (c, 400, "no stream in the blob, or its request_id is in use");
+    respond_error (c, 400,
+                   "no stream in the blob, or its request_id is in use");
   else if (e->batch.version == 0)
-    refuse (c, 503, "no_version");
+    respond_error (c, 503, "no_version");
   else
     {
-      s = stream_new (id, text_of (state, "run"), text_of (state, "prompt"));
-      s->nonce = g_strdup (text_of (state, "nonce"));
+      s = stream_new (id, string_member (state, "run"),
+                      string_member (state, "prompt"));
+      s->nonce = g_strdup (string_member (state, "nonce"));
       s->next = (uint32_t)json_integer_value (json_object_get (state, "next"));
       s->total
           = (uint32_t)json_integer_value (json_object_get (state, "total"));
       s->by_length = json_is_true (json_object_get (state, "by_length"));
       s->prefilled = true;
       read_segments (s, json_object_get (state, "segments"));
-      begin (e, c, s);
+      begin_stream (e, c, s);
     }
   json_decref (state);
   json_decref (body);
--- a/src/standin/entry_list.c
+++ b/src/standin/entry_list.c
@@ -1,39 +1,39 @@
-/* Calls to the service through a list of entries: one is used until it
-   fails, then the next one.  */
+/* List of entries to call: one is used until a call fails, then the next.  */
 #include "standin/entry_list.h"
 
-/* Read the "HOST:PORT" texts of ADDRESSES.  Returns 0, or -1 when one is
-   wrong or there is none.  */
+/* Initialise L from ADDRESSES, strings of the form "HOST:PORT".  Return 0, or
+   -1 if one is malformed or there are none.  */
 int
-wy_entries_init (struct wy_entries *e, const GPtrArray *addresses)
+wy_entry_list_init (struct wy_entry_list *l, const GPtrArray *addresses)
 {
-  e->hosts = g_ptr_array_new ();
-  e->ports = g_array_new (FALSE, FALSE, sizeof (uint16_t));
-  e->at = 0;
+  l->hosts = g_ptr_array_new ();
+  l->ports = g_array_new (FALSE, FALSE, sizeof (uint16_t));
+  l->current = 0;
   for (guint i = 0; i < addresses->len; i++)
     {
       char *host;
       uint16_t port;
 
-      if (!wy_standin_address (addresses->pdata[i], &host, &port))
+      if (!wy_standin_parse_address (addresses->pdata[i], &host, &port))
         return -1;
-      g_ptr_array_add (e->hosts, host);
-      g_array_append_val (e->ports, port);
+      g_ptr_array_add (l->hosts, host);
+      g_array_append_val (l->ports, port);
     }
-  return e->hosts->len > 0 ? 0 : -1;
+  return l->hosts->len > 0 ? 0 : -1;
 }
 
-/* Use the next entry from now on.  */
+/* Switch to the next entry, after the last one to the first.  */
 void
-wy_entries_next (struct wy_entries *e)
+wy_entry_list_next (struct wy_entry_list *l)
 {
-  e->at = (e->at + 1) % e->hosts->len;
+  l->current = (l->current + 1) % l->hosts->len;
 }
 
-/* Let O go to the entry in use.  */
+/* Set the host and port of O to those of the entry in use.  */
 void
-wy_entries_target (const struct wy_entries *e, struct wy_http_call_options *o)
+wy_entry_list_set_target (const struct wy_entry_list *l,
+                          struct wy_http_call_options *o)
 {
-  o->host = e->hosts->pdata[e->at];
-  o->port = g_array_index (e->ports, uint16_t, e->at);
+  o->host = l->hosts->pdata[l->current];
+  o->port = g_array_index (l->ports, uint16_t, l->current);
 }
--- a/src/standin/faults.c
+++ b/src/standin/faults.c
@@ -1,4 +1,5 @@
-/* Faults of a stand-in: several may be on at once, each with its own end.  */
+/* Injected faults of a stand-in.  Several may be active at once, each with its
+   own duration.  */
 #include "standin/faults.h"
 
 #include <string.h>
@@ -24,15 +25,15 @@
     clear_one (&f->fault[i]);
 }
 
-/* Carry out ORDER, the body of POST /fault.  Returns the kind that was set,
-   WY_FAULT_KINDS after "none", or -1 for an unknown fault.  */
+/* Set the fault described by DOC, the body of POST /fault.  Return its kind,
+   WY_FAULT_KINDS after "none", or -1 if the fault is unknown.  */
 int
-wy_standin_faults_set (struct wy_standin_faults *f, const json_t *order,
+wy_standin_faults_set (struct wy_standin_faults *f, const json_t *doc,
                        int64_t now_ms)
 {
-  const char *name = json_string_value (json_object_get (order, "fault"));
-  const json_t *value = json_object_get (order, "value");
-  int64_t for_ms = json_integer_value (json_object_get (order, "for_ms"));
+  const char *name = json_string_value (json_object_get (doc, "fault"));
+  const json_t *value = json_object_get (doc, "value");
+  int64_t for_ms = json_integer_value (json_object_get (doc, "for_ms"));
 
   if (name && !strcmp (name, "none"))
     {
@@ -54,10 +55,10 @@
   return -1;
 }
 
-/* The fault KIND when it is on at NOW_MS, else NULL.  */
+/* Return the fault KIND if it is active at NOW_MS, else NULL.  */
 struct wy_standin_fault *
-wy_standin_fault (struct wy_standin_faults *f, enum wy_standin_fault_kind kind,
-                  int64_t now_ms)
+wy_standin_faults_active (struct wy_standin_faults *f,
+                          enum wy_standin_fault_kind kind, int64_t now_ms)
 {
   struct wy_standin_fault *x = &f->fault[kind];
 
--- a/src/standin/faults.h
+++ b/src/standin/faults.h
@@ -1,4 +1,4 @@
-/* Faults of a stand-in, set by POST /fault.  */
+/* Injected faults of a stand-in, set by POST /fault.  */
 #ifndef WY_STANDIN_FAULTS_H
 #define WY_STANDIN_FAULTS_H
 
@@ -11,8 +11,8 @@
 {
   WY_FAULT_DOWN,
   WY_FAULT_SLOW,
-  WY_FAULT_LOSE_ANSWER,
-  WY_FAULT_SILENT, /* acts once, on the connections open then */
+  WY_FAULT_LOSE_RESPONSE,
+  WY_FAULT_SILENT, /* affects only the calls open when it is set */
   WY_FAULT_CRASH_ON,
   WY_FAULT_FAIL_LOAD,
   WY_FAULT_RATE,
@@ -24,7 +24,7 @@
   bool on;
   int64_t until_ms; /* monotonic; 0: until cleared */
   double value;
-  char *text; /* value when it is a text, or NULL */
+  char *text; /* value if it is a string, else NULL */
 };
 
 struct wy_standin_faults
@@ -32,11 +32,11 @@
   struct wy_standin_fault fault[WY_FAULT_KINDS];
 };
 
-int wy_standin_faults_set (struct wy_standin_faults *f, const json_t *order,
+int wy_standin_faults_set (struct wy_standin_faults *f, const json_t *doc,
                            int64_t now_ms);
 void wy_standin_faults_clear (struct wy_standin_faults *f);
-struct wy_standin_fault *wy_standin_fault (struct wy_standin_faults *f,
-                                           enum wy_standin_fault_kind kind,
-                                           int64_t now_ms);
+struct wy_standin_fault *
+wy_standin_faults_active (struct wy_standin_faults *f,
+                          enum wy_standin_fault_kind kind, int64_t now_ms);
 
 #endif
--- a/src/standin/instance_list.c
+++ b/src/standin/instance_list.c
@@ -1,4 +1,4 @@
-/* Instance list: answers with what it was told a while ago.  */
+/* Instance list that responds with the state of lag_ms ago.  */
 #include "standin/kinds.h"
 
 struct settings
@@ -12,7 +12,7 @@
     600000, NULL, "ms", "age of the list that is answered" },
 };
 
-struct version
+struct snapshot
 {
   int64_t at_ms; /* monotonic */
   int64_t wall_ms;
@@ -21,88 +21,92 @@
 
 struct list
 {
-  GQueue told; /* struct version, oldest first; the first one is answered */
+  GQueue snapshots; /* struct snapshot, oldest first; the first is served */
 };
 
 static void
-drop_oldest (struct list *l)
+discard_oldest (struct list *l)
 {
-  struct version *v = g_queue_pop_head (&l->told);
+  struct snapshot *snap = g_queue_pop_head (&l->snapshots);
 
-  json_decref (v->instances);
-  g_free (v);
+  json_decref (snap->instances);
+  g_free (snap);
 }
 
-/* Whether the asker has V already; says in any case how V is named.  */
+/* Return whether the If-None-Match of C names SNAP.  Adds the ETag of SNAP to
+   the response in any case.  */
 static bool
-unchanged (struct wy_standin_call *c, const struct version *v)
+is_current (struct wy_standin_call *c, const struct snapshot *snap)
 {
-  char *etag = g_strdup_printf ("\"%" G_GINT64_FORMAT "\"", v->wall_ms);
-  const char *known = c->gone ? NULL : wy_http_header (c->ex, "if-none-match");
+  char *etag = g_strdup_printf ("\"%" G_GINT64_FORMAT "\"", snap->wall_ms);
+  const char *known
+      = c->disconnected ? NULL : wy_http_header (c->ex, "if-none-match");
   bool same = known && !strcmp (known, etag);
 
-  if (!c->gone)
+  if (!c->disconnected)
     wy_http_add_header (c->ex, "etag", etag);
   g_free (etag);
   return same;
 }
 
 static void
-answer (struct wy_standin *s, struct wy_standin_call *c)
+respond_list (struct wy_standin *s, struct wy_standin_call *c)
 {
   const struct settings *o = s->settings;
   struct list *l = s->state;
-  int64_t seen_ms = wy_standin_now_ms (s) - o->lag_ms;
-  struct version *v;
+  int64_t visible_until_ms = wy_standin_now_ms (s) - o->lag_ms;
+  struct snapshot *snap;
 
-  while (l->told.length > 1
-         && ((struct version *)l->told.head->next->data)->at_ms <= seen_ms)
-    drop_oldest (l);
-  v = g_queue_peek_head (&l->told);
-  if (!v || v->at_ms > seen_ms)
-    wy_standin_answer (c, 200,
-                       json_pack ("{s:i, s:[]}", "as_of_ms", 0, "instances"));
-  else if (unchanged (c, v))
-    wy_standin_answer_bytes (c, 304, NULL, "", 0);
+  while (l->snapshots.length > 1
+         && ((struct snapshot *)l->snapshots.head->next->data)->at_ms
+                <= visible_until_ms)
+    discard_oldest (l);
+  snap = g_queue_peek_head (&l->snapshots);
+  if (!snap || snap->at_ms > visible_until_ms)
+    wy_standin_respond_json (
+        c, 200, json_pack ("{s:i, s:[]}", "as_of_ms", 0, "instances"));
+  else if (is_current (c, snap))
+    wy_standin_respond (c, 304, NULL, "", 0);
   else
-    wy_standin_answer (c, 200,
-                       json_pack ("{s:I, s:O}", "as_of_ms",
-                                  (json_int_t)v->wall_ms, "instances",
-                                  v->instances));
+    wy_standin_respond_json (c, 200,
+                             json_pack ("{s:I, s:O}", "as_of_ms",
+                                        (json_int_t)snap->wall_ms, "instances",
+                                        snap->instances));
 }
 
 static void
-tell (struct wy_standin *s, struct wy_standin_call *c)
+update_list (struct wy_standin *s, struct wy_standin_call *c)
 {
   struct list *l = s->state;
-  json_t *body = wy_standin_body (c);
+  json_t *body = wy_standin_body_json (c);
   json_t *instances = json_object_get (body, "instances");
-  struct version *v;
+  struct snapshot *snap;
 
   if (!json_is_array (instances))
     {
       json_decref (body);
-      wy_standin_answer (c, 400, json_pack ("{s:s}", "error", "no instances"));
+      wy_standin_respond_json (c, 400,
+                               json_pack ("{s:s}", "error", "no instances"));
       return;
     }
-  v = g_new0 (struct version, 1);
-  v->at_ms = wy_standin_now_ms (s);
-  v->wall_ms = wy_clock_wall_ms (s->clock);
-  v->instances = json_incref (instances);
-  g_queue_push_tail (&l->told, v);
+  snap = g_new0 (struct snapshot, 1);
+  snap->at_ms = wy_standin_now_ms (s);
+  snap->wall_ms = wy_clock_wall_ms (s->clock);
+  snap->instances = json_incref (instances);
+  g_queue_push_tail (&l->snapshots, snap);
   json_decref (body);
-  wy_standin_answer (c, 200, NULL);
+  wy_standin_respond_json (c, 200, NULL);
 }
 
 static void
 on_request (struct wy_standin *s, struct wy_standin_call *c)
 {
-  if (wy_standin_is (c, "GET", "/instances"))
-    answer (s, c);
-  else if (wy_standin_is (c, "POST", "/control/instances"))
-    tell (s, c);
+  if (wy_standin_matches (c, "GET", "/instances"))
+    respond_list (s, c);
+  else if (wy_standin_matches (c, "POST", "/control/instances"))
+    update_list (s, c);
   else
-    wy_standin_answer (c, 404, NULL);
+    wy_standin_respond_json (c, 404, NULL);
 }
 
 static int
--- a/src/standin/kinds.h
+++ b/src/standin/kinds.h
@@ -1,4 +1,4 @@
-/* The kinds of stand-ins.  */
+/* The kinds of stand-in that wystandin can run.  */
 #ifndef WY_STANDIN_KINDS_H
 #define WY_STANDIN_KINDS_H
 
--- a/src/standin/platform.c
+++ b/src/standin/platform.c
@@ -1,5 +1,6 @@
-/* Stand-in of a whole platform in one process, for the demo.  The instances
-   of the service run beside it and are killed by the demo's script.  */
+/* Stand-in of a complete platform in one process, for the demo and for tests
+   with random faults.  The entries of the service run as other processes,
+   which the scripts kill.  */
 #include "standin/platform.h"
 
 #include <stdarg.h>
@@ -41,9 +42,9 @@
 
 enum
 {
-  BEAT_MS = 400,
-  /* Time after the last fault in which all is well again.  */
-  CALM_AFTER_MS = 4000,
+  UPDATE_MS = 400,
+  /* Time to recover after the last random fault.  */
+  RECOVERY_MS = 4000,
   EVENT_MS = 15,
   LOAD_MS = 150,
   CALL_IDLE_MS = 5000,
@@ -51,21 +52,21 @@
 };
 
 static struct wy_platform platform;
-static uv_timer_t beat;
-static uint64_t began_ms;
+static uv_timer_t update_timer;
+static uint64_t started_at_ms;
 
-/* Note that a promise was broken.  */
+/* Record the violation of a guarantee, formatted as by printf.  */
 void
 wy_platform_violation (struct wy_platform *p, const char *fmt, ...)
 {
   va_list ap;
 
   va_start (ap, fmt);
-  g_ptr_array_add (p->books.violations, g_strdup_vprintf (fmt, ap));
+  g_ptr_array_add (p->stats.violations, g_strdup_vprintf (fmt, ap));
   va_end (ap);
 }
 
-/* The digest of N bytes at P, as the timeline tells it.  */
+/* Format the digest of the N bytes at P as the timeline does.  */
 void
 wy_platform_digest (const char *p, size_t n,
                     char out[WY_PLATFORM_DIGEST_SIZE_BYTES])
@@ -74,9 +75,9 @@
             (unsigned long long)wy_hash64 (p, n, 0));
 }
 
-/* Name VERSION of the model, as a trainer does.  */
+/* Announce VERSION of the model, as a trainer does.  */
 void
-wy_platform_name_version (struct wy_platform *p, int64_t version)
+wy_platform_announce_version (struct wy_platform *p, int64_t version)
 {
   char value[128];
 
@@ -87,18 +88,19 @@
 }
 
 static void
-list_replica (struct wy_platform *p, const struct wy_platform_replica *r,
-              const char *service, const char *id, const char *address)
+write_replica_row (struct wy_platform *p, const struct wy_platform_replica *r,
+                   const char *service, const char *id, const char *address)
 {
-  char *entry = wy_platform_replica_row_value (r, service, "ready", address);
+  char *value = wy_platform_replica_row_value (r, service, "ready", address);
 
-  wy_platform_store_put (p->store, "servers", "", id, entry);
-  g_free (entry);
+  wy_platform_store_put (p->store, "servers", "", id, value);
+  g_free (value);
 }
 
-/* Where the replica number I is listed; NULL: where it listens.  */
+/* Return the address under which replica I is listed, or NULL for the one it
+   listens on.  */
 static const char *
-address_of (const struct wy_platform *p, int i)
+listed_address (const struct wy_platform *p, int i)
 {
   const struct settings *s = p->standin->settings;
 
@@ -107,20 +109,21 @@
 }
 
 static void
-list_all (struct wy_platform *p)
+write_replica_rows (struct wy_platform *p)
 {
   char id[32];
 
   for (int i = 0; i < WY_PLATFORM_ENGINES; i++)
     {
       snprintf (id, sizeof id, "engine-%d", i);
-      list_replica (p, p->engines[i], "engines", id, address_of (p, i));
+      write_replica_row (p, p->engines[i], "engines", id,
+                         listed_address (p, i));
     }
   for (int i = 0; i < WY_PLATFORM_DESKS; i++)
     {
       snprintf (id, sizeof id, "desk-%d", i);
-      list_replica (p, p->desks[i], "desks", id,
-                    address_of (p, WY_PLATFORM_ENGINES + i));
+      write_replica_row (p, p->desks[i], "desks", id,
+                         listed_address (p, WY_PLATFORM_ENGINES + i));
     }
 }
 
@@ -128,21 +131,22 @@
 write_report (const struct wy_platform *p)
 {
   const struct settings *s = p->standin->settings;
-  const struct wy_platform_books *b = &p->books;
+  const struct wy_platform_stats *stats = &p->stats;
   json_t *list = json_array ();
   json_t *doc;
   int err = 0;
 
-  for (guint i = 0; i < b->violations->len; i++)
-    json_array_append_new (list,
-                           json_string (g_ptr_array_index (b->violations, i)));
+  for (guint i = 0; i < stats->violations->len; i++)
+    json_array_append_new (
+        list, json_string (g_ptr_array_index (stats->violations, i)));
   doc = json_pack (
       "{s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:o}",
       "usage_windows", (int)wy_platform_duties_window_count (p->duties),
-      "calm_sent", (int)b->calm_sent, "calm_answered", (int)b->calm_answered,
-      "sent", (int)b->sent, "answered", (int)b->answered, "refused",
-      (int)b->refused, "failed", (int)b->failed, "retries", (int)b->retries,
-      "steps", (int)b->steps, "results", (int)b->results, "violations", list);
+      "calm_sent", (int)stats->sent_after_faults, "calm_answered",
+      (int)stats->answered_after_faults, "sent", (int)stats->sent, "answered",
+      (int)stats->answered, "refused", (int)stats->rejected, "failed",
+      (int)stats->failed, "retries", (int)stats->retries, "steps",
+      (int)stats->steps, "results", (int)stats->results, "violations", list);
   if (*s->report)
     err = json_dump_file (doc, s->report, JSON_INDENT (2));
   json_decref (doc);
@@ -150,19 +154,20 @@
 }
 
 static void
-on_beat (uv_timer_t *t)
+on_update_timer (uv_timer_t *t)
 {
   struct wy_platform *p = t->data;
   const struct settings *s = p->standin->settings;
-  uint64_t age_ms = uv_now (t->loop) - began_ms;
-
-  list_all (p);
-  wy_platform_set_faults (p, age_ms);
-  p->calm = p->chance_ms && age_ms >= p->chance_ms + CALM_AFTER_MS;
-  if (p->chance_ms && age_ms >= p->chance_ms)
-    wy_platform_operator_rest (p);
+  uint64_t age_ms = uv_now (t->loop) - started_at_ms;
+
+  write_replica_rows (p);
+  wy_platform_update_faults (p, age_ms);
+  p->faults_over
+      = p->random_faults_ms && age_ms >= p->random_faults_ms + RECOVERY_MS;
+  if (p->random_faults_ms && age_ms >= p->random_faults_ms)
+    wy_platform_operator_stop_changes (p);
   if (!p->ending && age_ms >= (uint64_t)s->seconds * WY_MS_PER_S)
-    p->ending = true; /* the trainer ends its step, then checks all */
+    p->ending = true; /* the trainer ends its step, then checks all steps */
 }
 
 static int
@@ -200,28 +205,29 @@
                   request, "replica", replica, "digest", digest);
 }
 
-/* Callers' requests run for their organisation, items for the trainer's, and
-   no key gets as far as a replica.  */
+/* Check that requests run for the callers' organisation and items for the
+   trainer's, and that no access key reaches a replica.  */
 static void
-on_sender (void *ctx, const char *request, const char *organisation,
+on_caller (void *ctx, const char *request, const char *organisation,
            const char *key)
 {
   struct wy_platform *p = ctx;
-  bool of_office = g_str_has_prefix (request, WY_PLATFORM_CALL_ID)
+  bool is_caller = g_str_has_prefix (request, WY_PLATFORM_CALL_ID)
                    || g_str_has_prefix (request, WY_PLATFORM_PROBE_ID);
 
   if (key)
-    wy_platform_violation (p, "%s reached a replica with its key", request);
+    wy_platform_violation (p, "%s: the replica received the access key",
+                           request);
   if (!organisation
       || strcmp (organisation,
-                 of_office ? WY_PLATFORM_OFFICE : WY_PLATFORM_BANK)
+                 is_caller ? WY_PLATFORM_OFFICE : WY_PLATFORM_BANK)
              != 0)
     wy_platform_violation (p, "%s ran for organisation \"%s\"", request,
                            organisation ? organisation : "");
 }
 
 static void
-on_whole (void *ctx, const char *replica, const char *request)
+on_stream_end (void *ctx, const char *replica, const char *request)
 {
   const struct wy_platform *p = ctx;
 
@@ -230,14 +236,14 @@
 }
 
 static void
-on_answer (void *ctx, const char *replica, const char *request, int status,
-           const char *mark)
+on_response (void *ctx, const char *replica, const char *request, int status,
+             const char *stamp)
 {
   const struct wy_platform *p = ctx;
 
   wy_trace_event (p->standin->trace, "replica.answered",
                   "{s:s, s:s, s:i, s:s}", "req", request, "replica", replica,
-                  "status", status, "mark", mark);
+                  "status", status, "mark", stamp);
 }
 
 static struct wy_platform_replica *
@@ -245,9 +251,9 @@
 {
   struct wy_platform_replica_options o = { .loop = p->standin->loop,
                                            .on_run = on_run,
-                                           .on_sender = on_sender,
-                                           .on_whole = on_whole,
-                                           .on_answer = on_answer,
+                                           .on_caller = on_caller,
+                                           .on_stream_end = on_stream_end,
+                                           .on_response = on_response,
                                            .ctx = p,
                                            .id = g_strdup (id),
                                            .slots = WY_PLATFORM_SLOTS,
@@ -292,7 +298,8 @@
       char *host = NULL;
       uint16_t port;
 
-      if (wy_standin_address (g_ptr_array_index (s->gates, i), &host, &port)
+      if (wy_standin_parse_address (g_ptr_array_index (s->gates, i), &host,
+                                    &port)
           && !uv_ip4_addr (host, port, &a))
         g_array_append_val (p->gates, a);
       g_free (host);
@@ -309,24 +316,25 @@
                                        .idle_timeout_ms = CALL_IDLE_MS };
 
   p->standin = s;
-  p->books.violations = g_ptr_array_new_with_free_func (g_free);
+  p->stats.violations = g_ptr_array_new_with_free_func (g_free);
   p->client = wy_h1_client_new (&http);
   p->store = wy_platform_store_new (&store);
   p->duties = wy_platform_duties_new (s->loop, 0);
   if (!p->store || !p->duties || !start_replicas (p) || write_ports (p))
     return -1;
   read_gates (p, s->settings);
-  p->chance_ms = (uint64_t)(((const struct settings *)s->settings)->chance_s
-                            * WY_MS_PER_S);
+  p->random_faults_ms
+      = (uint64_t)(((const struct settings *)s->settings)->chance_s
+                   * WY_MS_PER_S);
   p->step_limit_ms
       = (uint64_t)(((const struct settings *)s->settings)->step_limit_s
                    * WY_MS_PER_S);
   wy_platform_operator_start (p);
-  list_all (p);
-  began_ms = uv_now (s->loop);
-  uv_timer_init (s->loop, &beat);
-  beat.data = p;
-  uv_timer_start (&beat, on_beat, BEAT_MS, BEAT_MS);
+  write_replica_rows (p);
+  started_at_ms = uv_now (s->loop);
+  uv_timer_init (s->loop, &update_timer);
+  update_timer.data = p;
+  uv_timer_start (&update_timer, on_update_timer, UPDATE_MS, UPDATE_MS);
   wy_platform_callers_start (p);
   wy_platform_trainer_start (p);
   return 0;
@@ -338,28 +346,28 @@
   wy_standin_quit (s);
 }
 
-/* The trainer has checked all: write the report and end.  */
+/* Write the report and end the process, after the trainer's final check.  */
 void
 wy_platform_finish (struct wy_platform *p)
 {
-  const GPtrArray *of_duties = wy_platform_duties_violations (p->duties);
+  const GPtrArray *duty_violations = wy_platform_duties_violations (p->duties);
 
-  for (guint i = 0; i < of_duties->len; i++)
-    wy_platform_violation (p, "%s",
-                           (const char *)g_ptr_array_index (of_duties, i));
+  for (guint i = 0; i < duty_violations->len; i++)
+    wy_platform_violation (
+        p, "%s", (const char *)g_ptr_array_index (duty_violations, i));
   if (wy_platform_duties_window_count (p->duties) == 0)
-    wy_platform_violation (p, "no window of usage was reported");
-  p->standin->failed = write_report (p) || p->books.violations->len > 0;
+    wy_platform_violation (p, "usage: no window was reported");
+  p->standin->failed = write_report (p) || p->stats.violations->len > 0;
   wy_standin_quit (p->standin);
 }
 
 static void
-on_head (void *ctx, const struct wy_h1_response *a)
+on_head (void *ctx, const struct wy_h1_response *r)
 {
   struct wy_platform_call *c = ctx;
-  const char *after = wy_h1_head_get (a->head, "Retry-After");
+  const char *after = wy_h1_head_get (r->head, "Retry-After");
 
-  c->status = a->status;
+  c->status = r->status;
   c->retry_after_s = after ? g_ascii_strtod (after, NULL) : 0;
 }
 
@@ -380,25 +388,26 @@
   g_free (c);
 }
 
-/* Call one entry after the other, as the organisation that calls TARGET.
-   on_done and ctx are to be set by the caller of this.  */
+/* Call the next entry, in turn, with the access key of the organisation that
+   uses TARGET.  ID is the attempt id, or NULL.  The caller sets on_done and
+   ctx of the call returned.  */
 struct wy_platform_call *
 wy_platform_call (struct wy_platform *p, const char *method,
                   const char *target, const char *id, const char *body)
 {
-  bool of_bank = g_str_has_prefix (target, WY_PLATFORM_JOBS)
-                 || g_str_has_prefix (target, "/api/");
+  bool is_trainer = g_str_has_prefix (target, WY_PLATFORM_JOBS)
+                    || g_str_has_prefix (target, "/api/");
 
-  return wy_platform_call_keyed (p, method, target, id, body,
-                                 of_bank ? WY_PLATFORM_BANK_KEY
-                                         : WY_PLATFORM_OFFICE_KEY);
+  return wy_platform_call_with_key (p, method, target, id, body,
+                                    is_trainer ? WY_PLATFORM_BANK_KEY
+                                               : WY_PLATFORM_OFFICE_KEY);
 }
 
-/* The same with KEY.  */
+/* Like wy_platform_call, with the access key KEY.  */
 struct wy_platform_call *
-wy_platform_call_keyed (struct wy_platform *p, const char *method,
-                        const char *target, const char *id, const char *body,
-                        const char *key)
+wy_platform_call_with_key (struct wy_platform *p, const char *method,
+                           const char *target, const char *id,
+                           const char *body, const char *key)
 {
   struct wy_platform_call *c = g_new0 (struct wy_platform_call, 1);
   char credential[64];
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -1,5 +1,5 @@
-/* Stand-in of a whole platform: its store, replicas, operator, a trainer and
-   callers, which keep books of what they sent and got.  */
+/* Stand-in of a complete platform: store, replicas, operator, and a trainer
+   and callers that record what they send and receive.  */
 #ifndef WY_STANDIN_PLATFORM_H
 #define WY_STANDIN_PLATFORM_H
 
@@ -31,18 +31,18 @@
   WY_PLATFORM_STEP_ATTEMPTS = 3
 };
 
-/* What callers and the trainer have seen.  */
-struct wy_platform_books
+/* Counts of the callers and the trainer.  */
+struct wy_platform_stats
 {
   uint32_t sent;
   uint32_t answered;
-  uint32_t refused;
+  uint32_t rejected;
   uint32_t failed;
   uint32_t steps;
   uint32_t results;
   uint32_t retries;
-  uint32_t calm_sent; /* once faults by chance are over */
-  uint32_t calm_answered;
+  uint32_t sent_after_faults; /* RECOVERY_MS after the random faults */
+  uint32_t answered_after_faults;
   GPtrArray *violations; /* char * */
 };
 
@@ -55,19 +55,19 @@
   struct wy_platform_replica *desks[WY_PLATFORM_DESKS];
   struct wy_h1_client *client;
   GArray *gates; /* struct sockaddr_in */
-  struct wy_platform_books books;
-  uint32_t beats;
+  struct wy_platform_stats stats;
+  uint32_t updates;
   uint32_t next_gate;
   bool ending;
-  bool calm;
-  uint64_t chance_ms; /* faults come by chance for so long; 0: they do not */
+  bool faults_over;
+  uint64_t random_faults_ms; /* duration of random faults; 0: fixed schedule */
   uint64_t step_limit_ms;
-  uint64_t store_well_ms;
-  uint64_t engine_well_ms[WY_PLATFORM_ENGINES];
-  uint64_t desk_well_ms[WY_PLATFORM_DESKS];
+  uint64_t store_recovers_ms;
+  uint64_t engine_recovers_ms[WY_PLATFORM_ENGINES];
+  uint64_t desk_recovers_ms[WY_PLATFORM_DESKS];
 };
 
-/* One call of a caller or trainer; its answer is given to ON_DONE.  */
+/* One call of a caller or trainer.  ON_DONE gets its response.  */
 struct wy_platform_call
 {
   struct wy_platform *platform;
@@ -77,8 +77,8 @@
   void (*on_done) (struct wy_platform_call *c, int err);
   void *ctx;
   uint32_t number;
-  uint32_t tries;
-  bool calm;
+  uint32_t attempt;
+  bool faults_over; /* when it was sent */
 };
 
 struct wy_platform_call *wy_platform_call (struct wy_platform *p,
@@ -86,19 +86,19 @@
                                            const char *target, const char *id,
                                            const char *body);
 struct wy_platform_call *
-wy_platform_call_keyed (struct wy_platform *p, const char *method,
-                        const char *target, const char *id, const char *body,
-                        const char *key);
+wy_platform_call_with_key (struct wy_platform *p, const char *method,
+                           const char *target, const char *id,
+                           const char *body, const char *key);
 void wy_platform_violation (struct wy_platform *p, const char *fmt, ...)
     __attribute__ ((format (printf, 2, 3)));
 void wy_platform_digest (const char *p, size_t n,
                          char out[WY_PLATFORM_DIGEST_SIZE_BYTES]);
-void wy_platform_name_version (struct wy_platform *p, int64_t version);
+void wy_platform_announce_version (struct wy_platform *p, int64_t version);
 
-void wy_platform_set_faults (struct wy_platform *p, uint64_t age_ms);
+void wy_platform_update_faults (struct wy_platform *p, uint64_t age_ms);
 void wy_platform_finish (struct wy_platform *p);
 void wy_platform_operator_start (struct wy_platform *p);
-void wy_platform_operator_rest (struct wy_platform *p);
+void wy_platform_operator_stop_changes (struct wy_platform *p);
 void wy_platform_callers_start (struct wy_platform *p);
 void wy_platform_trainer_start (struct wy_platform *p);
 
--- a/src/standin/platform_callers.c
+++ b/src/standin/platform_callers.c
@@ -1,5 +1,5 @@
-/* Callers of the platform stand-in: small idempotent requests whose answer
-   must be their own body.  */
+/* Callers of the platform stand-in: small idempotent requests whose response
+   must equal their body.  */
 #include "standin/platform.h"
 
 #include <stdio.h>
@@ -9,32 +9,32 @@
 
 enum
 {
-  CALL_EVERY_MS = 40,
-  TRIES_MAX = 3,
+  CALL_INTERVAL_MS = 40,
+  ATTEMPTS_MAX = 3,
   STATUS_OK = 200,
-  STATUS_REFUSED = 503,
+  STATUS_UNAVAILABLE = 503,
   ID_SIZE_BYTES = 48
 };
 
 static uv_timer_t timer;
 
-static void call_desk (struct wy_platform *p, uint32_t number, uint32_t tries,
-                       bool calm);
+static void call_desk (struct wy_platform *p, uint32_t number,
+                       uint32_t attempt, bool faults_over);
 
 static void
-id_of (uint32_t number, uint32_t tries, char out[ID_SIZE_BYTES])
+format_id (uint32_t number, uint32_t attempt, char out[ID_SIZE_BYTES])
 {
-  snprintf (out, ID_SIZE_BYTES, WY_PLATFORM_CALL_ID "%u-%u", number, tries);
+  snprintf (out, ID_SIZE_BYTES, WY_PLATFORM_CALL_ID "%u-%u", number, attempt);
 }
 
 static void
-note_answer (const struct wy_platform_call *c, int err)
+log_response (const struct wy_platform_call *c, int err)
 {
   char id[ID_SIZE_BYTES];
   char digest[WY_PLATFORM_DIGEST_SIZE_BYTES];
   int status = err ? 0 : c->status;
 
-  id_of (c->number, c->tries, id);
+  format_id (c->number, c->attempt, id);
   wy_platform_digest (c->body->str, c->body->len, digest);
   wy_trace_event (c->platform->standin->trace, "caller.got",
                   "{s:s, s:s, s:i, s:s, s:s}", "key", id, "req", id, "status",
@@ -50,43 +50,44 @@
   char body[32];
 
   snprintf (body, sizeof body, "call-%u", c->number);
-  note_answer (c, err);
+  log_response (c, err);
   if (!err && c->status == STATUS_OK)
     {
-      p->books.answered++;
-      p->books.calm_answered += c->calm;
+      p->stats.answered++;
+      p->stats.answered_after_faults += c->faults_over;
       if (strcmp (c->body->str, body) != 0)
-        wy_platform_violation (p, "%s got another answer: %.40s", body,
+        wy_platform_violation (p, "%s: wrong response body: %.40s", body,
                                c->body->str);
       return;
     }
-  if (!err && c->status == STATUS_REFUSED && c->retry_after_s <= 0)
-    wy_platform_violation (p, "%s refused without a time to come back", body);
-  if (c->tries + 1 < TRIES_MAX)
+  if (!err && c->status == STATUS_UNAVAILABLE && c->retry_after_s <= 0)
+    wy_platform_violation (p, "%s: rejected without Retry-After", body);
+  if (c->attempt + 1 < ATTEMPTS_MAX)
     {
-      p->books.retries++;
-      call_desk (p, c->number, c->tries + 1, c->calm);
+      p->stats.retries++;
+      call_desk (p, c->number, c->attempt + 1, c->faults_over);
     }
-  else if (!err && c->status == STATUS_REFUSED)
-    p->books.refused++;
+  else if (!err && c->status == STATUS_UNAVAILABLE)
+    p->stats.rejected++;
   else
-    p->books.failed++;
+    p->stats.failed++;
 }
 
 static void
-call_desk (struct wy_platform *p, uint32_t number, uint32_t tries, bool calm)
+call_desk (struct wy_platform *p, uint32_t number, uint32_t attempt,
+           bool faults_over)
 {
   char id[ID_SIZE_BYTES];
   char body[32];
   struct wy_platform_call *c;
 
-  id_of (number, tries, id);
+  format_id (number, attempt, id);
   wy_trace_event (p->standin->trace, "caller.sent", "{s:s}", "key", id);
   snprintf (body, sizeof body, "call-%u", number);
   c = wy_platform_call (p, "POST", WY_PLATFORM_CALLS "x", id, body);
   c->number = number;
-  c->tries = tries;
-  c->calm = calm;
+  c->attempt = attempt;
+  c->faults_over = faults_over;
   c->on_done = on_done;
 }
 
@@ -97,15 +98,15 @@
 
   if (p->ending)
     return;
-  p->books.calm_sent += p->calm;
-  call_desk (p, p->books.sent++, 0, p->calm);
+  p->stats.sent_after_faults += p->faults_over;
+  call_desk (p, p->stats.sent++, 0, p->faults_over);
 }
 
-/* Call until the platform ends.  */
+/* Start the callers, which send requests until the platform ends.  */
 void
 wy_platform_callers_start (struct wy_platform *p)
 {
   uv_timer_init (p->standin->loop, &timer);
   timer.data = p;
-  uv_timer_start (&timer, on_timer, CALL_EVERY_MS, CALL_EVERY_MS);
+  uv_timer_start (&timer, on_timer, CALL_INTERVAL_MS, CALL_INTERVAL_MS);
 }
--- a/src/standin/platform_duties.c
+++ b/src/standin/platform_duties.c
@@ -1,4 +1,4 @@
-/* Stand-in of the platform's calls that one process at a time may make.  */
+/* Stand-in of the platform API for duties: usage reports and scaling.  */
 #include "standin/platform_duties.h"
 
 #include <stdio.h>
@@ -41,15 +41,15 @@
 }
 
 static void
-violation (struct wy_platform_duties *d, const char *what, const char *subject,
-           int64_t generation)
+add_violation (struct wy_platform_duties *d, const char *what,
+               const char *subject, int64_t generation)
 {
   g_ptr_array_add (d->violations,
                    g_strdup_printf ("%s: %s, generation %lld", subject, what,
                                     (long long)generation));
 }
 
-/* Check the call's generation against what was seen of SUBJECT.  */
+/* Check that GENERATION of SUBJECT has not decreased and has one HOLDER.  */
 static void
 check_holder (struct wy_platform_duties *d, const char *subject,
               const char *holder, int64_t generation)
@@ -62,9 +62,9 @@
       g_hash_table_insert (d->subjects, g_strdup (subject), s);
     }
   if (generation < s->generation)
-    violation (d, "lower than one before", subject, generation);
+    add_violation (d, "lower than a previous one", subject, generation);
   if (generation == s->generation && strcmp (s->holder, holder) != 0)
-    violation (d, "of two holders", subject, generation);
+    add_violation (d, "used by two holders", subject, generation);
   if (generation >= s->generation)
     {
       s->generation = generation;
@@ -74,53 +74,53 @@
 }
 
 static int
-take_usage (struct wy_platform_duties *d, json_t *doc, const char *holder,
-            int64_t generation)
+handle_usage (struct wy_platform_duties *d, json_t *doc, const char *holder,
+              int64_t generation)
 {
   json_t *window = json_object_get (doc, "window");
   json_t *counts = json_object_get (doc, "counts");
   char *key;
-  json_t *before;
+  json_t *previous;
 
   if (!json_is_integer (window) || json_integer_value (window) < 0
       || !json_is_object (counts))
     return 400;
   check_holder (d, "usage", holder, generation);
   key = g_strdup_printf ("%lld", (long long)json_integer_value (window));
-  before = g_hash_table_lookup (d->reports, key);
-  if (!before)
+  previous = g_hash_table_lookup (d->reports, key);
+  if (!previous)
     {
       g_hash_table_insert (d->reports, key, json_incref (counts));
       return 200;
     }
-  if (!json_equal (before, counts))
-    violation (d, "another report of one window", key, generation);
+  if (!json_equal (previous, counts))
+    add_violation (d, "reported again with other counts", key, generation);
   g_free (key);
   return 200;
 }
 
 static int
-take_scale (struct wy_platform_duties *d, json_t *doc, const char *holder,
-            int64_t generation)
+handle_scale (struct wy_platform_duties *d, json_t *doc, const char *holder,
+              int64_t generation)
 {
   const char *service = json_string_value (json_object_get (doc, "service"));
   const char *zone = json_string_value (json_object_get (doc, "zone"));
-  json_t *wanted = json_object_get (doc, "desiredCount");
+  json_t *desired = json_object_get (doc, "desiredCount");
   char *key;
   int64_t *n;
 
-  if (!service || !zone || !json_is_integer (wanted))
+  if (!service || !zone || !json_is_integer (desired))
     return 400;
   key = g_strdup_printf ("%s/%s", service, zone);
   check_holder (d, key, holder, generation);
   n = g_new (int64_t, 1);
-  *n = json_integer_value (wanted);
+  *n = json_integer_value (desired);
   g_hash_table_replace (d->replicas, key, n);
   return 200;
 }
 
 static int
-take (struct wy_platform_duties *d, struct wy_h1_request *r)
+handle (struct wy_platform_duties *d, struct wy_h1_request *r)
 {
   const struct wy_h1_head *head = wy_h1_head (r);
   const char *holder = wy_h1_head_get (head, "Duty-Holder");
@@ -133,15 +133,15 @@
   if (!holder || !generation || !doc)
     status = 400;
   else if (!strcmp (wy_h1_target (r), "/usage"))
-    status = take_usage (d, doc, holder, strtoll (generation, NULL, 10));
+    status = handle_usage (d, doc, holder, strtoll (generation, NULL, 10));
   else if (!strcmp (wy_h1_target (r), "/scale"))
-    status = take_scale (d, doc, holder, strtoll (generation, NULL, 10));
+    status = handle_scale (d, doc, holder, strtoll (generation, NULL, 10));
   json_decref (doc);
   return status;
 }
 
 static bool
-spend (uint32_t *n)
+take_fault (uint32_t *n)
 {
   if (!*n)
     return false;
@@ -159,22 +159,23 @@
   d->calls++;
   if (f->silent)
     return;
-  if (spend (&f->respond_503))
+  if (take_fault (&f->respond_503))
     {
       wy_h1_respond (r, 503, NULL, 0, "", 0);
       return;
     }
-  if (spend (&f->respond_429))
+  if (take_fault (&f->respond_429))
     {
       wy_h1_respond (r, 429, NULL, 0, "", 0);
       return;
     }
-  status = take (d, r);
-  if (!spend (&f->lose_response))
+  status = handle (d, r);
+  if (!take_fault (&f->lose_response))
     wy_h1_respond (r, status, NULL, 0, "", 0);
 }
 
-/* A stand-in at PORT, 0 for any free one; NULL: the port is taken.  */
+/* Start a stand-in that listens on PORT, or on any free port if 0.  Return
+   NULL if the port is in use.  */
 struct wy_platform_duties *
 wy_platform_duties_new (uv_loop_t *loop, uint16_t port)
 {
@@ -203,7 +204,7 @@
   return d;
 }
 
-/* Close D; the loop must turn some times afterwards.  */
+/* Close D.  The loop must run afterwards until its handles are closed.  */
 void
 wy_platform_duties_free (struct wy_platform_duties *d)
 {
@@ -214,35 +215,35 @@
   g_ptr_array_free (d->violations, TRUE);
 }
 
-/* The port that D listens at.  */
+/* Return the port that D listens on.  */
 uint16_t
 wy_platform_duties_port (const struct wy_platform_duties *d)
 {
   return wy_h1_server_port (d->server);
 }
 
-/* What goes wrong at D; to be set at will.  */
+/* Return the injected faults of D, which may be changed at any time.  */
 struct wy_platform_duties_faults *
 wy_platform_duties_faults (struct wy_platform_duties *d)
 {
   return &d->faults;
 }
 
-/* Number of calls that have come, refused ones included.  */
+/* Return the number of calls received, rejected ones included.  */
 uint32_t
 wy_platform_duties_calls (const struct wy_platform_duties *d)
 {
   return d->calls;
 }
 
-/* Number of windows that were reported.  */
+/* Return the number of usage windows reported.  */
 uint32_t
 wy_platform_duties_window_count (const struct wy_platform_duties *d)
 {
   return g_hash_table_size (d->reports);
 }
 
-/* Requests of ORGANISATION in all windows together.  */
+/* Return the number of requests of ORGANISATION in all windows together.  */
 int64_t
 wy_platform_duties_request_count (const struct wy_platform_duties *d,
                                   const char *organisation)
@@ -257,7 +258,8 @@
   return n;
 }
 
-/* The replicas last ordered of SERVICE in AVAILABILITY_ZONE; -1: none were. */
+/* Return the replica count last ordered for SERVICE in AVAILABILITY_ZONE, or
+   -1 if none was.  */
 int64_t
 wy_platform_duties_replicas (const struct wy_platform_duties *d,
                              const char *service,
@@ -270,7 +272,7 @@
   return n ? *n : -1;
 }
 
-/* What holders did that they must not: char *.  */
+/* Return the violations recorded, as char *.  */
 const GPtrArray *
 wy_platform_duties_violations (const struct wy_platform_duties *d)
 {
--- a/src/standin/platform_duties.h
+++ b/src/standin/platform_duties.h
@@ -1,5 +1,5 @@
-/* Stand-in of the platform's calls that one process at a time may make: it
-   keeps what was reported and notes who breaks the order of holders.  */
+/* Stand-in of the platform API for duties, which only their current holder may
+   call: it keeps what is reported and records calls out of fencing order.  */
 #ifndef WY_STANDIN_PLATFORM_DUTIES_H
 #define WY_STANDIN_PLATFORM_DUTIES_H
 
@@ -7,13 +7,14 @@
 
 #include "h1/server.h"
 
-/* What goes wrong; all off when zeroed.  Counts run down with each call.  */
+/* Injected faults, none if zeroed.  Each counts the calls still to be
+   affected.  */
 struct wy_platform_duties_faults
 {
-  uint32_t respond_503;   /* calls answered 503 and not taken */
-  uint32_t respond_429;   /* calls answered 429 and not taken */
-  uint32_t lose_response; /* calls taken, their answer lost */
-  bool silent;            /* no call is answered or taken */
+  uint32_t respond_503;   /* rejected with 503 */
+  uint32_t respond_429;   /* rejected with 429 */
+  uint32_t lose_response; /* performed, but not responded to */
+  bool silent;            /* all calls are ignored */
 };
 
 struct wy_platform_duties;
--- a/src/standin/platform_faults.c
+++ b/src/standin/platform_faults.c
@@ -1,34 +1,35 @@
-/* Faults of the platform stand-in's store and replicas: a fixed course for the
-   demo, or by chance from the seed, several at once, for the soak.  */
+/* Faults of the platform stand-in's store and replicas: a fixed schedule for
+   the demo, or random ones drawn from the seed, several at once, for soak
+   tests.  */
 #include "standin/platform.h"
 
 enum
 {
-  /* The fixed course, from the start of the load.  */
+  /* The fixed schedule, from the start of the load.  */
   ENGINE_SILENT_FROM_S = 4,
   ENGINE_SILENT_TO_S = 6,
   STORE_SILENT_FROM_S = 8,
   STORE_SILENT_TO_S = 10,
-  LOST_WRITES = 5,
-  /* By chance: a new fault with each third look, for up to so long, or for up
-     to so many calls.  */
-  ONE_IN = 3,
-  LAST_MIN_MS = 300,
-  LAST_MAX_MS = 2500,
+  LOST_RESPONSES = 5,
+  /* Random faults: one in RANDOM_ONE_IN updates starts a new one, which lasts
+     for a duration or a number of calls.  */
+  RANDOM_ONE_IN = 3,
+  DURATION_MIN_MS = 300,
+  DURATION_MAX_MS = 2500,
   CALLS_MAX = 5,
-  LATE_MIN_MS = 200,
-  LATE_MAX_MS = 2000,
-  CUT_AFTER_MAX = 8
+  DELAY_MIN_MS = 200,
+  DELAY_MAX_MS = 2000,
+  ABORT_AFTER_MAX = 8
 };
 
 static uint32_t
-between (struct wy_platform *p, uint32_t low, uint32_t high)
+random_between (struct wy_platform *p, uint32_t low, uint32_t high)
 {
   return low + wy_rng_below (&p->standin->rng, high - low + 1);
 }
 
 static void
-fixed_course (struct wy_platform *p, uint64_t age_ms)
+apply_fixed_schedule (struct wy_platform *p, uint64_t age_ms)
 {
   struct wy_platform_store_faults *store = wy_platform_store_faults (p->store);
   uint64_t age_s = age_ms / WY_MS_PER_S;
@@ -36,19 +37,19 @@
   wy_platform_replica_faults (p->engines[0])->silent
       = age_s >= ENGINE_SILENT_FROM_S && age_s < ENGINE_SILENT_TO_S;
   if (age_s == ENGINE_SILENT_FROM_S)
-    store->lose_response = LOST_WRITES;
+    store->lose_response = LOST_RESPONSES;
   store->silent = age_s >= STORE_SILENT_FROM_S && age_s < STORE_SILENT_TO_S;
   if (age_s == STORE_SILENT_TO_S)
     store->compact_history = true;
 }
 
 static void
-hit_store (struct wy_platform *p, uint64_t now_ms)
+inject_store_fault (struct wy_platform *p, uint64_t now_ms)
 {
   struct wy_platform_store_faults *f = wy_platform_store_faults (p->store);
-  uint32_t n = between (p, 1, CALLS_MAX);
+  uint32_t n = random_between (p, 1, CALLS_MAX);
 
-  switch (between (p, 0, 7))
+  switch (random_between (p, 0, 7))
     {
     case 0:
       f->respond_503 = n;
@@ -61,15 +62,17 @@
       break;
     case 3:
       f->delay_tx = n;
-      f->delay_tx_ms = between (p, LATE_MIN_MS, LATE_MAX_MS);
+      f->delay_tx_ms = random_between (p, DELAY_MIN_MS, DELAY_MAX_MS);
       break;
     case 4:
       f->silent = true;
-      p->store_well_ms = now_ms + between (p, LAST_MIN_MS, LAST_MAX_MS);
+      p->store_recovers_ms
+          = now_ms + random_between (p, DURATION_MIN_MS, DURATION_MAX_MS);
       break;
     case 5:
       f->stall_feed = true;
-      p->store_well_ms = now_ms + between (p, LAST_MIN_MS, LAST_MAX_MS);
+      p->store_recovers_ms
+          = now_ms + random_between (p, DURATION_MIN_MS, DURATION_MAX_MS);
       break;
     case 6:
       f->respond_507 = n;
@@ -81,13 +84,13 @@
 }
 
 static void
-hit_replica (struct wy_platform *p, struct wy_platform_replica *r,
-             uint64_t *well_ms, uint64_t now_ms)
+inject_replica_fault (struct wy_platform *p, struct wy_platform_replica *r,
+                      uint64_t *recovers_ms, uint64_t now_ms)
 {
   struct wy_platform_replica_faults *f = wy_platform_replica_faults (r);
-  uint32_t n = between (p, 1, CALLS_MAX);
+  uint32_t n = random_between (p, 1, CALLS_MAX);
 
-  switch (between (p, 0, 8))
+  switch (random_between (p, 0, 8))
     {
     case 7:
       f->hang = 1;
@@ -97,7 +100,7 @@
       break;
     case 0:
       f->abort_streams = n;
-      f->abort_after_events = between (p, 0, CUT_AFTER_MAX);
+      f->abort_after_events = random_between (p, 0, ABORT_AFTER_MAX);
       break;
     case 1:
       f->stall_streams = 1;
@@ -116,52 +119,55 @@
       break;
     default:
       f->silent = true;
-      *well_ms = now_ms + between (p, LAST_MIN_MS, LAST_MAX_MS);
+      *recovers_ms
+          = now_ms + random_between (p, DURATION_MIN_MS, DURATION_MAX_MS);
       break;
     }
 }
 
 static void
-end_due (struct wy_platform *p, uint64_t now_ms, bool all)
+end_expired (struct wy_platform *p, uint64_t now_ms, bool all)
 {
   struct wy_platform_store_faults *f = wy_platform_store_faults (p->store);
 
   if (all)
     *f = (struct wy_platform_store_faults){ 0 };
-  else if (now_ms >= p->store_well_ms)
+  else if (now_ms >= p->store_recovers_ms)
     {
       f->silent = false;
       f->stall_feed = false;
     }
   for (int i = 0; i < WY_PLATFORM_ENGINES; i++)
-    if (all || now_ms >= p->engine_well_ms[i])
+    if (all || now_ms >= p->engine_recovers_ms[i])
       wy_platform_replica_faults (p->engines[i])->silent = false;
   for (int i = 0; i < WY_PLATFORM_DESKS; i++)
-    if (all || now_ms >= p->desk_well_ms[i])
+    if (all || now_ms >= p->desk_recovers_ms[i])
       wy_platform_replica_faults (p->desks[i])->silent = false;
 }
 
-/* Faults at AGE_MS of the load: the fixed course, or where the time for which
-   they come by chance is set, those.  */
+/* Set the faults for AGE_MS after the start of the load: random ones if their
+   duration is set, else those of the fixed schedule.  */
 void
-wy_platform_set_faults (struct wy_platform *p, uint64_t age_ms)
+wy_platform_update_faults (struct wy_platform *p, uint64_t age_ms)
 {
   uint32_t k;
 
-  if (!p->chance_ms)
+  if (!p->random_faults_ms)
     {
-      fixed_course (p, age_ms);
+      apply_fixed_schedule (p, age_ms);
       return;
     }
-  end_due (p, age_ms, age_ms >= p->chance_ms);
-  if (age_ms >= p->chance_ms || between (p, 1, ONE_IN) != 1)
+  end_expired (p, age_ms, age_ms >= p->random_faults_ms);
+  if (age_ms >= p->random_faults_ms
+      || random_between (p, 1, RANDOM_ONE_IN) != 1)
     return;
-  k = between (p, 0, WY_PLATFORM_ENGINES + WY_PLATFORM_DESKS + 1);
+  k = random_between (p, 0, WY_PLATFORM_ENGINES + WY_PLATFORM_DESKS + 1);
   if (k < WY_PLATFORM_ENGINES)
-    hit_replica (p, p->engines[k], &p->engine_well_ms[k], age_ms);
+    inject_replica_fault (p, p->engines[k], &p->engine_recovers_ms[k], age_ms);
   else if (k < WY_PLATFORM_ENGINES + WY_PLATFORM_DESKS)
-    hit_replica (p, p->desks[k - WY_PLATFORM_ENGINES],
-                 &p->desk_well_ms[k - WY_PLATFORM_ENGINES], age_ms);
+    inject_replica_fault (p, p->desks[k - WY_PLATFORM_ENGINES],
+                          &p->desk_recovers_ms[k - WY_PLATFORM_ENGINES],
+                          age_ms);
   else
-    hit_store (p, age_ms);
+    inject_store_fault (p, age_ms);
 }
--- a/src/standin/platform_operator.c
+++ b/src/standin/platform_operator.c
@@ -1,25 +1,25 @@
-/* Operator of the platform stand-in: writes the configuration, changes it now
-   and then, and asks on routes that were added whether the change is in
+/* Operator of the platform stand-in: writes the configuration, changes it
+   periodically and calls the routes it adds to check that each change is in
    force.  */
 #include "standin/platform.h"
 
 #include <stdio.h>
 
-/* Each version adds a key and takes the one before away.  */
+/* Each version adds an access key and removes the previous one.  */
 #define KEY_FORMAT "rolling-%u"
 
 enum
 {
   CHANGE_MS = 900,
   PROBE_MS = 150,
-  /* A change must be in force so long after it was written.  */
-  IN_FORCE_MS = 3000,
+  /* Time after which a written change must be in force.  */
+  PROPAGATION_MAX_MS = 3000,
   VERSIONS_MAX = 512,
   TIMEOUT_MIN_MS = 1500,
   TIMEOUT_STEP_MS = 100,
   TIMEOUT_STEPS = 10,
   STATUS_OK = 200,
-  STATUS_UNKNOWN = 404,
+  STATUS_NOT_FOUND = 404,
   STATUS_UNAUTHORIZED = 401,
   KEY_SIZE_BYTES = 24
 };
@@ -34,9 +34,9 @@
   uint32_t probes;
 } op;
 
-/* The route that version V adds; the newest one stands for it.  */
+/* Format the prefix of the route that version V adds and the next removes.  */
 static void
-prefix_of (uint32_t v, char out[32])
+format_prefix (uint32_t v, char out[32])
 {
   snprintf (out, 32, "/added-%u/", v);
 }
@@ -48,7 +48,7 @@
   uint32_t v = ++op.version;
   char prefix[32];
 
-  prefix_of (v, prefix);
+  format_prefix (v, prefix);
   g_string_append_printf (
       s,
       "{\"version\":%u,\"routes\":["
@@ -88,25 +88,28 @@
     write_config (op.platform);
 }
 
-/* Only the newest version has its route: where that is long in force and none
-   is known, the change has not arrived, or was taken back.  */
+/* Only the newest version has its route, so a missing route or key after
+   PROPAGATION_MAX_MS means that the change has not arrived or was reverted.
+ */
 static void
-on_probed (struct wy_platform_call *c, int err)
+on_probe_end (struct wy_platform_call *c, int err)
 {
-  if (!err && c->calm && c->number == op.version
-      && (c->status == STATUS_UNKNOWN || c->status == STATUS_UNAUTHORIZED))
+  if (!err && c->faults_over && c->number == op.version
+      && (c->status == STATUS_NOT_FOUND || c->status == STATUS_UNAUTHORIZED))
     wy_platform_violation (c->platform,
-                           "version %u is not in force: answered %d",
+                           "config version %u is not in force: status %d",
                            c->number, c->status);
 }
 
-/* The key of the version before has been taken away.  */
+/* The access key of the previous version must be rejected.  */
 static void
-on_probed_old_key (struct wy_platform_call *c, int err)
+on_old_key_probe_end (struct wy_platform_call *c, int err)
 {
-  if (!err && c->calm && c->number == op.version && c->status == STATUS_OK)
-    wy_platform_violation (
-        c->platform, "a key that version %u took away is admitted", c->number);
+  if (!err && c->faults_over && c->number == op.version
+      && c->status == STATUS_OK)
+    wy_platform_violation (c->platform,
+                           "a key removed by config version %u is accepted",
+                           c->number);
 }
 
 static void
@@ -122,26 +125,26 @@
   char key[KEY_SIZE_BYTES];
   bool old_key = op.probes % 2 && v > 1;
 
-  if (p->ending || age_ms < IN_FORCE_MS)
+  if (p->ending || age_ms < PROPAGATION_MAX_MS)
     return;
-  prefix_of (v, prefix);
+  format_prefix (v, prefix);
   snprintf (target, sizeof target, "%sx", prefix);
   snprintf (id, sizeof id, WY_PLATFORM_PROBE_ID "%u", op.probes++);
   snprintf (key, sizeof key, KEY_FORMAT, old_key ? v - 1 : v);
-  c = wy_platform_call_keyed (p, "POST", target, id, "probe", key);
+  c = wy_platform_call_with_key (p, "POST", target, id, "probe", key);
   c->number = v;
-  c->calm = p->calm;
-  c->on_done = old_key ? on_probed_old_key : on_probed;
+  c->faults_over = p->faults_over;
+  c->on_done = old_key ? on_old_key_probe_end : on_probe_end;
 }
 
-/* Write the first configuration; while faults come by chance, change it.  In
-   the calm span the last one stays, so that it can be asked for.  */
+/* Write the first configuration and, while there are random faults, change it
+   periodically.  After them the last one stays, so that it can be checked.  */
 void
 wy_platform_operator_start (struct wy_platform *p)
 {
   op.platform = p;
   write_config (p);
-  if (!p->chance_ms)
+  if (!p->random_faults_ms)
     return;
   uv_timer_init (p->standin->loop, &op.change);
   uv_timer_start (&op.change, on_change, CHANGE_MS, CHANGE_MS);
@@ -149,10 +152,10 @@
   uv_timer_start (&op.probe, on_probe, PROBE_MS, PROBE_MS);
 }
 
-/* No more changes.  */
+/* Stop changing the configuration.  */
 void
-wy_platform_operator_rest (struct wy_platform *p)
+wy_platform_operator_stop_changes (struct wy_platform *p)
 {
-  if (p->chance_ms)
+  if (p->random_faults_ms)
     uv_timer_stop (&op.change);
 }
--- a/src/standin/platform_replica.c
+++ b/src/standin/platform_replica.c
@@ -1,5 +1,5 @@
-/* Stand-in of a replica on the platform.  An event's data depends on its
-   number alone, so a text put together from several runs can be checked.  */
+/* Stand-in of a replica on the platform.  The data of an event depends only on
+   its number, so that a text assembled from several runs can be checked.  */
 #include "standin/platform_replica_state.h"
 
 #include <stdio.h>
@@ -13,7 +13,7 @@
   IDLE_MS = 60000
 };
 
-/* A plain request whose body begins so is answered 500 by every replica.  */
+/* Every replica responds 500 to a plain request whose body begins so.  */
 #define FAILS_ALWAYS "fail"
 
 struct run
@@ -25,11 +25,11 @@
   int64_t next; /* event */
   int64_t version;
   uint32_t sent;
-  bool cut;
-  bool stall;
+  bool abort;
+  bool stalled;
 };
 
-/* Data of the event number EVENT.  */
+/* Write the data of event number EVENT to OUT of SIZE bytes and return OUT. */
 const char *
 wy_platform_replica_event_data (uint32_t event, char *out, size_t size)
 {
@@ -54,7 +54,7 @@
 }
 
 static void
-on_gone (void *ctx)
+on_disconnect (void *ctx)
 {
   end_run (ctx);
 }
@@ -89,25 +89,26 @@
 
   if (u->next <= r->o.events)
     send_event (u);
-  if (u->cut && u->sent >= r->faults.abort_after_events)
+  if (u->abort && u->sent >= r->faults.abort_after_events)
     {
       wy_h1_abort (u->request);
       end_run (u);
     }
-  else if (u->stall)
+  else if (u->stalled)
     uv_timer_stop (t);
   else if (u->next > r->o.events)
     {
       wy_h1_on_hangup (u->request, NULL, NULL);
       wy_h1_end_response (u->request);
-      if (r->o.on_whole)
-        r->o.on_whole (r->o.ctx, r->o.id, u->id);
+      if (r->o.on_stream_end)
+        r->o.on_stream_end (r->o.ctx, r->o.id, u->id);
       end_run (u);
     }
 }
 
 static void
-stream (struct wy_platform_replica *r, struct wy_h1_request *q, const char *id)
+start_stream (struct wy_platform_replica *r, struct wy_h1_request *q,
+              const char *id)
 {
   const char *after = wy_h1_head_get (wy_h1_head (q), "Last-Event-Id");
   struct run *u = g_new0 (struct run, 1);
@@ -130,18 +131,18 @@
   u->request = q;
   u->version = r->version;
   u->next = r->last_resume + 1;
-  u->cut = wy_platform_take_fault (&r->faults.abort_streams);
-  u->stall = wy_platform_take_fault (&r->faults.stall_streams);
+  u->abort = wy_platform_take_fault (&r->faults.abort_streams);
+  u->stalled = wy_platform_take_fault (&r->faults.stall_streams);
   snprintf (version, sizeof version, "%lld", (long long)r->version);
   snprintf (load, sizeof load, "%u,0,%u", r->running, r->o.slots);
   wy_h1_begin_response (q, 200, fields, G_N_ELEMENTS (fields));
   uv_timer_init (r->o.loop, &u->timer);
   u->timer.data = u;
   uv_timer_start (&u->timer, on_event_timer, r->o.event_ms, r->o.event_ms);
-  wy_h1_on_hangup (q, on_gone, u);
+  wy_h1_on_hangup (q, on_disconnect, u);
 }
 
-/* A plain request that is being worked on.  */
+/* A plain (unstreamed) request in progress.  */
 struct plain_run
 {
   struct wy_platform_replica *replica;
@@ -168,32 +169,33 @@
 }
 
 static void
-on_plain_gone (void *ctx)
+on_plain_disconnect (void *ctx)
 {
   end_plain (ctx);
 }
 
 static void
-answer_plain (struct plain_run *u)
+respond_plain (struct plain_run *u)
 {
   struct wy_platform_replica *r = u->replica;
   size_t n;
   const char *body = wy_h1_body (u->request, &n);
   char load[48];
-  char mark[160];
+  char stamp[160];
   struct wy_h1_header fields[3]
       = { { "Attempt-Id", wy_platform_take_fault (&r->faults.wrong_attempt_id)
                               ? "another"
                               : u->id },
           { "Server-Load", load },
-          { "Response-Stamp", mark } };
+          { "Response-Stamp", stamp } };
 
   snprintf (load, sizeof load, "%u,0,%u", r->running - 1, r->o.slots);
-  snprintf (mark, sizeof mark, "%s.%s.%u", u->id, r->o.id, r->answers++);
-  if (r->o.on_answer)
-    r->o.on_answer (r->o.ctx, r->o.id, u->id, u->status, mark);
+  snprintf (stamp, sizeof stamp, "%s.%s.%u", u->id, r->o.id, r->responses++);
+  if (r->o.on_response)
+    r->o.on_response (r->o.ctx, r->o.id, u->id, u->status, stamp);
   wy_h1_on_hangup (u->request, NULL, NULL);
-  /* The body comes back, so that a caller can tell its own answer.  */
+  /* The request's body is echoed, so that a caller can tell its own response.
+   */
   wy_h1_respond (u->request, u->status, fields,
                  wy_platform_take_fault (&r->faults.omit_stamp) ? 2 : 3, body,
                  n);
@@ -203,12 +205,12 @@
 static void
 on_plain_timer (uv_timer_t *t)
 {
-  answer_plain (t->data);
+  respond_plain (t->data);
 }
 
 static void
-plain (struct wy_platform_replica *r, struct wy_h1_request *q, int status,
-       const char *id)
+start_plain (struct wy_platform_replica *r, struct wy_h1_request *q,
+             int status, const char *id)
 {
   struct plain_run *u = g_new0 (struct plain_run, 1);
 
@@ -219,21 +221,21 @@
   u->status = status;
   uv_timer_init (r->o.loop, &u->timer);
   u->timer.data = u;
-  wy_h1_on_hangup (q, on_plain_gone, u);
+  wy_h1_on_hangup (q, on_plain_disconnect, u);
   if (wy_platform_take_fault (&r->faults.hang))
     return;
   if (r->faults.response_ms)
     uv_timer_start (&u->timer, on_plain_timer, r->faults.response_ms, 0);
   else
-    answer_plain (u);
+    respond_plain (u);
 }
 
 static void
-tell_run (const struct wy_platform_replica *r, const struct wy_h1_head *head,
-          const char *id, const char *body, size_t n)
+notify_run (const struct wy_platform_replica *r, const struct wy_h1_head *head,
+            const char *id, const char *body, size_t n)
 {
-  if (r->o.on_sender)
-    r->o.on_sender (r->o.ctx, id, wy_h1_head_get (head, "Tenant"),
+  if (r->o.on_caller)
+    r->o.on_caller (r->o.ctx, id, wy_h1_head_get (head, "Tenant"),
                     wy_h1_head_get (head, "Authorization"));
   if (r->o.on_run)
     r->o.on_run (r->o.ctx, r->o.id, id, body, n);
@@ -255,25 +257,25 @@
   else if (wy_platform_take_fault (&r->faults.lose_response))
     {
       r->runs++;
-      tell_run (r, head, id, "", 0);
+      notify_run (r, head, id, "", 0);
       wy_h1_abort (q);
     }
   else if (wy_platform_take_fault (&r->faults.respond_422))
-    plain (r, q, 422, id);
+    start_plain (r, q, 422, id);
   else if (wy_platform_take_fault (&r->faults.respond_500))
     {
       r->runs++;
-      plain (r, q, 500, id);
+      start_plain (r, q, 500, id);
     }
   else if (wy_platform_take_fault (&r->faults.respond_503_after_run))
     {
       r->runs++;
-      plain (r, q, 503, id);
+      start_plain (r, q, 503, id);
     }
   else if (r->o.model)
     {
-      tell_run (r, head, id, "", 0);
-      stream (r, q, id);
+      notify_run (r, head, id, "", 0);
+      start_stream (r, q, id);
     }
   else
     {
@@ -281,13 +283,14 @@
       const char *body = wy_h1_body (q, &n);
 
       r->runs++;
-      tell_run (r, head, id, body, n);
-      plain (r, q,
-             n >= strlen (FAILS_ALWAYS)
-                     && !memcmp (body, FAILS_ALWAYS, strlen (FAILS_ALWAYS))
-                 ? 500
-                 : 200,
-             id);
+      notify_run (r, head, id, body, n);
+      start_plain (
+          r, q,
+          n >= strlen (FAILS_ALWAYS)
+                  && !memcmp (body, FAILS_ALWAYS, strlen (FAILS_ALWAYS))
+              ? 500
+              : 200,
+          id);
     }
 }
 
@@ -307,7 +310,7 @@
     run (r, q);
 }
 
-/* Start a replica as O says; NULL: no port.  */
+/* Start a replica with the options O.  Return NULL if it gets no port.  */
 struct wy_platform_replica *
 wy_platform_replica_new (const struct wy_platform_replica_options *o)
 {
@@ -331,55 +334,55 @@
       g_free (r);
       return NULL;
     }
-  uv_timer_init (o->loop, &r->load);
-  r->load.data = r;
+  uv_timer_init (o->loop, &r->load_timer);
+  r->load_timer.data = r;
   return r;
 }
 
-/* Close all of R; the loop must turn afterwards.  */
+/* Close R.  The loop must run afterwards until its handles are closed.  */
 void
 wy_platform_replica_free (struct wy_platform_replica *r)
 {
   wy_h1_server_free (r->server);
-  uv_close ((uv_handle_t *)&r->load, NULL);
+  uv_close ((uv_handle_t *)&r->load_timer, NULL);
 }
 
-/* The port R listens on.  */
+/* Return the port that R listens on.  */
 uint16_t
 wy_platform_replica_port (const struct wy_platform_replica *r)
 {
   return wy_h1_server_port (r->server);
 }
 
-/* What goes wrong, to be changed at will.  */
+/* Return the injected faults of R, which may be changed at any time.  */
 struct wy_platform_replica_faults *
 wy_platform_replica_faults (struct wy_platform_replica *r)
 {
   return &r->faults;
 }
 
-/* Requests and items that have begun to run.  */
+/* Return the number of requests and items that have started to run.  */
 uint32_t
 wy_platform_replica_runs (const struct wy_platform_replica *r)
 {
   return r->runs;
 }
 
-/* Streams that run now.  */
+/* Return the number of requests and items in progress.  */
 uint32_t
 wy_platform_replica_running (const struct wy_platform_replica *r)
 {
   return r->running;
 }
 
-/* Connections open now.  */
+/* Return the number of open connections.  */
 uint32_t
 wy_platform_replica_connections (const struct wy_platform_replica *r)
 {
   return wy_h1_server_connections (r->server);
 }
 
-/* The event behind which the last stream was asked to go on.  */
+/* Return the Last-Event-Id of the last stream, 0 if it had none.  */
 int64_t
 wy_platform_replica_last_resume (const struct wy_platform_replica *r)
 {
--- a/src/standin/platform_replica.h
+++ b/src/standin/platform_replica.h
@@ -1,31 +1,29 @@
-/* Stand-in of a replica on the platform: runs requests and items, takes
-   orders to load weights, tells its load.  */
+/* Stand-in of a replica on the platform: runs requests and items, accepts
+   orders to load weights and reports its load.  */
 #ifndef WY_STANDIN_PLATFORM_REPLICA_H
 #define WY_STANDIN_PLATFORM_REPLICA_H
 
 #include "h1/server.h"
 
-/* What goes wrong; all off when zeroed.  Counts run down with each request
-   that they hit.  */
+/* Injected faults, none if zeroed.  Unless said otherwise, each counts the
+   requests still to be affected.  */
 struct wy_platform_replica_faults
 {
-  uint32_t
-      abort_after_events; /* streams: broken off behind so many events, ... */
-  uint32_t abort_streams; /* ... so often */
-  uint32_t stall_streams; /* streams that stand still after one event */
-  uint32_t respond_not_run; /* turned away as not run */
-  uint32_t respond_500;     /* answered 500 */
-  uint32_t
-      respond_503_after_run; /* run, and answered 503, not marked as not run */
-  uint32_t respond_422;      /* answered 422 */
-  uint32_t wrong_attempt_id; /* answered as if to another request */
-  uint32_t omit_stamp;       /* without the mark of a replica's answer */
-  uint32_t lose_response;    /* run, the answer lost */
-  uint32_t lose_order_response; /* performed, not answered */
-  uint32_t hang;                /* plain services: run and never answered */
-  uint32_t response_ms;         /* plain services: time of an answer */
-  uint32_t order_load_ms;
-  bool silent;
+  uint32_t abort_after_events;    /* events sent before an abort */
+  uint32_t abort_streams;         /* aborted after abort_after_events */
+  uint32_t stall_streams;         /* stalled after one event */
+  uint32_t respond_not_run;       /* rejected with 503 as not run */
+  uint32_t respond_500;           /* run, but failed */
+  uint32_t respond_503_after_run; /* 503 without Not-Executed */
+  uint32_t respond_422;           /* rejected for good */
+  uint32_t wrong_attempt_id;      /* response names another attempt */
+  uint32_t omit_stamp;            /* response lacks Response-Stamp */
+  uint32_t lose_response;         /* run, connection aborted */
+  uint32_t lose_order_response;   /* order performed, connection aborted */
+  uint32_t hang;                  /* plain services: run without a response */
+  uint32_t response_ms;           /* plain services: latency */
+  uint32_t order_load_ms;         /* time to load weights */
+  bool silent;                    /* all requests are ignored */
 };
 
 struct wy_platform_replica_options
@@ -36,19 +34,20 @@
   uint32_t events; /* of a stream */
   uint32_t event_ms;
   const char *model; /* NULL: a plain service */
-  /* A request or item runs; BODY is what a plain one is answered with.  */
+  /* Any of the callbacks may be NULL.  on_run is called when a request or item
+     runs; BODY is that of a plain request, else empty.  */
   void (*on_run) (void *ctx, const char *replica, const char *request,
                   const char *body, size_t n);
-  /* The same request names ORGANISATION, NULL for none, and bears KEY, NULL
-     for none; NULL: nobody asks.  */
-  void (*on_sender) (void *ctx, const char *request, const char *organisation,
+  /* Called just before on_run with the request's ORGANISATION and access KEY,
+     each NULL if the request has none.  */
+  void (*on_caller) (void *ctx, const char *request, const char *organisation,
                      const char *key);
-  /* A stream has been sent to its last event; NULL: nobody asks.  */
-  void (*on_whole) (void *ctx, const char *replica, const char *request);
-  /* A plain request is answered with STATUS under MARK, which no other answer
-     has; NULL: nobody asks.  */
-  void (*on_answer) (void *ctx, const char *replica, const char *request,
-                     int status, const char *mark);
+  /* A stream has been sent up to its last event.  */
+  void (*on_stream_end) (void *ctx, const char *replica, const char *request);
+  /* The response to a plain request is sent with STATUS and the unique
+     Response-Stamp STAMP.  */
+  void (*on_response) (void *ctx, const char *replica, const char *request,
+                       int status, const char *stamp);
   void *ctx;
 };
 
--- a/src/standin/platform_replica_orders.c
+++ b/src/standin/platform_replica_orders.c
@@ -1,4 +1,4 @@
-/* Stand-in of a replica: its report, its entry and the orders it takes.  */
+/* Stand-in of a replica: its report, its row in the store and its orders.  */
 #include "standin/platform_replica_state.h"
 
 #include <stdlib.h>
@@ -6,7 +6,7 @@
 
 #include <jansson.h>
 
-/* Whether a fault is due; if so, decrement its remaining COUNT.  */
+/* Return whether a fault is to be injected, and if so decrement its COUNT.  */
 bool
 wy_platform_take_fault (uint32_t *count)
 {
@@ -16,16 +16,16 @@
   return true;
 }
 
-/* Answer Q with R's report on itself.  */
+/* Respond to Q with the report of R.  */
 void
 wy_platform_replica_report (struct wy_platform_replica *r,
                             struct wy_h1_request *q)
 {
-  json_t *doc
-      = json_pack ("{s:[{s:s, s:I}], s:b, s:I, s:I}", "models", "name",
-                   r->o.model ? r->o.model : "", "version",
-                   (json_int_t)r->version, "busy", r->loading != 0, "sequence",
-                   (json_int_t)r->orders, "born", (json_int_t)r->started_ms);
+  json_t *doc = json_pack (
+      "{s:[{s:s, s:I}], s:b, s:I, s:I}", "models", "name",
+      r->o.model ? r->o.model : "", "version", (json_int_t)r->version, "busy",
+      r->loading_version != 0, "sequence", (json_int_t)r->orders, "born",
+      (json_int_t)r->started_ms);
   char *text = json_dumps (doc, JSON_COMPACT);
 
   wy_h1_respond (q, 200, NULL, 0, text, strlen (text));
@@ -38,12 +38,12 @@
 {
   struct wy_platform_replica *r = t->data;
 
-  r->version = r->loading;
-  r->loading = 0;
+  r->version = r->loading_version;
+  r->loading_version = 0;
 }
 
 static int
-take_order (struct wy_platform_replica *r, json_t *doc)
+accept_order (struct wy_platform_replica *r, json_t *doc)
 {
   int64_t version = json_integer_value (json_object_get (doc, "version"));
   json_t *expected = json_object_get (doc, "expectedRevision");
@@ -51,19 +51,19 @@
   if (!json_is_string (json_object_get (doc, "holder"))
       || !json_is_integer (json_object_get (doc, "fencingToken")))
     return 400;
-  if (r->loading
+  if (r->loading_version
       || (json_is_integer (expected)
           && json_integer_value (expected) != r->orders))
     return 409;
   if (r->version == version)
     return 200;
   r->orders++;
-  r->loading = version;
-  uv_timer_start (&r->load, on_loaded, r->faults.order_load_ms, 0);
+  r->loading_version = version;
+  uv_timer_start (&r->load_timer, on_loaded, r->faults.order_load_ms, 0);
   return 202;
 }
 
-/* Take the order Q and answer it.  */
+/* Handle the order Q and respond to it.  */
 void
 wy_platform_replica_order (struct wy_platform_replica *r,
                            struct wy_h1_request *q)
@@ -71,7 +71,7 @@
   size_t n;
   const char *body = wy_h1_body (q, &n);
   json_t *doc = json_loadb (body, n, 0, NULL);
-  int status = take_order (r, doc);
+  int status = accept_order (r, doc);
 
   json_decref (doc);
   if (wy_platform_take_fault (&r->faults.lose_order_response))
@@ -80,7 +80,8 @@
     wy_h1_respond (q, status, NULL, 0, "", 0);
 }
 
-/* R's entry in the list of replicas, in STATE; the caller frees it.  */
+/* Return the value of the row of R in the table of replicas, which the caller
+   frees.  If ADDRESS is NULL, it is the one R listens on.  */
 char *
 wy_platform_replica_row_value (const struct wy_platform_replica *r,
                                const char *service, const char *state,
@@ -100,21 +101,21 @@
   return entry;
 }
 
-/* Orders accepted.  */
+/* Return the number of orders accepted.  */
 uint32_t
 wy_platform_replica_orders (const struct wy_platform_replica *r)
 {
   return (uint32_t)r->orders;
 }
 
-/* Version of the weights in force.  */
+/* Return the version of the weights in use.  */
 int64_t
 wy_platform_replica_version (const struct wy_platform_replica *r)
 {
   return r->version;
 }
 
-/* Put other weights in force.  */
+/* Use VERSION of the weights from now on.  */
 void
 wy_platform_replica_set_version (struct wy_platform_replica *r,
                                  int64_t version)
@@ -122,12 +123,13 @@
   r->version = version;
 }
 
-/* Restart R under its id: it loses its orders and keeps its weights.  */
+/* Simulate a restart of R: it keeps its id and weights, its order count starts
+   again at 0 and its start time changes.  */
 void
 wy_platform_replica_restart (struct wy_platform_replica *r)
 {
-  uv_timer_stop (&r->load);
-  r->loading = 0;
+  uv_timer_stop (&r->load_timer);
+  r->loading_version = 0;
   r->orders = 0;
   r->started_ms++;
 }
--- a/src/standin/platform_replica_state.h
+++ b/src/standin/platform_replica_state.h
@@ -1,4 +1,4 @@
-/* Internal state of the stand-in of a replica, platform_replica*.c.  */
+/* Internal state of the replica stand-in, shared by platform_replica*.c.  */
 #ifndef WY_STANDIN_PLATFORM_REPLICA_STATE_H
 #define WY_STANDIN_PLATFORM_REPLICA_STATE_H
 
@@ -8,15 +8,15 @@
 {
   struct wy_platform_replica_options o;
   struct wy_h1_server *server;
-  uv_timer_t load;
+  uv_timer_t load_timer;
   int64_t version;
-  int64_t loading; /* version; 0: none */
+  int64_t loading_version; /* version; 0: none */
   int64_t orders;
   int64_t started_ms;
   int64_t last_resume;
   uint32_t runs;
   uint32_t running;
-  uint32_t answers; /* of plain requests */
+  uint32_t responses; /* of plain requests */
   struct wy_platform_replica_faults faults;
 };
 
--- a/src/standin/platform_store.c
+++ b/src/standin/platform_store.c
@@ -1,5 +1,5 @@
-/* Stand-in of the platform's store.  A call is performed in one turn of the
-   loop, so its answers are linearizable.  */
+/* Stand-in of the platform's store.  Each call is performed in one iteration
+   of the loop, so the store is linearizable.  */
 #include "standin/platform_store_state.h"
 
 #include <stdio.h>
@@ -20,7 +20,7 @@
   struct wy_platform_row *r = p;
 
   g_free (r->table);
-  g_free (r->part);
+  g_free (r->partition);
   g_free (r->key);
   g_free (r->value);
   g_free (r);
@@ -29,41 +29,43 @@
 static void
 free_wait (gpointer p)
 {
-  struct wy_platform_wait *w = p;
+  struct wy_platform_feed_wait *w = p;
 
   g_free (w->table);
   g_free (w);
 }
 
-/* The row, also a deleted one; NULL: never written.  */
+/* Return the row, even if it is deleted, or NULL if it was never written.  */
 struct wy_platform_row *
 wy_platform_store_find (const struct wy_platform_store *s, const char *table,
-                        const char *part, const char *key)
+                        const char *partition, const char *key)
 {
   for (guint i = 0; i < s->rows->len; i++)
     {
       struct wy_platform_row *r = g_ptr_array_index (s->rows, i);
 
-      if (!strcmp (r->key, key) && !strcmp (r->part, part)
+      if (!strcmp (r->key, key) && !strcmp (r->partition, partition)
           && !strcmp (r->table, table))
         return r;
     }
   return NULL;
 }
 
-/* Give the row the VALUE in base64 and the present version; NULL: delete it.
- */
+/* Set the row to VALUE, in base64, with the store's current version.  Delete
+   it if VALUE is NULL.  */
 void
 wy_platform_store_set (struct wy_platform_store *s, const char *table,
-                       const char *part, const char *key, const char *value)
+                       const char *partition, const char *key,
+                       const char *value)
 {
-  struct wy_platform_row *r = wy_platform_store_find (s, table, part, key);
+  struct wy_platform_row *r
+      = wy_platform_store_find (s, table, partition, key);
 
   if (!r)
     {
       r = g_new0 (struct wy_platform_row, 1);
       r->table = g_strdup (table);
-      r->part = g_strdup (part);
+      r->partition = g_strdup (partition);
       r->key = g_strdup (key);
       g_ptr_array_add (s->rows, r);
     }
@@ -73,7 +75,8 @@
   r->version = s->version;
 }
 
-/* Answer R with DOC, which is taken over, and what each answer tells.  */
+/* Respond to R with DOC, whose reference is consumed, and the members that
+   every response has.  DOC may be NULL.  */
 void
 wy_platform_store_respond (struct wy_platform_store *s,
                            struct wy_h1_request *r, int status, json_t *doc)
@@ -93,48 +96,50 @@
   json_decref (doc);
 }
 
-/* R as it travels.  */
+/* Return R in the JSON form of the API.  */
 json_t *
 wy_platform_store_row_json (const struct wy_platform_row *r)
 {
   json_t *o = json_pack ("{s:s, s:s, s:s, s:s, s:I}", "table", r->table,
-                         "part", r->part, "key", r->key, "value", r->value,
-                         "rowVersion", (json_int_t)r->version);
+                         "part", r->partition, "key", r->key, "value",
+                         r->value, "rowVersion", (json_int_t)r->version);
 
   if (r->deleted)
     json_object_set_new (o, "deleted", json_true ());
   return o;
 }
 
-/* Write VALUE as the platform or another writer would.  */
+/* Write VALUE to a row and return the store's new version.  */
 int64_t
 wy_platform_store_put (struct wy_platform_store *s, const char *table,
-                       const char *part, const char *key, const char *value)
+                       const char *partition, const char *key,
+                       const char *value)
 {
   char *coded = g_base64_encode ((const guchar *)value, strlen (value));
 
   s->version++;
-  wy_platform_store_set (s, table, part, key, coded);
+  wy_platform_store_set (s, table, partition, key, coded);
   g_free (coded);
   return s->version;
 }
 
-/* Remove a row as its writer would.  */
+/* Delete a row.  */
 void
 wy_platform_store_delete (struct wy_platform_store *s, const char *table,
-                          const char *part, const char *key)
+                          const char *partition, const char *key)
 {
   s->version++;
-  wy_platform_store_set (s, table, part, key, NULL);
+  wy_platform_store_set (s, table, partition, key, NULL);
 }
 
-/* The value of a row as text, which the caller frees; NULL: none.  */
+/* Return the decoded value of a row, which the caller frees, or NULL if there
+   is none.  */
 char *
 wy_platform_store_value (const struct wy_platform_store *s, const char *table,
-                         const char *part, const char *key)
+                         const char *partition, const char *key)
 {
   const struct wy_platform_row *r
-      = wy_platform_store_find (s, table, part, key);
+      = wy_platform_store_find (s, table, partition, key);
   gsize n;
   guchar *p;
   char *out;
@@ -147,10 +152,10 @@
   return out;
 }
 
-/* Rows of a part.  */
+/* Return the number of rows in a partition.  */
 uint32_t
 wy_platform_store_row_count (const struct wy_platform_store *s,
-                             const char *table, const char *part)
+                             const char *table, const char *partition)
 {
   uint32_t n = 0;
 
@@ -158,19 +163,20 @@
     {
       const struct wy_platform_row *r = g_ptr_array_index (s->rows, i);
 
-      n += !r->deleted && !strcmp (r->table, table) && !strcmp (r->part, part);
+      n += !r->deleted && !strcmp (r->table, table)
+           && !strcmp (r->partition, partition);
     }
   return n;
 }
 
-/* Objects that are kept.  */
+/* Return the number of stored objects.  */
 uint32_t
 wy_platform_store_object_count (const struct wy_platform_store *s)
 {
   return g_hash_table_size (s->objects);
 }
 
-/* What goes wrong, to be changed at will.  */
+/* Return the injected faults of S, which may be changed at any time.  */
 struct wy_platform_store_faults *
 wy_platform_store_faults (struct wy_platform_store *s)
 {
@@ -210,10 +216,10 @@
 }
 
 static bool
-disturbed (struct wy_platform_store *s, struct wy_h1_request *r)
+inject_fault (struct wy_platform_store *s, struct wy_h1_request *r)
 {
   if (s->faults.silent)
-    return true; /* the caller's own time limit ends it */
+    return true; /* the caller times out */
   if (s->faults.respond_503)
     {
       s->faults.respond_503--;
@@ -235,10 +241,10 @@
   struct wy_platform_store *s = ctx;
   const char *t = wy_h1_target (r);
 
-  if (disturbed (s, r))
+  if (inject_fault (s, r))
     return;
   if (g_str_has_prefix (t, "/api/rows-get"))
-    wy_platform_store_get (s, r, t);
+    wy_platform_store_read_rows (s, r, t);
   else if (g_str_has_prefix (t, "/api/rows-parts"))
     wy_platform_store_partitions (s, r, t);
   else if (g_str_has_prefix (t, "/api/rows-feed"))
@@ -265,7 +271,7 @@
   g_bytes_unref (p);
 }
 
-/* Start a store as O says; NULL: its port is taken.  */
+/* Start a store with the options O.  Return NULL if its port is in use.  */
 struct wy_platform_store *
 wy_platform_store_new (const struct wy_platform_store_options *o)
 {
@@ -292,24 +298,24 @@
   s->waits = g_ptr_array_new_with_free_func (free_wait);
   s->objects
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_bytes);
-  uv_timer_init (o->loop, &s->tick);
-  s->tick.data = s;
-  uv_timer_start (&s->tick, wy_platform_store_tick, WAIT_CHECK_MS,
+  uv_timer_init (o->loop, &s->wait_timer);
+  s->wait_timer.data = s;
+  uv_timer_start (&s->wait_timer, wy_platform_store_check_waits, WAIT_CHECK_MS,
                   WAIT_CHECK_MS);
   return s;
 }
 
-/* Close all of S; the loop must turn afterwards.  Rows stay readable until
-   the process ends.  */
+/* Close S.  The loop must run afterwards until its handles are closed.  Rows
+   stay readable until the process ends.  */
 void
 wy_platform_store_free (struct wy_platform_store *s)
 {
   g_ptr_array_set_size (s->waits, 0);
   wy_h1_server_free (s->server);
-  uv_close ((uv_handle_t *)&s->tick, NULL);
+  uv_close ((uv_handle_t *)&s->wait_timer, NULL);
 }
 
-/* The port S listens on.  */
+/* Return the port that S listens on.  */
 uint16_t
 wy_platform_store_port (const struct wy_platform_store *s)
 {
--- a/src/standin/platform_store.h
+++ b/src/standin/platform_store.h
@@ -1,4 +1,5 @@
-/* Stand-in of the platform's store of rows and objects, with its feed.  */
+/* Stand-in of the platform's store of rows and objects, with its feed of
+   changes.  */
 #ifndef WY_STANDIN_PLATFORM_STORE_H
 #define WY_STANDIN_PLATFORM_STORE_H
 
@@ -6,19 +7,20 @@
 
 #include "h1/server.h"
 
-/* What goes wrong; all off when zeroed.  Counts run down with each call that
-   they hit.  */
+/* Injected faults, none if zeroed.  Each number counts the calls still to be
+   affected, except delay_tx_ms.  */
 struct wy_platform_store_faults
 {
-  uint32_t respond_503;   /* calls answered 503 and not performed */
-  uint32_t respond_429;   /* calls answered 429 */
-  uint32_t lose_response; /* transactions performed, their answer lost */
-  uint32_t delay_tx; /* transactions performed LATE_MS after, unanswered */
+  uint32_t respond_503;   /* calls rejected with 503 */
+  uint32_t respond_429;   /* calls rejected with 429 */
+  uint32_t lose_response; /* transactions performed without a response */
+  uint32_t delay_tx;      /* transactions performed delay_tx_ms after their
+                             connection is aborted */
   uint32_t delay_tx_ms;
-  bool silent;          /* no call is answered or performed */
-  bool compact_history; /* the next wait for changes is answered 410 */
-  bool stall_feed;      /* waits for changes never end */
-  uint32_t respond_507; /* objects refused as too much */
+  bool silent;          /* all calls are ignored */
+  bool compact_history; /* the next read of the feed gets 410 */
+  bool stall_feed;      /* reads of the feed never end */
+  uint32_t respond_507; /* objects rejected with 507 */
 };
 
 struct wy_platform_store_options
@@ -36,15 +38,16 @@
 struct wy_platform_store_faults *
 wy_platform_store_faults (struct wy_platform_store *s);
 int64_t wy_platform_store_put (struct wy_platform_store *s, const char *table,
-                               const char *part, const char *key,
+                               const char *partition, const char *key,
                                const char *value);
 void wy_platform_store_delete (struct wy_platform_store *s, const char *table,
-                               const char *part, const char *key);
+                               const char *partition, const char *key);
 char *wy_platform_store_value (const struct wy_platform_store *s,
-                               const char *table, const char *part,
+                               const char *table, const char *partition,
                                const char *key);
 uint32_t wy_platform_store_row_count (const struct wy_platform_store *s,
-                                      const char *table, const char *part);
+                                      const char *table,
+                                      const char *partition);
 uint32_t wy_platform_store_object_count (const struct wy_platform_store *s);
 
 #endif
--- a/src/standin/platform_store_read.c
+++ b/src/standin/platform_store_read.c
@@ -12,7 +12,7 @@
 };
 
 static char *
-query (const char *target, const char *name)
+query_parameter (const char *target, const char *name)
 {
   const char *p = strchr (target, '?');
   size_t n = strlen (name);
@@ -49,34 +49,34 @@
   return x->version < y->version ? -1 : x->version > y->version;
 }
 
-/* Rows of a range.  */
+/* Handle a read of a range of rows.  */
 void
-wy_platform_store_get (struct wy_platform_store *s, struct wy_h1_request *r,
-                       const char *target)
+wy_platform_store_read_rows (struct wy_platform_store *s,
+                             struct wy_h1_request *r, const char *target)
 {
-  char *table = query (target, "table");
-  char *part = query (target, "part");
-  char *from = query (target, "from");
-  char *to = query (target, "to");
-  char *limit = query (target, "limit");
-  guint most = limit ? (guint)atoi (limit) : PAGE_ROWS;
+  char *table = query_parameter (target, "table");
+  char *partition = query_parameter (target, "part");
+  char *from = query_parameter (target, "from");
+  char *to = query_parameter (target, "to");
+  char *limit = query_parameter (target, "limit");
+  guint max_rows = limit ? (guint)atoi (limit) : PAGE_ROWS;
   GPtrArray *found = g_ptr_array_new ();
   json_t *rows = json_array ();
   size_t size = 0;
   guint n = 0;
 
-  for (guint i = 0; table && part && i < s->rows->len; i++)
+  for (guint i = 0; table && partition && i < s->rows->len; i++)
     {
       struct wy_platform_row *row = g_ptr_array_index (s->rows, i);
 
       if (!row->deleted && !strcmp (row->table, table)
-          && !strcmp (row->part, part)
+          && !strcmp (row->partition, partition)
           && (!from || strcmp (row->key, from) >= 0)
           && (!to || strcmp (row->key, to) < 0))
         g_ptr_array_add (found, row);
     }
   g_ptr_array_sort (found, by_key);
-  for (; n < found->len && n < MIN (most, PAGE_ROWS); n++)
+  for (; n < found->len && n < MIN (max_rows, PAGE_ROWS); n++)
     {
       const struct wy_platform_row *row = g_ptr_array_index (found, n);
 
@@ -90,18 +90,18 @@
       json_pack ("{s:o, s:b}", "rows", rows, "morePages", n < found->len));
   g_ptr_array_free (found, TRUE);
   g_free (table);
-  g_free (part);
+  g_free (partition);
   g_free (from);
   g_free (to);
   g_free (limit);
 }
 
-/* The parts of a table.  */
+/* Handle a listing of the partitions of a table.  */
 void
 wy_platform_store_partitions (struct wy_platform_store *s,
                               struct wy_h1_request *r, const char *target)
 {
-  char *table = query (target, "table");
+  char *table = query_parameter (target, "table");
   GHashTable *seen = g_hash_table_new (g_str_hash, g_str_equal);
   json_t *list = json_array ();
 
@@ -110,8 +110,8 @@
       const struct wy_platform_row *row = g_ptr_array_index (s->rows, i);
 
       if (!row->deleted && !strcmp (row->table, table)
-          && g_hash_table_add (seen, row->part))
-        json_array_append_new (list, json_string (row->part));
+          && g_hash_table_add (seen, row->partition))
+        json_array_append_new (list, json_string (row->partition));
     }
   wy_platform_store_respond (
       s, r, 200, json_pack ("{s:o, s:b}", "parts", list, "morePages", 0));
@@ -120,7 +120,7 @@
 }
 
 static bool
-answer_wait (struct wy_platform_wait *w)
+respond_wait (struct wy_platform_feed_wait *w)
 {
   struct wy_platform_store *s = w->store;
   GPtrArray *found = g_ptr_array_new ();
@@ -150,33 +150,35 @@
   return true;
 }
 
-/* Answer the waits that have something to tell, or are over.  */
+/* Respond to the feed calls that have changes or have reached their timeout.
+ */
 void
-wy_platform_store_tick (uv_timer_t *t)
+wy_platform_store_check_waits (uv_timer_t *t)
 {
   struct wy_platform_store *s = t->data;
 
   for (guint i = s->waits->len; !s->faults.stall_feed && i > 0; i--)
-    if (answer_wait (g_ptr_array_index (s->waits, i - 1)))
+    if (respond_wait (g_ptr_array_index (s->waits, i - 1)))
       g_ptr_array_remove_index (s->waits, i - 1);
 }
 
 static void
-on_wait_gone (void *ctx)
+on_wait_disconnect (void *ctx)
 {
-  struct wy_platform_wait *w = ctx;
+  struct wy_platform_feed_wait *w = ctx;
 
   g_ptr_array_remove (w->store->waits, w);
 }
 
-/* Changes of a table, now or when there are some.  */
+/* Handle a read of the feed of a table, which waits until there are changes.
+ */
 void
 wy_platform_store_feed (struct wy_platform_store *s, struct wy_h1_request *r,
                         const char *target)
 {
-  char *after = query (target, "after");
-  char *wait_ms = query (target, "waitMs");
-  struct wy_platform_wait *w;
+  char *after = query_parameter (target, "after");
+  char *wait_ms = query_parameter (target, "waitMs");
+  struct wy_platform_feed_wait *w;
 
   if (s->faults.compact_history)
     {
@@ -185,15 +187,15 @@
     }
   else
     {
-      w = g_new0 (struct wy_platform_wait, 1);
+      w = g_new0 (struct wy_platform_feed_wait, 1);
       w->store = s;
       w->request = r;
-      w->table = query (target, "table");
+      w->table = query_parameter (target, "table");
       w->after = after ? g_ascii_strtoll (after, NULL, 10) : 0;
       w->until_ms = uv_now (s->loop)
                     + (wait_ms ? g_ascii_strtoull (wait_ms, NULL, 10) : 0);
       g_ptr_array_add (s->waits, w);
-      wy_h1_on_hangup (r, on_wait_gone, w);
+      wy_h1_on_hangup (r, on_wait_disconnect, w);
     }
   g_free (after);
   g_free (wait_ms);
--- a/src/standin/platform_store_tx.c
+++ b/src/standin/platform_store_tx.c
@@ -6,10 +6,10 @@
 enum
 {
   ROW_LIMIT_BYTES = 65536,
-  TX_ENTRIES = 100
+  TX_ENTRIES_MAX = 100
 };
 
-struct late_tx
+struct delayed_tx
 {
   struct wy_platform_store *store;
   json_t *doc;
@@ -36,11 +36,11 @@
   {
     const struct wy_platform_row *r = wy_platform_store_find (
         s, text (c, "table"), text (c, "part"), text (c, "key"));
-    int64_t want = json_integer_value (json_object_get (c, "rowVersion"));
-    bool there = r && !r->deleted;
+    int64_t expected = json_integer_value (json_object_get (c, "rowVersion"));
+    bool exists = r && !r->deleted;
 
-    failed = failed || (there ? r->version : 0) != want;
-    if (there)
+    failed = failed || (exists ? r->version : 0) != expected;
+    if (exists)
       json_array_append_new (out, wy_platform_store_row_json (r));
   }
   if (failed)
@@ -49,7 +49,7 @@
   return NULL;
 }
 
-/* Why DOC can't be a transaction; NULL: it can.  */
+/* Return why DOC is no valid transaction, or NULL if it is one.  */
 static const char *
 invalid (json_t *doc)
 {
@@ -59,7 +59,7 @@
              + json_array_size (json_object_get (doc, "expectedRevision"))
              + json_array_size (json_object_get (doc, "remove"));
 
-  if (!json_is_object (doc) || n > TX_ENTRIES)
+  if (!json_is_object (doc) || n > TX_ENTRIES_MAX)
     return "entries";
   json_array_foreach (json_object_get (doc, "writes"), i,
                       w) if (!*text (w, "key")
@@ -68,7 +68,8 @@
   return NULL;
 }
 
-/* Returns 200, or 412 with the rows of the conditions in OUT.  */
+/* Perform the transaction DOC.  Return 200, or 412 if a condition failed, with
+   the existing rows that the conditions name in *OUT.  */
 static int
 perform (struct wy_platform_store *s, json_t *doc, json_t **out)
 {
@@ -92,36 +93,36 @@
 }
 
 static void
-on_late_closed (uv_handle_t *h)
+on_delay_closed (uv_handle_t *h)
 {
   g_free (h->data);
 }
 
 static void
-on_late (uv_timer_t *t)
+on_delay_end (uv_timer_t *t)
 {
-  struct late_tx *l = t->data;
+  struct delayed_tx *l = t->data;
   json_t *rows;
 
   perform (l->store, l->doc, &rows);
   json_decref (rows);
   json_decref (l->doc);
-  uv_close ((uv_handle_t *)t, on_late_closed);
+  uv_close ((uv_handle_t *)t, on_delay_closed);
 }
 
 static void
-perform_late (struct wy_platform_store *s, json_t *doc)
+perform_delayed (struct wy_platform_store *s, json_t *doc)
 {
-  struct late_tx *l = g_new0 (struct late_tx, 1);
+  struct delayed_tx *l = g_new0 (struct delayed_tx, 1);
 
   l->store = s;
   l->doc = json_incref (doc);
   uv_timer_init (s->loop, &l->timer);
   l->timer.data = l;
-  uv_timer_start (&l->timer, on_late, s->faults.delay_tx_ms, 0);
+  uv_timer_start (&l->timer, on_delay_end, s->faults.delay_tx_ms, 0);
 }
 
-/* Perform the transaction R, or what the faults make of it.  */
+/* Handle the transaction R, subject to the injected faults.  */
 void
 wy_platform_store_transact (struct wy_platform_store *s,
                             struct wy_h1_request *r)
@@ -137,7 +138,7 @@
   else if (s->faults.delay_tx)
     {
       s->faults.delay_tx--;
-      perform_late (s, doc);
+      perform_delayed (s, doc);
       wy_h1_abort (r);
     }
   else
--- a/src/standin/platform_trainer.c
+++ b/src/standin/platform_trainer.c
@@ -1,14 +1,15 @@
 /* Trainer of the platform stand-in: submits a step, reads its results, ends
-   it, names the next version, and in the end reads all steps once more.  */
+   the step and announces the next version.  At the end it reads the results of
+   all steps again.  */
 #include "standin/platform.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* The scorer of an item has this and the item's id for its own.  */
+/* The id of an item's scorer is this and the item's id.  */
 #define SCORER_PREFIX "score-"
-/* Of the item whose text can't be scored.  */
+/* Of the id of the item whose text can't be scored.  */
 #define FAILING_SUFFIX "-5"
 
 enum
@@ -21,10 +22,10 @@
   PAUSE_MS = 100,
   STATUS_OK = 200,
   STATUS_ACCEPTED = 202,
-  STATUS_REFUSED = 503
+  STATUS_UNAVAILABLE = 503
 };
 
-/* Results of a step as read, by position.  */
+/* A step and its results by position, as read.  */
 struct step
 {
   char id[32];
@@ -36,11 +37,11 @@
 {
   struct wy_platform *platform;
   struct step steps[STEPS_MAX];
-  uint32_t n;       /* the step at hand */
-  uint32_t checked; /* in the end */
-  uint32_t check_at;
+  uint32_t current;         /* step in progress */
+  uint32_t steps_rechecked; /* steps read again at the end */
+  uint32_t check_position;
   bool checking;
-  uint64_t began_ms;
+  uint64_t started_at_ms;
   uv_timer_t timer;
   void (*next) (void);
 } trainer;
@@ -57,16 +58,16 @@
 }
 
 static void
-later (void (*next) (void))
+schedule (void (*next) (void))
 {
   trainer.next = next;
   uv_timer_start (&trainer.timer, on_timer, PAUSE_MS, 0);
 }
 
 static struct step *
-step_at_hand (void)
+current_step (void)
 {
-  return &trainer.steps[trainer.n];
+  return &trainer.steps[trainer.current];
 }
 
 static char *
@@ -78,8 +79,8 @@
                           "{\"step\":%u,\"model\":\"%s\","
                           "\"minimumVersion\":%u,\"desiredCount\":%d,"
                           "\"items\":[",
-                          trainer.n, WY_PLATFORM_MODEL, MAX (trainer.n, 1),
-                          GROUPS);
+                          trainer.current, WY_PLATFORM_MODEL,
+                          MAX (trainer.current, 1), GROUPS);
   for (int i = 0; i < ITEMS; i++)
     g_string_append_printf (
         s,
@@ -87,9 +88,10 @@
         "\"%s\"},\"body\":\"aGVsbG8=\",\"tokens\":9,\"group\":\"s%u-g%d\","
         "\"scorer\":{\"id\":\"" SCORER_PREFIX "s%u-%d\",\"host\":\"%s\","
         "\"path\":\"%sscore\",\"body\":\"%s\"}}",
-        i ? "," : "", trainer.n, i, WY_PLATFORM_JOBS, i, WY_PLATFORM_MODEL,
-        trainer.n, i / GROUP_SIZE, trainer.n, i, WY_PLATFORM_HOST,
-        WY_PLATFORM_CALLS, i == FAILING_ITEM ? "ZmFpbA==" : "c2NvcmU=");
+        i ? "," : "", trainer.current, i, WY_PLATFORM_JOBS, i,
+        WY_PLATFORM_MODEL, trainer.current, i / GROUP_SIZE, trainer.current, i,
+        WY_PLATFORM_HOST, WY_PLATFORM_CALLS,
+        i == FAILING_ITEM ? "ZmFpbA==" : "c2NvcmU=");
   g_string_append (s, "]}");
   return g_string_free (s, FALSE);
 }
@@ -100,14 +102,14 @@
   if (!err && c->status == STATUS_ACCEPTED)
     {
       wy_trace_event (c->platform->standin->trace, "job.accepted",
-                      "{s:s, s:i}", "job", step_at_hand ()->id, "items",
+                      "{s:s, s:i}", "job", current_step ()->id, "items",
                       (int)ITEMS);
       read_results ();
     }
   else
     {
-      c->platform->books.retries++;
-      later (submit);
+      c->platform->stats.retries++;
+      schedule (submit);
     }
 }
 
@@ -118,7 +120,7 @@
   struct wy_platform_call *c;
 
   c = wy_platform_call (trainer.platform, "POST", WY_PLATFORM_JOBS "step",
-                        step_at_hand ()->id, body);
+                        current_step ()->id, body);
   c->on_done = on_submitted;
   g_free (body);
 }
@@ -126,17 +128,17 @@
 static void
 begin_step (void)
 {
-  struct step *s = step_at_hand ();
+  struct step *s = current_step ();
 
-  snprintf (s->id, sizeof s->id, "step-%u", trainer.n);
+  snprintf (s->id, sizeof s->id, "step-%u", trainer.current);
   s->results = g_ptr_array_new_with_free_func (g_free);
   s->items = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  trainer.began_ms = uv_now (trainer.platform->standin->loop);
+  trainer.started_at_ms = uv_now (trainer.platform->standin->loop);
   submit ();
 }
 
 static char *
-whole_text (void)
+complete_text (void)
 {
   GString *s = g_string_new (NULL);
   char piece[64];
@@ -149,21 +151,21 @@
 }
 
 static const char *
-text_of (const json_t *r, const char *key)
+string_member (const json_t *r, const char *key)
 {
   const char *v = json_string_value (json_object_get (r, key));
 
   return v ? v : "";
 }
 
-/* Check one new result of the step at hand against what was sent.  */
+/* Check one new result of the step S against what was submitted.  */
 static void
 check_result (struct step *s, json_t *r)
 {
   struct wy_platform *p = trainer.platform;
-  const char *id = text_of (r, "id");
-  const char *state = text_of (r, "state");
-  char *want = whole_text ();
+  const char *id = string_member (r, "id");
+  const char *state = string_member (r, "state");
+  char *expected = complete_text ();
   json_t *v;
   size_t i;
 
@@ -172,26 +174,26 @@
   if (!strcmp (state, "abandoned"))
     {
       if (!g_str_has_suffix (id, FAILING_SUFFIX))
-        wy_platform_violation (p, "%s: item %s is given up", s->id, id);
+        wy_platform_violation (p, "%s: item %s is abandoned", s->id, id);
     }
   else if (strcmp (state, "completed") != 0
-           || strcmp (text_of (r, "text"), want) != 0)
-    wy_platform_violation (p, "%s: item %s is not whole", s->id, id);
+           || strcmp (string_member (r, "text"), expected) != 0)
+    wy_platform_violation (p, "%s: item %s is incomplete", s->id, id);
   json_array_foreach (json_object_get (r, "versions"), i,
-                      v) if (json_integer_value (v) < MAX (trainer.n, 1))
-      wy_platform_violation (p, "%s: item %s made under version %lld", s->id,
-                             id, (long long)json_integer_value (v));
-  p->books.results++;
-  g_free (want);
+                      v) if (json_integer_value (v) < MAX (trainer.current, 1))
+      wy_platform_violation (p, "%s: item %s made with weights version %lld",
+                             s->id, id, (long long)json_integer_value (v));
+  p->stats.results++;
+  g_free (expected);
 }
 
 static void
-note_result (const struct step *s, size_t position, const json_t *r,
-             const char *text)
+log_result (const struct step *s, size_t position, const json_t *r,
+            const char *text)
 {
-  const char *id = text_of (r, "id");
-  const char *state = text_of (r, "state");
-  const char *score = text_of (r, "score");
+  const char *id = string_member (r, "id");
+  const char *state = string_member (r, "state");
+  const char *score = string_member (r, "score");
   char *scorer;
   char digest[WY_PLATFORM_DIGEST_SIZE_BYTES];
 
@@ -205,9 +207,10 @@
   g_free (scorer);
 }
 
-/* Take in the results from position AT on.  */
+/* Check and record the results in DOC, which begin at position AT.  Those read
+   before must not have changed.  */
 static void
-take_results (struct step *s, uint32_t at, json_t *doc)
+process_results (struct step *s, uint32_t at, json_t *doc)
 {
   json_t *r;
   size_t i;
@@ -216,7 +219,7 @@
   {
     char *text = json_dumps (r, JSON_COMPACT | JSON_SORT_KEYS);
 
-    note_result (s, at + i, r, text);
+    log_result (s, at + i, r, text);
     if (at + i < s->results->len)
       {
         if (strcmp (g_ptr_array_index (s->results, at + i), text) != 0)
@@ -235,36 +238,36 @@
 static void
 on_results (struct wy_platform_call *c, int err)
 {
-  struct step *s = step_at_hand ();
+  struct step *s = current_step ();
   uint64_t age_ms
-      = uv_now (trainer.platform->standin->loop) - trainer.began_ms;
+      = uv_now (trainer.platform->standin->loop) - trainer.started_at_ms;
 
   if (!err && c->status == STATUS_OK)
     {
       json_t *doc = json_loads (c->body->str, 0, NULL);
 
-      take_results (s, c->number, doc);
+      process_results (s, c->number, doc);
       json_decref (doc);
     }
-  else if (!err && c->status != STATUS_REFUSED)
-    wy_platform_violation (c->platform, "%s: read answered %d", s->id,
+  else if (!err && c->status != STATUS_UNAVAILABLE)
+    wy_platform_violation (c->platform, "%s: read returned status %d", s->id,
                            c->status);
   if (s->results->len == ITEMS)
     end_step ();
   else if (age_ms > trainer.platform->step_limit_ms)
     {
-      wy_platform_violation (c->platform, "%s: %u of %d results in time",
+      wy_platform_violation (c->platform, "%s: only %u of %d results in time",
                              s->id, s->results->len, ITEMS);
       end_step ();
     }
   else
-    later (read_results);
+    schedule (read_results);
 }
 
 static void
 read_results (void)
 {
-  struct step *s = step_at_hand ();
+  struct step *s = current_step ();
   char target[96];
   struct wy_platform_call *c;
 
@@ -282,19 +285,19 @@
 
   if (err || c->status != STATUS_OK)
     {
-      p->books.retries++;
-      later (end_step);
+      p->stats.retries++;
+      schedule (end_step);
       return;
     }
-  p->books.steps++;
-  if (p->ending || trainer.n + 1 == STEPS_MAX)
+  p->stats.steps++;
+  if (p->ending || trainer.current + 1 == STEPS_MAX)
     {
       check_next ();
       return;
     }
-  trainer.n++;
-  wy_platform_name_version (p, (int64_t)trainer.n + 1);
-  later (begin_step);
+  trainer.current++;
+  wy_platform_announce_version (p, (int64_t)trainer.current + 1);
+  schedule (begin_step);
 }
 
 static void
@@ -302,7 +305,7 @@
 {
   char target[96];
 
-  snprintf (target, sizeof target, "/api/lots/%s", step_at_hand ()->id);
+  snprintf (target, sizeof target, "/api/lots/%s", current_step ()->id);
   wy_platform_call (trainer.platform, "DELETE", target, NULL, NULL)->on_done
       = on_ended;
 }
@@ -310,55 +313,57 @@
 static void
 on_checked (struct wy_platform_call *c, int err)
 {
-  struct step *s = &trainer.steps[trainer.checked];
+  struct step *s = &trainer.steps[trainer.steps_rechecked];
   json_t *doc;
   size_t n;
 
   if (err || c->status != STATUS_OK)
     {
-      later (check_next);
+      schedule (check_next);
       return;
     }
   doc = json_loads (c->body->str, 0, NULL);
   n = json_array_size (json_object_get (doc, "results"));
-  take_results (s, trainer.check_at, doc);
+  process_results (s, trainer.check_position, doc);
   json_decref (doc);
-  trainer.check_at += (uint32_t)n;
-  if (n == 0 && trainer.check_at < s->results->len)
-    wy_platform_violation (c->platform, "%s: lost results from %u on", s->id,
-                           trainer.check_at);
-  if (n == 0 || trainer.check_at >= s->results->len)
+  trainer.check_position += (uint32_t)n;
+  if (n == 0 && trainer.check_position < s->results->len)
+    wy_platform_violation (c->platform, "%s: results lost from position %u",
+                           s->id, trainer.check_position);
+  if (n == 0 || trainer.check_position >= s->results->len)
     {
       wy_trace_event (c->platform->standin->trace, "job.checked", "{s:s, s:I}",
-                      "job", s->id, "results", (json_int_t)trainer.check_at);
-      trainer.checked++;
-      trainer.check_at = 0;
+                      "job", s->id, "results",
+                      (json_int_t)trainer.check_position);
+      trainer.steps_rechecked++;
+      trainer.check_position = 0;
     }
   check_next ();
 }
 
-/* Read the steps from their starts again; what was listed must be there.  */
+/* Read the results of all steps again from position 0; those listed before
+   must still be there.  */
 static void
 check_next (void)
 {
   char target[96];
 
-  if (trainer.checked > trainer.n)
+  if (trainer.steps_rechecked > trainer.current)
     {
       wy_platform_finish (trainer.platform);
       return;
     }
   snprintf (target, sizeof target, "/api/lots/%s?after=%u",
-            trainer.steps[trainer.checked].id, trainer.check_at);
+            trainer.steps[trainer.steps_rechecked].id, trainer.check_position);
   wy_platform_call (trainer.platform, "GET", target, NULL, NULL)->on_done
       = on_checked;
 }
 
-/* Train until the platform ends.  */
+/* Start the trainer, which runs steps until the platform ends.  */
 void
 wy_platform_trainer_start (struct wy_platform *p)
 {
   trainer.platform = p;
   uv_timer_init (p->standin->loop, &trainer.timer);
-  later (begin_step);
+  schedule (begin_step);
 }
--- a/src/standin/proxy.c
+++ b/src/standin/proxy.c
@@ -1,22 +1,22 @@
-/* Proxy on loopback that spoils the connections that go through it: by turns,
-   and several links at once, it delays them, holds back one or both ways as a
-   network does that lost its route, or resets them.  What is held back arrives
-   later, as TCP would bring it.  */
+/* Loopback proxy that injects network faults, on several links at once: it
+   delays data, blocks one or both directions as after the loss of a route, or
+   resets connections.  Blocked data arrives later, as TCP would retransmit
+   it.  */
 #include <stdlib.h>
 #include <string.h>
 
-#include "standin/standin.h"
 #include "standin/kinds.h"
+#include "standin/standin.h"
 
 enum
 {
   BACKLOG = 128,
   BUFFER_SIZE_BYTES = 65536,
-  /* Faults: how often one begins, how long it lasts, how much it delays.  */
-  GAP_MIN_MS = 200,
-  GAP_MAX_MS = 1500,
-  LAST_MIN_MS = 200,
-  LAST_MAX_MS = 3000,
+  /* Faults: interval between starts, duration, delay of data.  */
+  INTERVAL_MIN_MS = 200,
+  INTERVAL_MAX_MS = 1500,
+  DURATION_MIN_MS = 200,
+  DURATION_MAX_MS = 3000,
   DELAY_MAX_MS = 250,
   TICK_MS = 50
 };
@@ -25,8 +25,8 @@
 {
   FAULT_NONE,
   FAULT_DELAY,
-  FAULT_CUT_THERE, /* from who dials */
-  FAULT_CUT_BACK,
+  FAULT_BLOCK_FORWARD, /* from the connecting side */
+  FAULT_BLOCK_REVERSE,
   FAULT_SILENT,
   FAULT_RESET,
   FAULTS
@@ -61,19 +61,19 @@
   uint32_t delay_ms;
 };
 
-struct half
+struct pair_side
 {
   uv_tcp_t tcp;
   uv_timer_t timer;
   struct pair *pair;
-  GString *late; /* read, to be written when the timer fires */
+  GString *buffered; /* read, but not forwarded yet */
   bool open;
 };
 
 struct pair
 {
   struct link *link;
-  struct half side[2]; /* who dialled, who was dialled */
+  struct pair_side side[2]; /* accepted, connected */
   uv_connect_t connect;
   GList item;
   bool connected;
@@ -85,7 +85,7 @@
   struct wy_standin *standin;
   GPtrArray *links;
   uv_timer_t tick;
-  uint64_t began_ms;
+  uint64_t started_at_ms;
   uint64_t next_ms;
 };
 
@@ -107,7 +107,7 @@
   if (--p->handles > 0)
     return;
   for (int i = 0; i < 2; i++)
-    g_string_free (p->side[i].late, TRUE);
+    g_string_free (p->side[i].buffered, TRUE);
   g_free (p);
 }
 
@@ -119,7 +119,7 @@
   g_queue_unlink (&p->link->pairs, &p->item);
   for (int i = 0; i < 2; i++)
     {
-      struct half *h = &p->side[i];
+      struct pair_side *h = &p->side[i];
 
       h->open = false;
       uv_close ((uv_handle_t *)&h->timer, on_closed);
@@ -135,24 +135,25 @@
 }
 
 static void
-pass_on (struct half *from)
+forward (struct pair_side *from)
 {
-  struct half *to = &from->pair->side[from == &from->pair->side[0]];
-  struct packet *k = g_malloc (sizeof *k + from->late->len);
-  uv_buf_t buf = uv_buf_init (k->data, (unsigned)from->late->len);
+  struct pair_side *to = &from->pair->side[from == &from->pair->side[0]];
+  struct packet *k = g_malloc (sizeof *k + from->buffered->len);
+  uv_buf_t buf = uv_buf_init (k->data, (unsigned)from->buffered->len);
 
-  memcpy (k->data, from->late->str, from->late->len);
-  g_string_truncate (from->late, 0);
+  memcpy (k->data, from->buffered->str, from->buffered->len);
+  g_string_truncate (from->buffered, 0);
   if (uv_write (&k->req, (uv_stream_t *)&to->tcp, &buf, 1, on_written))
     g_free (k);
 }
 
 static void
-on_late (uv_timer_t *t)
+on_delay_end (uv_timer_t *t)
 {
-  struct half *h = (struct half *)((char *)t - offsetof (struct half, timer));
+  struct pair_side *h
+      = (struct pair_side *)((char *)t - offsetof (struct pair_side, timer));
 
-  pass_on (h);
+  forward (h);
   update (h->pair);
 }
 
@@ -167,43 +168,43 @@
 static void
 on_read (uv_stream_t *s, ssize_t n, const uv_buf_t *buf)
 {
-  struct half *h = (struct half *)s;
+  struct pair_side *h = (struct pair_side *)s;
   uint32_t delay_ms = h->pair->link->delay_ms;
 
   if (n < 0)
     close_pair (h->pair, n == UV_ECONNRESET);
   if (n <= 0)
     return;
-  g_string_append_len (h->late, buf->base, n);
+  g_string_append_len (h->buffered, buf->base, n);
   if (h->pair->link->fault != FAULT_DELAY)
     {
-      pass_on (h);
+      forward (h);
       return;
     }
   uv_read_stop (s);
-  uv_timer_start (&h->timer, on_late, delay_ms, 0);
+  uv_timer_start (&h->timer, on_delay_end, delay_ms, 0);
 }
 
-/* Whether the link of H holds back what comes from it.  */
+/* Return whether the link blocks data from H.  */
 static bool
-is_held (const struct half *h)
+is_blocked (const struct pair_side *h)
 {
   enum fault f = h->pair->link->fault;
-  bool dialled = h == &h->pair->side[0];
+  bool from_client = h == &h->pair->side[0];
 
-  return f == FAULT_SILENT || (f == FAULT_CUT_THERE && dialled)
-         || (f == FAULT_CUT_BACK && !dialled);
+  return f == FAULT_SILENT || (f == FAULT_BLOCK_FORWARD && from_client)
+         || (f == FAULT_BLOCK_REVERSE && !from_client);
 }
 
-/* Read where nothing is held back.  */
+/* Read from each side of P unless its data is blocked or still buffered.  */
 static void
 update (struct pair *p)
 {
   for (int i = 0; i < 2; i++)
     {
-      struct half *h = &p->side[i];
+      struct pair_side *h = &p->side[i];
 
-      if (is_held (h) || h->late->len)
+      if (is_blocked (h) || h->buffered->len)
         uv_read_stop ((uv_stream_t *)&h->tcp);
       else if (p->connected)
         uv_read_start ((uv_stream_t *)&h->tcp, on_alloc, on_read);
@@ -241,11 +242,11 @@
   g_queue_push_tail_link (&l->pairs, &p->item);
   for (int i = 0; i < 2; i++)
     {
-      struct half *h = &p->side[i];
+      struct pair_side *h = &p->side[i];
 
       h->pair = p;
       h->open = true;
-      h->late = g_string_new (NULL);
+      h->buffered = g_string_new (NULL);
       uv_tcp_init (s->loop, &h->tcp);
       uv_timer_init (s->loop, &h->timer);
       h->tcp.data = p;
@@ -259,7 +260,7 @@
 }
 
 static void
-note (const struct link *l, const char *event, enum fault f)
+log_fault (const struct link *l, const char *event, enum fault f)
 {
   wy_trace_event (l->proxy->standin->trace, event, "{s:s, s:s}", "kind",
                   fault_names[f], "target", l->name);
@@ -269,10 +270,10 @@
 set_fault (struct link *l, enum fault f)
 {
   if (l->fault != FAULT_NONE)
-    note (l, "fault.cleared", l->fault);
+    log_fault (l, "fault.cleared", l->fault);
   l->fault = f;
   if (f != FAULT_NONE)
-    note (l, "fault.injected", f);
+    log_fault (l, "fault.injected", f);
   for (GList *i = l->pairs.head, *next; i; i = next)
     {
       next = i->next;
@@ -284,7 +285,7 @@
 }
 
 static uint32_t
-between (struct proxy *x, uint32_t low, uint32_t high)
+random_between (struct proxy *x, uint32_t low, uint32_t high)
 {
   return low + wy_rng_below (&x->standin->rng, high - low + 1);
 }
@@ -295,7 +296,7 @@
   struct proxy *x = t->data;
   const struct settings *s = x->standin->settings;
   uint64_t now_ms = uv_now (t->loop);
-  bool over = now_ms - x->began_ms >= (uint64_t)s->seconds * WY_MS_PER_S;
+  bool over = now_ms - x->started_at_ms >= (uint64_t)s->seconds * WY_MS_PER_S;
 
   for (guint i = 0; i < x->links->len; i++)
     {
@@ -306,14 +307,15 @@
     }
   if (over || now_ms < x->next_ms)
     return;
-  x->next_ms = now_ms + between (x, GAP_MIN_MS, GAP_MAX_MS);
+  x->next_ms = now_ms + random_between (x, INTERVAL_MIN_MS, INTERVAL_MAX_MS);
   {
     struct link *l = g_ptr_array_index (
         x->links, wy_rng_below (&x->standin->rng, x->links->len));
 
-    l->until_ms = now_ms + between (x, LAST_MIN_MS, LAST_MAX_MS);
-    l->delay_ms = between (x, 1, DELAY_MAX_MS);
-    set_fault (l, (enum fault)between (x, FAULT_DELAY, FAULTS - 1));
+    l->until_ms
+        = now_ms + random_between (x, DURATION_MIN_MS, DURATION_MAX_MS);
+    l->delay_ms = random_between (x, 1, DELAY_MAX_MS);
+    set_fault (l, (enum fault)random_between (x, FAULT_DELAY, FAULTS - 1));
   }
 }
 
@@ -333,7 +335,7 @@
   g_queue_init (&l->pairs);
   uv_tcp_init (x->standin->loop, &l->listener);
   l->listener.data = l;
-  if (*to == '=' && wy_standin_address (to + 1, &host, &to_port)
+  if (*to == '=' && wy_standin_parse_address (to + 1, &host, &to_port)
       && !uv_ip4_addr (host, to_port, &l->to)
       && !uv_ip4_addr (x->standin->common->host, (int)port, &at)
       && !uv_tcp_bind (&l->listener, (const struct sockaddr *)&at, 0))
@@ -356,8 +358,8 @@
       return -1;
   if (x->links->len == 0)
     return -1;
-  x->began_ms = uv_now (s->loop);
-  x->next_ms = x->began_ms + GAP_MAX_MS;
+  x->started_at_ms = uv_now (s->loop);
+  x->next_ms = x->started_at_ms + INTERVAL_MAX_MS;
   uv_timer_init (s->loop, &x->tick);
   x->tick.data = x;
   uv_timer_start (&x->tick, on_tick, TICK_MS, TICK_MS);
--- a/src/standin/scoring.c
+++ b/src/standin/scoring.c
@@ -1,5 +1,5 @@
-/* Scoring service: a score drawn from the text, so that it is the same on
-   every call; some calls fail.  */
+/* Stand-in of a scoring service.  The score is a hash of the text, so that it
+   is the same on every call; a share of the calls fails.  */
 #include <string.h>
 
 #include "base/id.h"
@@ -30,7 +30,7 @@
   uv_timer_t timer; /* must stay first */
   struct wy_standin_call *call;
   int status;
-  json_t *answer;
+  json_t *response;
 };
 
 static void
@@ -44,12 +44,12 @@
 {
   struct scoring *x = (struct scoring *)t;
 
-  wy_standin_answer (x->call, x->status, x->answer);
+  wy_standin_respond_json (x->call, x->status, x->response);
   uv_close ((uv_handle_t *)t, on_closed);
 }
 
 static json_t *
-score_of (const json_t *body)
+score_text (const json_t *body)
 {
   const char *text = json_string_value (json_object_get (body, "completion"));
   uint64_t h = text ? wy_hash64 (text, strlen (text), 0) : 0;
@@ -65,16 +65,16 @@
   struct scoring *x;
   json_t *body;
 
-  if (!wy_standin_is (c, "POST", "/score"))
+  if (!wy_standin_matches (c, "POST", "/score"))
     {
-      wy_standin_answer (c, 404, NULL);
+      wy_standin_respond_json (c, 404, NULL);
       return;
     }
-  body = wy_standin_body (c);
+  body = wy_standin_body_json (c);
   x = g_malloc0 (sizeof *x);
   x->call = c;
   x->status = wy_rng_unit (&s->rng) < o->fail_share ? 500 : 200;
-  x->answer = x->status == 200 ? score_of (body) : NULL;
+  x->response = x->status == 200 ? score_text (body) : NULL;
   json_decref (body);
   uv_timer_init (s->loop, &x->timer);
   uv_timer_start (&x->timer, on_done, (uint64_t)o->service_time_ms, 0);
