--- a/src/standin/service.c
+++ b/src/standin/service.c
@@ -1,4 +1,4 @@
-/* Plain service: books filings and says how often each was executed.  */
+/* Stand-in of a plain service: counts how often each filing is executed.  */
 #include <string.h>
 
 #include "standin/kinds.h"
@@ -21,12 +21,12 @@
   int64_t serial;
 };
 
-/* A filing that was executed and is yet to be answered.  */
+/* A filing that was executed, but not responded to yet.  */
 struct filing
 {
   uv_timer_t timer; /* must stay first */
   struct wy_standin_call *call;
-  json_t *answer;
+  json_t *response;
 };
 
 static void
@@ -40,19 +40,19 @@
 {
   struct filing *f = (struct filing *)t;
 
-  wy_standin_answer (f->call, 200, f->answer);
+  wy_standin_respond_json (f->call, 200, f->response);
   uv_close ((uv_handle_t *)t, on_closed);
 }
 
-/* The execution counts from the moment the filing is taken, also when its
-   caller goes away: that is how a real service records a filing twice.  */
+/* Execute a filing.  The execution is counted on arrival, even if the caller
+   closes the connection: that is how a real service executes one twice.  */
 static void
-file (struct wy_standin *s, struct wy_standin_call *c)
+execute_filing (struct wy_standin *s, struct wy_standin_call *c)
 {
   const struct settings *o = s->settings;
   struct service *v = s->state;
   const char *req = wy_http_header (c->ex, "waxwing-request-id");
-  json_t *body = wy_standin_body (c);
+  json_t *body = wy_standin_body_json (c);
   const char *key = json_string_value (json_object_get (body, "key"));
   struct filing *f;
   gsize n;
@@ -60,7 +60,7 @@
   if (!key)
     {
       json_decref (body);
-      wy_standin_answer (c, 400, json_pack ("{s:s}", "error", "no key"));
+      wy_standin_respond_json (c, 400, json_pack ("{s:s}", "error", "no key"));
       return;
     }
   n = GPOINTER_TO_SIZE (g_hash_table_lookup (v->executions, key)) + 1;
@@ -69,15 +69,15 @@
                   "req", req ? req : "");
   f = g_malloc0 (sizeof *f);
   f->call = c;
-  f->answer = json_pack ("{s:s, s:I, s:I}", "key", key, "executions",
-                         (json_int_t)n, "serial", (json_int_t)++v->serial);
+  f->response = json_pack ("{s:s, s:I, s:I}", "key", key, "executions",
+                           (json_int_t)n, "serial", (json_int_t)++v->serial);
   json_decref (body);
   uv_timer_init (s->loop, &f->timer);
   uv_timer_start (&f->timer, on_done, (uint64_t)o->service_time_ms, 0);
 }
 
 static void
-list (struct wy_standin *s, struct wy_standin_call *c)
+list_executions (struct wy_standin *s, struct wy_standin_call *c)
 {
   struct service *v = s->state;
   json_t *all = json_object ();
@@ -89,7 +89,7 @@
   while (g_hash_table_iter_next (&it, &key, &n))
     json_object_set_new (all, key,
                          json_integer ((json_int_t)GPOINTER_TO_SIZE (n)));
-  wy_standin_answer (c, 200, all);
+  wy_standin_respond_json (c, 200, all);
 }
 
 static void
@@ -107,7 +107,7 @@
       wy_http_header_at (c->ex, i, &name, &value);
       json_object_set_new (headers, name, json_string (value));
     }
-  wy_standin_answer (
+  wy_standin_respond_json (
       c, 200,
       json_pack ("{s:s, s:s, s:s, s:s%, s:o}", "method",
                  wy_http_method (c->ex), "path", wy_http_path (c->ex), "query",
@@ -117,14 +117,15 @@
 static void
 on_request (struct wy_standin *s, struct wy_standin_call *c)
 {
-  if (wy_standin_is (c, "POST", "/filings"))
-    file (s, c);
-  else if (wy_standin_is (c, "GET", "/control/executions"))
-    list (s, c);
+  if (wy_standin_matches (c, "POST", "/filings"))
+    execute_filing (s, c);
+  else if (wy_standin_matches (c, "GET", "/control/executions"))
+    list_executions (s, c);
   else if (wy_standin_path_after (c, "/echo"))
     echo (c);
   else
-    wy_standin_answer (c, 404, json_pack ("{s:s}", "error", "no such path"));
+    wy_standin_respond_json (c, 404,
+                             json_pack ("{s:s}", "error", "no such path"));
 }
 
 static int
--- a/src/standin/standin.c
+++ b/src/standin/standin.c
@@ -1,4 +1,4 @@
-/* Life of a stand-in process: settings, server, timeline, stop.  */
+/* Main loop of a stand-in process: settings, server, timeline, shutdown.  */
 #include "standin/standin.h"
 
 #include <signal.h>
@@ -14,7 +14,7 @@
 enum
 {
   PORT_MAX = 65535,
-  BODY_LIMIT_SIZE_BYTES = 64 << 20, /* objects and weights go through here */
+  BODY_LIMIT_SIZE_BYTES = 64 << 20, /* large enough for objects and weights */
   REQUEST_TIMEOUT_MS = 30000,
   CLIENT_SILENCE_MS = 10000
 };
@@ -39,43 +39,45 @@
     "1", 0, 1e15, NULL, NULL, "seed of all that is drawn at random" },
 };
 
-/* Milliseconds of the monotonic clock.  */
+/* Return the monotonic time in milliseconds.  */
 int64_t
 wy_standin_now_ms (const struct wy_standin *s)
 {
   return wy_clock_mono_ms (s->clock);
 }
 
-/* The fault K when it is on now, else NULL.  */
+/* Return the fault K if it is active now, else NULL.  */
 struct wy_standin_fault *
-wy_standin_fault_on (struct wy_standin *s, enum wy_standin_fault_kind k)
+wy_standin_active_fault (struct wy_standin *s, enum wy_standin_fault_kind k)
 {
-  return wy_standin_fault (&s->faults, k, wy_standin_now_ms (s));
+  return wy_standin_faults_active (&s->faults, k, wy_standin_now_ms (s));
 }
 
-/* Take N units at NOW_MS; false when more than RATE a second would go.  A
-   RATE of 0 is no limit.  */
+/* Take N units at NOW_MS from the token bucket R, which holds and gains RATE
+   units per second.  Return false if it has too few.  There is no limit if
+   RATE is 0.  */
 bool
-wy_standin_rate_take (struct wy_standin_rate *r, double rate, double n,
-                      int64_t now_ms)
+wy_standin_rate_limit_take (struct wy_standin_rate_limit *r, double rate,
+                            double n, int64_t now_ms)
 {
   if (rate <= 0)
     return true;
-  r->left += rate * (double)(now_ms - r->at_ms) / WY_MS_PER_S;
-  if (r->rate != rate || r->left > rate)
-    r->left = rate;
+  r->units += rate * (double)(now_ms - r->at_ms) / WY_MS_PER_S;
+  if (r->rate != rate || r->units > rate)
+    r->units = rate;
   r->rate = rate;
   r->at_ms = now_ms;
-  /* A single unit larger than the burst must pass at some time.  */
-  if (r->left < n && r->left < rate)
+  /* A request larger than the bucket passes when the bucket is full.  */
+  if (r->units < n && r->units < rate)
     return false;
-  r->left -= n;
+  r->units -= n;
   return true;
 }
 
-/* Split "HOST:PORT" of TEXT; the caller frees *HOST.  */
+/* Parse TEXT as "HOST:PORT".  Return false if it is malformed.  The caller
+   frees *HOST.  */
 bool
-wy_standin_address (const char *text, char **host, uint16_t *port)
+wy_standin_parse_address (const char *text, char **host, uint16_t *port)
 {
   const char *colon = text ? strrchr (text, ':') : NULL;
   long n = colon ? strtol (colon + 1, NULL, 10) : 0;
@@ -87,7 +89,7 @@
   return true;
 }
 
-/* Write the port so that a reader sees either no file or a whole one.  */
+/* Write the ports file atomically: a reader sees none or a complete one.  */
 static int
 write_ports (const struct wy_standin *s)
 {
@@ -102,7 +104,7 @@
   return ok ? 0 : -1;
 }
 
-/* End the process at the next turn of the loop.  */
+/* End the process after the current iteration of the loop.  */
 void
 wy_standin_quit (struct wy_standin *s)
 {
@@ -190,7 +192,7 @@
   return s->failed ? WY_EXIT_FAILED : WY_EXIT_OK;
 }
 
-/* Run the stand-in KIND with the command line of the process.  Returns the
+/* Run a stand-in of KIND with the command line of the process.  Return the
    exit code.  */
 int
 wy_standin_main (const struct wy_standin_kind *kind, int argc, char **argv)
@@ -204,7 +206,7 @@
                           .table = table,
                           .n = n,
                           .settings = settings };
-  /* What a stand-in holds stays until the process ends.  */
+  /* Static, as its memory is never freed.  */
   static struct wy_standin s;
   int rc;
 
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -1,4 +1,4 @@
-/* What all stand-ins share: settings, server, faults, start and stop.  */
+/* Common part of all stand-ins: settings, server, faults, start and stop.  */
 #ifndef WY_STANDIN_STANDIN_H
 #define WY_STANDIN_STANDIN_H
 
@@ -37,13 +37,15 @@
 {
   const char *name;
   const char *summary;
-  const struct wy_setting *table; /* own rows, after the shared ones */
+  /* Settings of the kind; the common ones precede them.  */
+  const struct wy_setting *table;
   size_t n;
   size_t settings_size_bytes;
   int (*start) (struct wy_standin *s);
-  /* Answers a request; NULL for a kind that only calls.  */
+  /* Handles a request; NULL for a kind that serves none.  */
   void (*on_request) (struct wy_standin *s, struct wy_standin_call *c);
-  /* SIGTERM came; calls wy_standin_quit when done.  NULL: quit at once.  */
+  /* Called on SIGTERM; calls wy_standin_quit when done.  NULL: quit at once.
+   */
   void (*on_stop) (struct wy_standin *s);
 };
 
@@ -55,7 +57,7 @@
   uv_loop_t *loop;
   const struct wy_clock *clock;
   struct wy_trace *trace;
-  bool failed; /* the exit code tells so */
+  bool failed; /* sets the exit code */
   struct wy_http_server *server;
   struct wy_http_client *client;
   struct wy_rng rng;
@@ -66,56 +68,56 @@
   void *state; /* of the kind */
 };
 
-/* One request.  A kind ends each call once, by wy_standin_answer,
-   wy_standin_answer_bytes or wy_standin_stream_end, also when GONE.  */
+/* One request.  The kind must end each call exactly once, by
+   wy_standin_respond_json, wy_standin_respond or wy_standin_stream_end, even
+   if DISCONNECTED is set.  */
 struct wy_standin_call
 {
   struct wy_standin *standin;
-  struct wy_http_exchange *ex; /* not valid when gone */
-  bool gone;                   /* the caller has closed the connection */
-  bool silent;                 /* nothing is written any more */
+  struct wy_http_exchange *ex; /* invalid once disconnected */
+  bool disconnected;           /* the caller has closed the connection */
+  bool silent; /* the fault "silent" hit it: writes are discarded */
   bool ended;
   bool streaming;
-  void (*on_gone) (struct wy_standin_call *c, void *ctx);
-  void *gone_ctx;
+  void (*on_disconnect) (struct wy_standin_call *c, void *ctx);
+  void *disconnect_ctx;
 };
 int wy_standin_main (const struct wy_standin_kind *kind, int argc,
                      char **argv);
 void wy_standin_quit (struct wy_standin *s);
 int64_t wy_standin_now_ms (const struct wy_standin *s);
-struct wy_standin_fault *wy_standin_fault_on (struct wy_standin *s,
-                                              enum wy_standin_fault_kind k);
+struct wy_standin_fault *
+wy_standin_active_fault (struct wy_standin *s, enum wy_standin_fault_kind k);
 
 void wy_standin_on_request (struct wy_http_exchange *ex, void *ctx);
-bool wy_standin_is (const struct wy_standin_call *c, const char *method,
-                    const char *path);
+bool wy_standin_matches (const struct wy_standin_call *c, const char *method,
+                         const char *path);
 const char *wy_standin_path_after (const struct wy_standin_call *c,
                                    const char *prefix);
 int64_t wy_standin_query_number (const struct wy_standin_call *c,
                                  const char *key, int64_t fallback);
-json_t *wy_standin_body (const struct wy_standin_call *c);
-void wy_standin_answer (struct wy_standin_call *c, int status, json_t *body);
-void wy_standin_answer_bytes (struct wy_standin_call *c, int status,
-                              const char *content_type, const void *p,
-                              size_t n);
-void wy_standin_refuse_rate (struct wy_standin_call *c);
+json_t *wy_standin_body_json (const struct wy_standin_call *c);
+void wy_standin_respond_json (struct wy_standin_call *c, int status,
+                              json_t *body);
+void wy_standin_respond (struct wy_standin_call *c, int status,
+                         const char *content_type, const void *p, size_t n);
+void wy_standin_reject_rate (struct wy_standin_call *c);
 void wy_standin_stream_begin (struct wy_standin_call *c, int status,
                               const char *content_type);
 void wy_standin_stream_write (struct wy_standin_call *c, const char *p,
                               size_t n);
 void wy_standin_stream_end (struct wy_standin_call *c);
 
-/* A limit of RATE units a second, with one second's worth of burst.  */
-struct wy_standin_rate
+/* A token bucket of one second's worth of units.  */
+struct wy_standin_rate_limit
 {
-  double rate; /* that was in force last */
-  double left;
+  double rate;  /* units per second at the last call */
+  double units; /* available */
   int64_t at_ms;
 };
 
-bool wy_standin_rate_take (struct wy_standin_rate *r, double rate, double n,
-                           int64_t now_ms);
-/* Reads "HOST:PORT".  */
-bool wy_standin_address (const char *text, char **host, uint16_t *port);
+bool wy_standin_rate_limit_take (struct wy_standin_rate_limit *r, double rate,
+                                 double n, int64_t now_ms);
+bool wy_standin_parse_address (const char *text, char **host, uint16_t *port);
 
 #endif
--- a/src/standin/table.c
+++ b/src/standin/table.c
@@ -1,5 +1,5 @@
-/* Table service and object store.  A transaction is checked and written in
-   one turn of the loop, so it is atomic.  */
+/* Stand-in of the table service and object store.  A transaction is checked
+   and written in one iteration of the loop, so it is atomic.  */
 #include <string.h>
 
 #include "standin/kinds.h"
@@ -31,8 +31,8 @@
   GHashTable *rows;    /* key -> struct row */
   GHashTable *objects; /* key -> GBytes */
   int64_t rev;
-  struct wy_standin_rate writes;
-  struct wy_standin_rate reads;
+  struct wy_standin_rate_limit writes;
+  struct wy_standin_rate_limit reads;
 };
 
 static void
@@ -54,7 +54,7 @@
                     "value", r->value);
 }
 
-/* The rows whose condition does not hold.  */
+/* Return the rows whose condition does not hold.  */
 static json_t *
 failed_conditions (const struct store *t, const json_t *conditions)
 {
@@ -94,7 +94,7 @@
 static void
 transact (struct store *t, struct wy_standin_call *c)
 {
-  json_t *body = wy_standin_body (c);
+  json_t *body = wy_standin_body_json (c);
   json_t *failed = failed_conditions (t, json_object_get (body, "conditions"));
   json_t *write;
   size_t i;
@@ -102,8 +102,8 @@
   if (json_array_size (failed) > 0)
     {
       json_decref (body);
-      wy_standin_answer (c, 409,
-                         json_pack ("{s:b, s:o}", "ok", 0, "failed", failed));
+      wy_standin_respond_json (
+          c, 409, json_pack ("{s:b, s:o}", "ok", 0, "failed", failed));
       return;
     }
   json_decref (failed);
@@ -116,7 +116,7 @@
       write_row (t, key, json_object_get (write, "value"));
   }
   json_decref (body);
-  wy_standin_answer (
+  wy_standin_respond_json (
       c, 200, json_pack ("{s:b, s:I}", "ok", 1, "rev", (json_int_t)t->rev));
 }
 
@@ -127,7 +127,7 @@
 }
 
 static json_t *
-rows_below (const struct store *t, const char *prefix)
+rows_with_prefix (const struct store *t, const char *prefix)
 {
   GPtrArray *keys = g_ptr_array_new ();
   json_t *rows = json_array ();
@@ -150,9 +150,9 @@
 static void
 read_rows (struct store *t, struct wy_standin_call *c)
 {
-  json_t *body = wy_standin_body (c);
+  json_t *body = wy_standin_body_json (c);
   const char *prefix = json_string_value (json_object_get (body, "prefix"));
-  json_t *rows = prefix ? rows_below (t, prefix) : json_array ();
+  json_t *rows = prefix ? rows_with_prefix (t, prefix) : json_array ();
   json_t *key;
   size_t i;
 
@@ -165,13 +165,13 @@
       json_array_append_new (rows, row_json (r, r->key));
   }
   json_decref (body);
-  wy_standin_answer (
+  wy_standin_respond_json (
       c, 200,
       json_pack ("{s:I, s:o}", "rev", (json_int_t)t->rev, "rows", rows));
 }
 
 static void
-object (struct store *t, struct wy_standin_call *c, const char *key)
+handle_object (struct store *t, struct wy_standin_call *c, const char *key)
 {
   size_t n;
   const void *p = wy_http_body (c->ex, &n);
@@ -180,48 +180,49 @@
   if (!strcmp (wy_http_method (c->ex), "PUT"))
     {
       g_hash_table_replace (t->objects, g_strdup (key), g_bytes_new (p, n));
-      wy_standin_answer (c, 200, NULL);
+      wy_standin_respond_json (c, 200, NULL);
       return;
     }
   bytes = g_hash_table_lookup (t->objects, key);
   if (!bytes)
     {
-      wy_standin_answer (c, 404, NULL);
+      wy_standin_respond_json (c, 404, NULL);
       return;
     }
   p = g_bytes_get_data (bytes, &n);
-  wy_standin_answer_bytes (c, 200, "application/octet-stream", p, n);
+  wy_standin_respond (c, 200, "application/octet-stream", p, n);
 }
 
-/* Count one call against its limit.  */
+/* Count one call against its rate limit.  Return false if it exceeds it.  */
 static bool
-within_rate (struct wy_standin *s, bool write)
+take_rate (struct wy_standin *s, bool write)
 {
   const struct settings *o = s->settings;
   struct store *t = s->state;
-  struct wy_standin_fault *f = wy_standin_fault_on (s, WY_FAULT_RATE);
+  struct wy_standin_fault *f = wy_standin_active_fault (s, WY_FAULT_RATE);
   double rate = (double)(write ? o->writes_per_s : o->reads_per_s);
 
-  return wy_standin_rate_take (write ? &t->writes : &t->reads,
-                               f ? f->value : rate, 1, wy_standin_now_ms (s));
+  return wy_standin_rate_limit_take (write ? &t->writes : &t->reads,
+                                     f ? f->value : rate, 1,
+                                     wy_standin_now_ms (s));
 }
 
 static void
 on_request (struct wy_standin *s, struct wy_standin_call *c)
 {
   const char *key = wy_standin_path_after (c, "/objects/");
-  bool txn = wy_standin_is (c, "POST", "/txn");
+  bool txn = wy_standin_matches (c, "POST", "/txn");
 
-  if (!within_rate (s, txn || !strcmp (wy_http_method (c->ex), "PUT")))
-    wy_standin_refuse_rate (c);
+  if (!take_rate (s, txn || !strcmp (wy_http_method (c->ex), "PUT")))
+    wy_standin_reject_rate (c);
   else if (txn)
     transact (s->state, c);
-  else if (wy_standin_is (c, "POST", "/read"))
+  else if (wy_standin_matches (c, "POST", "/read"))
     read_rows (s->state, c);
   else if (key)
-    object (s->state, c, key);
+    handle_object (s->state, c, key);
   else
-    wy_standin_answer (c, 404, NULL);
+    wy_standin_respond_json (c, 404, NULL);
 }
 
 static int
--- a/src/standin/trainer.c
+++ b/src/standin/trainer.c
@@ -1,6 +1,7 @@
-/* Trainer: submits steps, reads the batch of the oldest one, trains for a
-   while, acknowledges it and publishes new weights.  Every call is repeated
-   through the next entry until it is settled, so each must be idempotent.  */
+/* Simulated trainer: submits steps, reads the batch of the oldest one, trains
+   on it for train_ms, acknowledges it and publishes new weights.  Every call
+   is retried through the next entry until it gets a final response, so each
+   must be idempotent.  */
 #include <string.h>
 
 #include "standin/kinds.h"
@@ -28,19 +29,19 @@
 {
   struct wy_standin *standin;
   const struct wy_trainer_settings *o;
-  struct wy_entries entries;
+  struct wy_entry_list entries;
   char *weights_host;
   uint16_t weights_port;
   enum action action;
   uv_timer_t timer;
-  int64_t step;      /* being waited for or trained */
+  int64_t step;      /* step waited for or trained on */
   int64_t submitted; /* steps up to this one are submitted */
-  int64_t version;   /* newest it has published */
+  int64_t version;   /* newest version published */
   json_t *batch;
-  struct wy_trainer_books books;
+  struct wy_trainer_stats stats;
 };
 
-static void act (struct trainer *t);
+static void perform (struct trainer *t);
 
 static int64_t
 now_us (const struct trainer *t)
@@ -51,35 +52,35 @@
 static void
 quit (struct trainer *t)
 {
-  t->books.ended_us = now_us (t);
-  if (t->books.wanted_us)
-    t->books.idle_us += t->books.ended_us - t->books.wanted_us;
-  wy_trainer_books_write (&t->books, t->o, t->version);
+  t->stats.ended_us = now_us (t);
+  if (t->stats.waiting_since_us)
+    t->stats.idle_us += t->stats.ended_us - t->stats.waiting_since_us;
+  wy_trainer_report_write (&t->stats, t->o, t->version);
   wy_standin_quit (t->standin);
 }
 
 static void
 on_timer (uv_timer_t *timer)
 {
-  act (timer->data);
+  perform (timer->data);
 }
 
 static void
-act_later (struct trainer *t, int64_t ms)
+perform_later (struct trainer *t, int64_t ms)
 {
   uv_timer_start (&t->timer, on_timer, (uint64_t)ms, 0);
 }
 
-/* The next thing to do between two steps.  */
+/* Submit the next step, or poll for a batch if enough are submitted.  */
 static void
-plan (struct trainer *t)
+plan_next (struct trainer *t)
 {
   int64_t last = t->step + t->o->ahead;
 
   if (t->o->steps && last > t->o->steps)
     last = t->o->steps;
   t->action = t->submitted < last ? SUBMIT : POLL;
-  act (t);
+  perform (t);
 }
 
 static void
@@ -91,12 +92,12 @@
       quit (t);
       return;
     }
-  t->books.wanted_us = now_us (t);
-  plan (t);
+  t->stats.waiting_since_us = now_us (t);
+  plan_next (t);
 }
 
 static void
-note_trained (struct trainer *t)
+log_training (struct trainer *t)
 {
   json_t *ids = json_array ();
   json_t *samples = json_object_get (t->batch, "samples");
@@ -112,56 +113,57 @@
                   "trainer", t->o->trainer, "step", (json_int_t)t->step,
                   "samples", ids, "oldest", oldest, "version",
                   (json_int_t)t->version);
-  wy_trainer_books_batch (&t->books, samples, t->version - oldest);
+  wy_trainer_stats_add_batch (&t->stats, samples, t->version - oldest);
 }
 
 static void
-take_batch (struct trainer *t, const struct wy_http_response *a)
+receive_batch (struct trainer *t, const struct wy_http_response *r)
 {
   json_decref (t->batch);
-  t->batch = json_loadb (a->body, a->size_bytes, 0, NULL);
-  t->books.idle_us += now_us (t) - t->books.wanted_us;
-  t->books.wanted_us = 0;
-  note_trained (t);
+  t->batch = json_loadb (r->body, r->size_bytes, 0, NULL);
+  t->stats.idle_us += now_us (t) - t->stats.waiting_since_us;
+  t->stats.waiting_since_us = 0;
+  log_training (t);
   t->action = TRAIN;
-  act_later (t, t->o->train_ms);
+  perform_later (t, t->o->train_ms);
 }
 
 static void
-on_polled (struct trainer *t, const struct wy_http_response *a)
+on_polled (struct trainer *t, const struct wy_http_response *r)
 {
-  if (a->status == 200)
-    take_batch (t, a);
-  else if (a->status == STATUS_CONFLICT || a->status == STATUS_GONE)
+  if (r->status == 200)
+    receive_batch (t, r);
+  else if (r->status == STATUS_CONFLICT || r->status == STATUS_GONE)
     {
-      /* Handed out before, to an answer that was lost, and too old now.  */
-      t->books.steps_lost++;
-      t->books.idle_us += now_us (t) - t->books.wanted_us;
-      t->books.wanted_us = 0;
+      /* The batch was sent before, but that response was lost, and now its
+         samples are too old.  */
+      t->stats.steps_lost++;
+      t->stats.idle_us += now_us (t) - t->stats.waiting_since_us;
+      t->stats.waiting_since_us = 0;
       t->action = ACK;
-      act (t);
+      perform (t);
     }
   else
-    act_later (t, t->o->poll_ms);
+    perform_later (t, t->o->poll_ms);
 }
 
-/* The call of the current action has succeeded; go on with the next.  */
+/* Continue after the current action, which got the final response R.  */
 static void
-advance (struct trainer *t, const struct wy_http_response *a)
+advance (struct trainer *t, const struct wy_http_response *r)
 {
   switch (t->action)
     {
     case SUBMIT:
       t->submitted++;
-      plan (t);
+      plan_next (t);
       return;
     case POLL:
-      on_polled (t, a);
+      on_polled (t, r);
       return;
     case TRAIN:
       return;
     case ACK:
-      /* A step that was lost has trained nothing new.  */
+      /* A lost step gives no new weights.  */
       if (!t->batch)
         {
           end_step (t);
@@ -170,11 +172,11 @@
       json_decref (t->batch);
       t->batch = NULL;
       t->action = STORE_WEIGHTS;
-      act (t);
+      perform (t);
       return;
     case STORE_WEIGHTS:
       t->action = PUBLISH;
-      act (t);
+      perform (t);
       return;
     case PUBLISH:
       t->version++;
@@ -183,42 +185,42 @@
     }
 }
 
-/* Whether the answer settles the call, well or not.  */
+/* Return whether the response R is final, so that there is no retry.  */
 static bool
-settled (const struct trainer *t, const struct wy_http_response *a)
+is_final (const struct trainer *t, const struct wy_http_response *r)
 {
-  if (a->err)
+  if (r->err)
     return false;
-  if (a->status >= 200 && a->status < 300)
+  if (r->status >= 200 && r->status < 300)
     return true;
   return t->action != STORE_WEIGHTS
-         && (a->status == STATUS_CONFLICT || a->status == STATUS_GONE);
+         && (r->status == STATUS_CONFLICT || r->status == STATUS_GONE);
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_response *a)
+on_response (void *ctx, const struct wy_http_response *r)
 {
   struct trainer *t = ctx;
 
   if (t->standin->stopping && t->action == POLL
-      && (a->err || a->status != 200))
+      && (r->err || r->status != 200))
     {
       quit (t);
       return;
     }
-  if (settled (t, a))
+  if (is_final (t, r))
     {
-      advance (t, a);
+      advance (t, r);
       return;
     }
-  t->books.failures++;
+  t->stats.retries++;
   if (t->action != STORE_WEIGHTS)
-    wy_entries_next (&t->entries);
-  act_later (t, RETRY_MS);
+    wy_entry_list_next (&t->entries);
+  perform_later (t, RETRY_MS);
 }
 
 static json_t *
-groups_of (const struct trainer *t)
+groups_json (const struct trainer *t)
 {
   json_t *groups = json_array ();
 
@@ -257,13 +259,13 @@
                                     .body_size_bytes = strlen (text),
                                     .timeout_ms = CALL_TIMEOUT_MS };
 
-  wy_entries_target (&t->entries, &o);
+  wy_entry_list_set_target (&t->entries, &o);
   if (t->action == STORE_WEIGHTS)
     {
       o.host = t->weights_host;
       o.port = t->weights_port;
     }
-  wy_http_fetch (t->standin->client, &o, on_answer, t);
+  wy_http_fetch (t->standin->client, &o, on_response, t);
   json_decref (body);
   g_free (path);
   g_free (text);
@@ -278,15 +280,15 @@
                           t->o->yard, t->o->trainer, step, verb);
 }
 
-/* Do the current action.  */
+/* Perform the current action.  */
 static void
-act (struct trainer *t)
+perform (struct trainer *t)
 {
   switch (t->action)
     {
     case SUBMIT:
       call (t, "POST", step_path (t, t->submitted + 1, "groups"),
-            json_pack ("{s:o, s:I, s:f}", "groups", groups_of (t),
+            json_pack ("{s:o, s:I, s:f}", "groups", groups_json (t),
                        "max_staleness", (json_int_t)t->o->max_staleness,
                        "worth", 1.0));
       return;
@@ -295,7 +297,7 @@
       return;
     case TRAIN:
       t->action = ACK;
-      act (t);
+      perform (t);
       return;
     case ACK:
       call (t, "POST", step_path (t, t->step, "ack"),
@@ -325,22 +327,23 @@
   s->state = t;
   t->standin = s;
   t->o = s->settings;
-  if (wy_entries_init (&t->entries, t->o->entries)
-      || !wy_standin_address (t->o->weights, &t->weights_host,
-                              &t->weights_port))
+  if (wy_entry_list_init (&t->entries, t->o->entries)
+      || !wy_standin_parse_address (t->o->weights, &t->weights_host,
+                                    &t->weights_port))
     return -1;
   t->step = 1;
   t->version = t->o->initial_version;
-  t->books.seen
+  t->stats.seen
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  t->books.began_us = t->books.wanted_us = now_us (t);
+  t->stats.started_us = t->stats.waiting_since_us = now_us (t);
   uv_timer_init (s->loop, &t->timer);
   t->timer.data = t;
-  plan (t);
+  plan_next (t);
   return 0;
 }
 
-/* Finishes the step it has a batch of; one it only waits for is left.  */
+/* Do nothing here: a step whose batch has been read is finished, one that is
+   only waited for is abandoned.  */
 static void
 on_stop (struct wy_standin *s)
 {
--- a/src/standin/trainer.h
+++ b/src/standin/trainer.h
@@ -1,4 +1,4 @@
-/* Stand-in trainer: what its files share.  */
+/* Simulated trainer: declarations shared by trainer*.c.  */
 #ifndef WY_STANDIN_TRAINER_H
 #define WY_STANDIN_TRAINER_H
 
@@ -31,26 +31,27 @@
 
 extern const struct wy_setting wy_trainer_table[WY_TRAINER_SETTINGS];
 
-struct wy_trainer_books
+struct wy_trainer_stats
 {
-  int64_t began_us;
+  int64_t started_us;
   int64_t ended_us;
-  int64_t wanted_us; /* since then it waits for a batch; 0: it does not */
+  int64_t
+      waiting_since_us; /* waits for a batch since then; 0: does not wait */
   int64_t idle_us;
   int64_t steps;
-  int64_t steps_lost; /* too old when read again */
+  int64_t steps_lost; /* samples too old when read again */
   int64_t samples;
   int64_t duplicates;
   int64_t staleness_sum;
   int64_t staleness_max;
-  int64_t failures; /* calls repeated */
+  int64_t retries;  /* of calls */
   GHashTable *seen; /* sample ids */
 };
 
-void wy_trainer_books_batch (struct wy_trainer_books *b, const json_t *samples,
-                             int64_t staleness);
-void wy_trainer_books_write (const struct wy_trainer_books *b,
-                             const struct wy_trainer_settings *o,
-                             int64_t version);
+void wy_trainer_stats_add_batch (struct wy_trainer_stats *stats,
+                                 const json_t *samples, int64_t staleness);
+void wy_trainer_report_write (const struct wy_trainer_stats *stats,
+                              const struct wy_trainer_settings *o,
+                              int64_t version);
 
 #endif
--- a/src/standin/trainer_report.c
+++ b/src/standin/trainer_report.c
@@ -1,4 +1,4 @@
-/* Settings of the stand-in trainer, and what it notes of its batches.  */
+/* Settings, statistics and report of the simulated trainer.  */
 #include <stddef.h>
 
 #include "standin/trainer.h"
@@ -42,10 +42,10 @@
     NULL, NULL, "version that the engines begin with" },
 };
 
-/* Note a batch that is about to be trained on.  */
+/* Count a batch about to be trained on, STALENESS versions old.  */
 void
-wy_trainer_books_batch (struct wy_trainer_books *b, const json_t *samples,
-                        int64_t staleness)
+wy_trainer_stats_add_batch (struct wy_trainer_stats *stats,
+                            const json_t *samples, int64_t staleness)
 {
   json_t *s;
   size_t i;
@@ -54,36 +54,37 @@
   {
     const char *id = json_string_value (json_object_get (s, "sample"));
 
-    b->samples++;
-    if (!g_hash_table_add (b->seen, g_strdup (id ? id : "")))
-      b->duplicates++;
+    stats->samples++;
+    if (!g_hash_table_add (stats->seen, g_strdup (id ? id : "")))
+      stats->duplicates++;
   }
-  b->steps++;
-  b->staleness_sum += staleness;
-  b->staleness_max = MAX (b->staleness_max, staleness);
+  stats->steps++;
+  stats->staleness_sum += staleness;
+  stats->staleness_max = MAX (stats->staleness_max, staleness);
 }
 
-/* Write the report.  VERSION is the newest one published.  */
+/* Write the report STATS to the file that the settings O name, if any. VERSION
+   is the newest one published.  */
 void
-wy_trainer_books_write (const struct wy_trainer_books *b,
-                        const struct wy_trainer_settings *o, int64_t version)
+wy_trainer_report_write (const struct wy_trainer_stats *stats,
+                         const struct wy_trainer_settings *o, int64_t version)
 {
-  double whole_us = (double)(b->ended_us - b->began_us);
+  double whole_us = (double)(stats->ended_us - stats->started_us);
   json_t *j;
 
   if (!*o->report)
     return;
   j = json_pack (
       "{s:s, s:s, s:I, s:I, s:I, s:I, s:f, s:I, s:I, s:f, s:I, s:I}", "yard",
-      o->yard, "trainer", o->trainer, "steps", (json_int_t)b->steps,
-      "steps_lost", (json_int_t)b->steps_lost, "samples",
-      (json_int_t)b->samples, "duplicates", (json_int_t)b->duplicates,
+      o->yard, "trainer", o->trainer, "steps", (json_int_t)stats->steps,
+      "steps_lost", (json_int_t)stats->steps_lost, "samples",
+      (json_int_t)stats->samples, "duplicates", (json_int_t)stats->duplicates,
       "staleness_mean",
-      b->steps ? (double)b->staleness_sum / (double)b->steps : 0.0,
-      "staleness_max", (json_int_t)b->staleness_max, "staleness_bound",
+      stats->steps ? (double)stats->staleness_sum / (double)stats->steps : 0.0,
+      "staleness_max", (json_int_t)stats->staleness_max, "staleness_bound",
       (json_int_t)o->max_staleness, "idle_share",
-      whole_us > 0 ? (double)b->idle_us / whole_us : 0.0, "version",
-      (json_int_t)version, "calls_repeated", (json_int_t)b->failures);
+      whole_us > 0 ? (double)stats->idle_us / whole_us : 0.0, "version",
+      (json_int_t)version, "calls_repeated", (json_int_t)stats->retries);
   json_dump_file (j, o->report, JSON_INDENT (2));
   json_decref (j);
 }
--- a/src/standin/weights.c
+++ b/src/standin/weights.c
@@ -1,5 +1,5 @@
-/* Weight store: versions of a model's weights, with a limit on the bytes a
-   second.  The bytes are made up as they are read.  */
+/* Stand-in of a weight store with a limit on bytes read per second.  Only the
+   sizes of versions are stored; the bytes are generated when read.  */
 #include <stdio.h>
 #include <string.h>
 
@@ -25,14 +25,14 @@
 struct weights
 {
   GHashTable *sizes; /* "MODEL/VERSION" -> bytes */
-  struct wy_standin_rate rate;
+  struct wy_standin_rate_limit rate;
 };
 
 static double
-rate_of (struct wy_standin *s)
+current_rate (struct wy_standin *s)
 {
   const struct settings *o = s->settings;
-  struct wy_standin_fault *f = wy_standin_fault_on (s, WY_FAULT_RATE);
+  struct wy_standin_fault *f = wy_standin_active_fault (s, WY_FAULT_RATE);
 
   return f ? f->value : (double)o->rate_bytes_per_s;
 }
@@ -48,20 +48,20 @@
 
   if (offset < 0 || offset > size_bytes || n < 0)
     {
-      wy_standin_answer (c, 400, NULL);
+      wy_standin_respond_json (c, 400, NULL);
       return;
     }
   n = MIN (MIN (n, CHUNK_MAX_SIZE_BYTES), size_bytes - offset);
-  if (!wy_standin_rate_take (&w->rate, rate_of (s), (double)n,
-                             wy_standin_now_ms (s)))
+  if (!wy_standin_rate_limit_take (&w->rate, current_rate (s), (double)n,
+                                   wy_standin_now_ms (s)))
     {
-      wy_standin_refuse_rate (c);
+      wy_standin_reject_rate (c);
       return;
     }
   p = g_malloc ((gsize)n + 1);
   for (int64_t i = 0; i < n; i++)
     p[i] = (char)(offset + i);
-  wy_standin_answer_bytes (c, 200, "application/octet-stream", p, (size_t)n);
+  wy_standin_respond (c, 200, "application/octet-stream", p, (size_t)n);
   g_free (p);
 }
 
@@ -69,13 +69,13 @@
 publish (struct wy_standin *s, struct wy_standin_call *c, const char *name)
 {
   struct weights *w = s->state;
-  json_t *body = wy_standin_body (c);
+  json_t *body = wy_standin_body_json (c);
   int64_t *size_bytes = g_new (int64_t, 1);
 
   *size_bytes = json_integer_value (json_object_get (body, "size_bytes"));
   json_decref (body);
   g_hash_table_replace (w->sizes, g_strdup (name), size_bytes);
-  wy_standin_answer (
+  wy_standin_respond_json (
       c, 200, json_pack ("{s:I}", "size_bytes", (json_int_t)*size_bytes));
 }
 
@@ -94,9 +94,10 @@
   if (rest && !strcmp (wy_http_method (c->ex), "POST"))
     publish (s, c, name);
   else if (!size_bytes)
-    wy_standin_answer (c, 404, json_pack ("{s:s}", "error", "no version"));
+    wy_standin_respond_json (c, 404,
+                             json_pack ("{s:s}", "error", "no version"));
   else if (size_only)
-    wy_standin_answer (
+    wy_standin_respond_json (
         c, 200, json_pack ("{s:I}", "size_bytes", (json_int_t)*size_bytes));
   else
     read_chunk (s, c, *size_bytes);
--- a/tests/test_contract_engine.c
+++ b/tests/test_contract_engine.c
@@ -1,4 +1,4 @@
-/* Contract of the model engine.  */
+/* Tests of the engine stand-in's API.  */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <signal.h>
@@ -8,7 +8,7 @@
 #include "standin/callers.h"
 #include "support/proc.h"
 
-/* Long enough to be caught in the middle: some 500 steps of 8 ms.  */
+/* Long enough to be interrupted while it runs: about 500 steps of 8 ms.  */
 #define LONG                                                                  \
   "{\"request_id\":\"r\",\"model\":\"m\",\"prompt\":\"long\","                \
   "\"max_tokens\":500}"
@@ -50,12 +50,12 @@
 }
 
 static void
-tell (const char *path, const char *body, int expected)
+post_and_expect (const char *path, const char *body, int expected)
 {
   json_decref (post (path, body, expected));
 }
 
-/* The number KEY of the load report.  */
+/* Return the number KEY of the load report.  */
 static json_int_t
 load (const char *key)
 {
@@ -112,9 +112,9 @@
   return t;
 }
 
-/* How the stream with these EVENTS ended; "" when it has no last event.  */
+/* Return the finish reason in EVENTS, or "" if the final event is missing.  */
 static char *
-finish_of (const char *events)
+finish_reason (const char *events)
 {
   const char *p = strstr (events, "\"finish\":\"");
 
@@ -127,7 +127,7 @@
 static void
 expect_finish (const char *events, const char *finish)
 {
-  char *got = finish_of (events);
+  char *got = finish_reason (events);
 
   cr_expect_str_eq (got, finish);
   g_free (got);
@@ -147,10 +147,10 @@
   };
 
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
-    tell ("/v1/completions", cases[i].body, cases[i].status);
+    post_and_expect ("/v1/completions", cases[i].body, cases[i].status);
 }
 
-Test (contract_engine, text_is_whole_and_of_one_run)
+Test (contract_engine, text_is_complete_and_from_one_run)
 {
   char *events = run_stream (SHORT);
   bool done;
@@ -170,13 +170,13 @@
   GThread *t = start_long ();
   char *events;
 
-  tell ("/control/pause", "{\"request_id\":\"r\"}", 200);
+  post_and_expect ("/control/pause", "{\"request_id\":\"r\"}", 200);
   await_load ("paused", 1);
   cr_expect_eq (load ("running"), 0);
   cr_expect_gt (load ("kv_used"), 0);
-  tell ("/control/resume", "{\"request_id\":\"r\"}", 200);
+  post_and_expect ("/control/resume", "{\"request_id\":\"r\"}", 200);
   await_load ("running", 1);
-  tell ("/control/cancel", "{\"request_id\":\"r\"}", 200);
+  post_and_expect ("/control/cancel", "{\"request_id\":\"r\"}", 200);
   events = g_thread_join (t);
   expect_finish (events, "cancelled");
   await_load ("running", 0);
@@ -188,21 +188,22 @@
   GThread *t = start_long ();
   char *events;
 
-  tell ("/control/order",
-        "{\"order\":\"stage\",\"model\":\"m\",\"version\":2,\"fence\":1}",
-        200);
-  tell ("/control/order",
-        "{\"order\":\"activate\",\"model\":\"m\",\"version\":2,\"fence\":1}",
-        200);
+  post_and_expect (
+      "/control/order",
+      "{\"order\":\"stage\",\"model\":\"m\",\"version\":2,\"fence\":1}", 200);
+  post_and_expect (
+      "/control/order",
+      "{\"order\":\"activate\",\"model\":\"m\",\"version\":2,\"fence\":1}",
+      200);
   await_tokens ();
-  tell ("/control/cancel", "{\"request_id\":\"r\"}", 200);
+  post_and_expect ("/control/cancel", "{\"request_id\":\"r\"}", 200);
   events = g_thread_join (t);
   cr_expect_not_null (strstr (events, "\"segments\":[{\"version\":1,"));
   cr_expect_not_null (strstr (events, "{\"version\":2,"));
   g_free (events);
 }
 
-Test (contract_engine, moved_stream_goes_on)
+Test (contract_engine, imported_stream_continues)
 {
   GThread *t = start_long ();
   json_t *blob = post ("/control/export", "{\"request_id\":\"r\"}", 200);
@@ -230,10 +231,10 @@
   json_decref (blob);
 }
 
-/* An order comes late from a process that no longer holds the lease, names a
-   version that was never staged, or the load itself fails.  The engine says
-   so and the version before stays in force.  */
-Test (contract_engine, orders_that_fail)
+/* An order arrives late from a former lease holder, names a version that was
+   never staged, or loading fails.  The engine must report an error and keep
+   the previous version in use.  */
+Test (contract_engine, failed_orders_keep_version)
 {
   static const struct
   {
@@ -255,27 +256,28 @@
       2 },
   };
 
-  tell ("/fault", "{\"fault\":\"fail_load\",\"value\":1}", 200);
+  post_and_expect ("/fault", "{\"fault\":\"fail_load\",\"value\":1}", 200);
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
     {
       json_t *events;
 
-      tell ("/control/order", cases[i].order, cases[i].status);
+      post_and_expect ("/control/order", cases[i].order, cases[i].status);
       events = wy_proc_events (&engine, "engine.version");
       cr_expect_eq (json_array_size (events), (size_t)cases[i].version);
       json_decref (events);
     }
 }
 
-/* One prompt crashes every engine that runs it.  All streams of the engine
-   break off, and the process is gone.  */
+/* A prompt that crashes the engine ends the process and breaks off all of its
+   streams.  */
 Test (contract_engine, crash_on_text)
 {
   GThread *t = start_long ();
   char *events;
   int status;
 
-  tell ("/fault", "{\"fault\":\"crash_on\",\"value\":\"poison\"}", 200);
+  post_and_expect ("/fault", "{\"fault\":\"crash_on\",\"value\":\"poison\"}",
+                   200);
   g_free (wy_fetch_text (port, "POST", "/v1/completions",
                          "{\"request_id\":\"p\",\"prompt\":\"poison\"}", NULL,
                          &status));
--- a/tests/test_contract_list.c
+++ b/tests/test_contract_list.c
@@ -1,4 +1,4 @@
-/* Contract of the instance list.  */
+/* Tests of the instance list stand-in's API.  */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <signal.h>
@@ -26,7 +26,7 @@
 }
 
 static void
-tell (uint16_t port, const char *body, int expected)
+publish (uint16_t port, const char *body, int expected)
 {
   int status;
 
@@ -36,7 +36,7 @@
 }
 
 static size_t
-listed (uint16_t port)
+instance_count (uint16_t port)
 {
   int status;
   json_t *j = wy_fetch_json (port, "GET", "/instances", NULL, NULL, &status);
@@ -47,33 +47,33 @@
   return n;
 }
 
-Test (contract_list, answers_the_newest_without_lag)
+Test (contract_list, serves_newest_without_lag)
 {
   uint16_t port = start ("name: list-1\nlag_ms: 0");
 
-  cr_expect_eq (listed (port), 0U);
-  tell (port, ONE, 200);
-  cr_expect_eq (listed (port), 1U);
-  tell (port, TWO, 200);
-  cr_expect_eq (listed (port), 2U);
-  tell (port, "{\"instances\":3}", 400);
-  cr_expect_eq (listed (port), 2U);
+  cr_expect_eq (instance_count (port), 0U);
+  publish (port, ONE, 200);
+  cr_expect_eq (instance_count (port), 1U);
+  publish (port, TWO, 200);
+  cr_expect_eq (instance_count (port), 2U);
+  publish (port, "{\"instances\":3}", 400);
+  cr_expect_eq (instance_count (port), 2U);
   stop ();
 }
 
-/* The list lags behind: an instance that has just started or left is told of
-   late, and readers see the old state meanwhile.  */
-Test (contract_list, lags)
+/* The list lags: readers see the old state for a while after an instance has
+   started or been removed.  */
+Test (contract_list, serves_old_state_within_lag)
 {
   uint16_t port = start ("name: list-1\nlag_ms: 600000");
 
-  tell (port, ONE, 200);
-  cr_expect_eq (listed (port), 0U);
+  publish (port, ONE, 200);
+  cr_expect_eq (instance_count (port), 0U);
   stop ();
 }
 
-/* The list service is away: a reader hears an error, and never an empty list
-   that would make all instances vanish.  */
+/* If the list service fails, a reader gets an error, never an empty list, by
+   which it would drop all instances.  */
 Test (contract_list, faults)
 {
   static const struct
@@ -88,7 +88,7 @@
   uint16_t port = start ("name: list-1\nlag_ms: 0");
   int status;
 
-  tell (port, ONE, 200);
+  publish (port, ONE, 200);
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
     {
       g_free (wy_fetch_text (port, "POST", "/fault", cases[i].fault, NULL,
@@ -97,7 +97,7 @@
       cr_expect_eq (status, cases[i].status, "%s", cases[i].fault);
       g_free (wy_fetch_text (port, "POST", "/fault", "{\"fault\":\"none\"}",
                              NULL, &status));
-      cr_expect_eq (listed (port), 1U);
+      cr_expect_eq (instance_count (port), 1U);
     }
   stop ();
 }
--- a/tests/test_contract_scoring.c
+++ b/tests/test_contract_scoring.c
@@ -1,4 +1,4 @@
-/* Contract of the scoring service.  */
+/* Tests of the scoring stand-in's API.  */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <signal.h>
@@ -34,8 +34,8 @@
   return wy_fetch_text (port, "POST", "/score", SAMPLE, NULL, status);
 }
 
-/* A sample that is scored again, since an answer was lost, gets the same
-   score; another would teach the trainer by accident.  */
+/* A sample scored again after a lost response gets the same score; otherwise
+   the trainer would learn from chance.  */
 Test (contract_scoring, same_sample_same_score)
 {
   int status;
@@ -54,11 +54,11 @@
 struct fault_case
 {
   const char *fault;
-  int status; /* 0: no whole answer */
+  int status; /* 0: no complete response */
 };
 
-/* The service is down, turns away, or loses its answer.  A sample is then not
-   scored, which must not look like a score.  */
+/* The service rejects calls, refuses connections or loses its response.  The
+   caller must get an error instead of a score.  */
 Test (contract_scoring, faults)
 {
   static const struct fault_case cases[] = {
--- a/tests/test_contract_service.c
+++ b/tests/test_contract_service.c
@@ -1,4 +1,4 @@
-/* Contract of the plain service: every execution is booked.  */
+/* Tests of the plain service stand-in's API: every execution is counted.  */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <signal.h>
@@ -51,7 +51,7 @@
   return n;
 }
 
-Test (contract_service, echo_passes_all_through)
+Test (contract_service, echo_returns_the_request)
 {
   static const struct wy_http_header_field headers[]
       = { { "x-office", "delta" }, { NULL, NULL } };
@@ -84,9 +84,9 @@
   int executed;
 };
 
-/* The service goes away, or executes a filing and loses the connection
-   before it has answered.  The sender sees an error each time and can't tell
-   from it whether the filing was recorded.  */
+/* The service is down, or executes a filing and loses the connection before it
+   responds.  The caller gets an error each time, from which it can't tell
+   whether the filing was executed.  */
 Test (contract_service, faults)
 {
   static const struct fault_case cases[] = {
@@ -111,8 +111,8 @@
     }
 }
 
-/* One request crashes whatever runs it.  The process is gone at once, and
-   what it had executed is in its timeline all the same.  */
+/* A request that crashes the service ends the process at once; the executions
+   before it must still be in the timeline.  */
 Test (contract_service, crash_on_text)
 {
   json_t *events;
--- a/tests/test_contract_table.c
+++ b/tests/test_contract_table.c
@@ -1,4 +1,4 @@
-/* Contract of the table service and the object store.  */
+/* Tests of the API of the table service and object store stand-in.  */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <signal.h>
@@ -26,16 +26,17 @@
 
 TestSuite (contract_table, .init = start, .fini = stop);
 
-/* Send BODY to PATH and check status and answer; ANSWER may be NULL.  */
+/* Send BODY to PATH and check the status and, unless RESPONSE is NULL, the
+   body of the response.  */
 static void
-expect (const char *path, const char *body, int status, const char *answer)
+expect (const char *path, const char *body, int status, const char *response)
 {
   int got;
   char *text = wy_fetch_text (port, "POST", path, body, NULL, &got);
 
   cr_expect_eq (got, status, "%s %s: status %d", path, body, got);
-  if (answer)
-    cr_expect_str_eq (text, answer, "%s %s", path, body);
+  if (response)
+    cr_expect_str_eq (text, response, "%s %s", path, body);
   g_free (text);
 }
 
@@ -44,7 +45,7 @@
   const char *path;
   const char *body;
   int status;
-  const char *answer;
+  const char *response;
 };
 
 Test (contract_table, transactions_and_reads)
@@ -72,7 +73,7 @@
   };
 
   for (size_t i = 0; i < sizeof steps / sizeof *steps; i++)
-    expect (steps[i].path, steps[i].body, steps[i].status, steps[i].answer);
+    expect (steps[i].path, steps[i].body, steps[i].status, steps[i].response);
 }
 
 Test (contract_table, objects)
@@ -93,12 +94,12 @@
 struct fault_case
 {
   const char *fault;
-  int status;  /* of a transaction meanwhile */
+  int status;  /* of a transaction under the fault */
   int written; /* rows that a read finds afterwards */
 };
 
-/* The store is down, sheds load, or carries a transaction out and loses the
-   connection.  A caller sees an error each time; only a read tells whether
+/* The store is down, limits the rate, or performs a transaction and loses the
+   connection.  The caller gets an error each time; only a read shows whether
    the row was written.  */
 Test (contract_table, faults)
 {
@@ -117,7 +118,7 @@
       json_t *read;
 
       expect ("/fault", cases[i].fault, 200, "{}");
-      /* The first call uses up what a limit leaves.  */
+      /* The first call uses up the burst that the rate limit allows.  */
       if (cases[i].status == 429)
         expect ("/txn", "{\"writes\":[]}", 200, NULL);
       expect ("/txn", "{\"writes\":[{\"key\":\"k\",\"value\":1}]}",
--- a/tests/test_contract_weights.c
+++ b/tests/test_contract_weights.c
@@ -1,4 +1,4 @@
-/* Contract of the weight store.  */
+/* Tests of the weight store stand-in's API.  */
 #include <criterion/criterion.h>
 #include <glib.h>
 #include <signal.h>
@@ -63,9 +63,8 @@
     }
 }
 
-/* Many engines stage a version at once and together read more than the store
-   gives.  Each hears 429 for what is above the rate, and gets its bytes when
-   the limit has gone.  */
+/* Many engines stage a version at once and exceed the store's rate limit.
+   Reads above the limit get 429 and succeed once the limit is lifted.  */
 Test (contract_weights, rate_limit)
 {
   const char *path = "/weights/m/7?offset=0&size=900000";
@@ -86,7 +85,8 @@
   cr_expect_eq (n, 900000U);
 }
 
-/* The store is away: a read fails at once or is cut off, and says so.  */
+/* The store is down or breaks connections: every read must fail with an error.
+ */
 Test (contract_weights, faults)
 {
   static const struct
