--- a/src/entry/access.c
+++ b/src/entry/access.c
@@ -1,5 +1,6 @@
-/* Who may call what: callers anything of theirs, trainers and operators what
-   their bearer token allows.  An operator may do what a trainer may.  */
+/* Authorization by role: caller routes need no token, trainer and operator
+   routes need a bearer token.  The operator token also grants the trainer
+   role.  */
 #include "entry/access.h"
 
 #include <string.h>
@@ -10,10 +11,10 @@
 
 #define SCHEME "Bearer "
 
-/* Compares in a time that does not depend on where the texts differ, so that
-   a token can't be guessed byte by byte.  */
+/* Constant-time comparison, so that response times do not reveal how much of a
+   guessed token is right.  */
 static bool
-same (const char *given, const char *token)
+token_matches (const char *given, const char *token)
 {
   size_t n = strlen (token);
 
@@ -21,16 +22,18 @@
 }
 
 static bool
-allowed (const struct wy_entry *e, const char *given, enum wy_role role)
+token_grants (const struct wy_entry *e, const char *given, enum wy_role role)
 {
-  if (same (given, e->s->operator_token))
+  if (token_matches (given, e->s->operator_token))
     return true;
-  return role == WY_ROLE_TRAINER && same (given, e->s->trainer_token);
+  return role == WY_ROLE_TRAINER && token_matches (given, e->s->trainer_token);
 }
 
-/* Whether the caller of EX may act as ROLE; answers EX when not.  */
+/* Whether the request of EX may use a route of ROLE.  Otherwise responds to EX
+   with 401 or 403 and returns false.  */
 bool
-wy_access (struct wy_entry *e, struct wy_http_exchange *ex, enum wy_role role)
+wy_access_check_role (struct wy_entry *e, struct wy_http_exchange *ex,
+                      enum wy_role role)
 {
   struct wy_problem no_token = { .reason = WY_REASON_NO_TOKEN };
   struct wy_problem forbidden = { .reason = WY_REASON_FORBIDDEN };
@@ -44,7 +47,7 @@
       wy_problem_send (ex, &no_token);
       return false;
     }
-  if (allowed (e, header + strlen (SCHEME), role))
+  if (token_grants (e, header + strlen (SCHEME), role))
     return true;
   wy_problem_send (ex, &forbidden);
   return false;
--- a/src/entry/access.h
+++ b/src/entry/access.h
@@ -1,4 +1,4 @@
-/* Who may call what.  */
+/* Authorization by role.  */
 #ifndef WY_ENTRY_ACCESS_H
 #define WY_ENTRY_ACCESS_H
 
@@ -11,7 +11,7 @@
   WY_ROLE_OPERATOR
 };
 
-bool wy_access (struct wy_entry *e, struct wy_http_exchange *ex,
-                enum wy_role role);
+bool wy_access_check_role (struct wy_entry *e, struct wy_http_exchange *ex,
+                           enum wy_role role);
 
 #endif
--- a/src/entry/acks.c
+++ b/src/entry/acks.c
@@ -1,21 +1,21 @@
-/* Acknowledgements of answers that were given out.
+/* Acknowledgements of delivered responses.
 
-   An acknowledged answer is forgotten by its agent.  That of a non-idempotent
-   request with a key is acknowledged late: its caller, when the answer was
-   lost on the last part of the way, sends the request again, and can get the
-   answer only while the agent still has it.  */
+   An agent discards a response once it is acknowledged.  For a non-idempotent
+   request with a key the acknowledgement is delayed: if the response is lost
+   between entry and caller, the caller sends the request again, and only the
+   agent that still holds the response can return it.  */
 #include "entry/acks.h"
 
 #include "entry/peers.h"
 
 enum
 {
-  /* Callers that got no answer send again within seconds.  At 100 filings a
-     second of a kilobyte an agent holds 3 MB for it.  */
-  LATE_MS = 30000
+  /* Callers that got no response retry within seconds.  At 100 requests per
+     second with responses of 1 KB an agent holds 3 MB for it.  */
+  ACK_DELAY_MS = 30000
 };
 
-struct late_ack
+struct deferred_ack
 {
   char *target;
   char *id;
@@ -36,12 +36,12 @@
   wy_peer_send (p, &f);
 }
 
-/* The answer of R was given out whole.  */
+/* Acknowledge the response of R, which was delivered completely.  */
 void
-wy_ack (struct wy_request *r)
+wy_ack_response (struct wy_request *r)
 {
   struct wy_entry *e = r->entry;
-  struct late_ack *a;
+  struct deferred_ack *a;
 
   if (!r->peer || !r->run)
     return;
@@ -55,12 +55,12 @@
   a->id = g_strdup (r->id);
   a->run = g_strdup (r->run);
   a->offset_bytes = r->offset_bytes;
-  a->due_ms = wy_clock_mono_ms (e->clock) + LATE_MS;
-  g_queue_push_tail (&e->late_acks, a);
+  a->due_ms = wy_clock_mono_ms (e->clock) + ACK_DELAY_MS;
+  g_queue_push_tail (&e->deferred_acks, a);
 }
 
 static void
-send_late (struct wy_entry *e, struct late_ack *a)
+send_deferred (struct wy_entry *e, struct deferred_ack *a)
 {
   struct wy_peer *p = g_hash_table_lookup (e->peers, a->target);
 
@@ -72,31 +72,31 @@
   g_free (a);
 }
 
-/* Send the acknowledgements that are due.  */
+/* Send the delayed acknowledgements that are due.  */
 void
 wy_acks_sweep (struct wy_entry *e, int64_t now_ms)
 {
-  struct late_ack *a;
+  struct deferred_ack *a;
 
-  while ((a = g_queue_peek_head (&e->late_acks)) && now_ms >= a->due_ms)
-    send_late (e, g_queue_pop_head (&e->late_acks));
+  while ((a = g_queue_peek_head (&e->deferred_acks)) && now_ms >= a->due_ms)
+    send_deferred (e, g_queue_pop_head (&e->deferred_acks));
 }
 
-/* Send all that are owed to P, or to anyone when P is NULL: a target that
-   waits for them to leave must not wait long.  */
+/* Send all delayed acknowledgements to P, or to every target when P is NULL.
+   A target that shuts down waits for them.  */
 void
 wy_acks_flush (struct wy_entry *e, const struct wy_peer *p)
 {
   GList *next;
 
-  for (GList *l = e->late_acks.head; l; l = next)
+  for (GList *l = e->deferred_acks.head; l; l = next)
     {
-      struct late_ack *a = l->data;
+      struct deferred_ack *a = l->data;
 
       next = l->next;
       if (p && !g_str_equal (a->target, p->id))
         continue;
-      g_queue_delete_link (&e->late_acks, l);
-      send_late (e, a);
+      g_queue_delete_link (&e->deferred_acks, l);
+      send_deferred (e, a);
     }
 }
--- a/src/entry/callers.c
+++ b/src/entry/callers.c
@@ -1,5 +1,5 @@
-/* What is common to the requests of callers: keys, deadlines, refusals, and
-   what happens when the caller goes away.  */
+/* Handling common to all requests of callers: headers, error responses and
+   callers that disconnect.  */
 #include "entry/callers.h"
 
 #include <stdlib.h>
@@ -12,8 +12,9 @@
 enum
 {
   DEADLINE_MAX_MS = 3600 * WY_MS_PER_S,
-  /* Ten thousand tokens; what the sockets hold comes on top.  */
-  UNREAD_MAX_BYTES = 1 << 20
+  /* About 10000 tokens of a stream.  Bytes in socket buffers are not
+     counted.  */
+  PENDING_MAX_BYTES = 1 << 20
 };
 
 static void
@@ -26,9 +27,9 @@
   g_free (c);
 }
 
-/* Tell the caller of EX that its request makes no sense, as DETAIL says.  */
+/* Respond to EX with 400 and DETAIL.  */
 void
-wy_caller_bad (struct wy_http_exchange *ex, const char *detail)
+wy_caller_respond_bad_request (struct wy_http_exchange *ex, const char *detail)
 {
   struct wy_problem p = { .reason = WY_REASON_BAD_REQUEST, .detail = detail };
 
@@ -36,7 +37,7 @@
 }
 
 static bool
-key_allowed (const char *key)
+key_is_valid (const char *key)
 {
   size_t n = strlen (key);
 
@@ -47,9 +48,9 @@
          == n;
 }
 
-/* The key in HEADER; the standard's form has it in quotes.  */
+/* The key in HEADER, without the quotes of the standard form.  */
 static char *
-bare_key (const char *header)
+unquote_key (const char *header)
 {
   size_t n = strlen (header);
 
@@ -59,7 +60,7 @@
 }
 
 static bool
-number (const char *text, int64_t max, int64_t *out)
+parse_positive (const char *text, int64_t max, int64_t *out)
 {
   char *end;
 
@@ -67,69 +68,73 @@
   return end != text && *end == 0 && *out > 0 && *out <= max;
 }
 
-/* The issue time of a request with KEY: what the caller says, else what the
-   key itself tells; 0 when neither does.  */
+/* Store in OUT the issue time (wall clock, ms) of a request with KEY: the
+   caller's header, else the time encoded in the key, else 0.  Returns false
+   when the header is malformed.  */
 static bool
 issue_time (struct wy_http_exchange *ex, const char *key, int64_t *out)
 {
-  const char *said = wy_http_header (ex, "waxwing-issued-at");
+  const char *issued_at = wy_http_header (ex, "waxwing-issued-at");
 
   *out = 0;
-  if (said)
-    return number (said, INT64_MAX, out);
+  if (issued_at)
+    return parse_positive (issued_at, INT64_MAX, out);
   if (!wy_id_issue_time_ms (key, out))
     *out = 0;
   return true;
 }
 
-/* Whether E may serve the caller of EX; else the caller is answered: an entry
-   that has just started knows neither names nor targets for certain.  */
+/* Whether E may serve the request of EX.  An entry that has just started
+   doesn't know all models, services and targets yet; it responds with 503 and
+   returns false.  */
 bool
-wy_caller_admitted (struct wy_entry *e, struct wy_http_exchange *ex)
+wy_caller_check_ready (struct wy_entry *e, struct wy_http_exchange *ex)
 {
   struct wy_problem p = { .reason = WY_REASON_NO_CONFIG, .ran = WY_RAN_NO };
 
   if (e->stopping || wy_entry_ready (e))
     {
-      wy_entry_tell_ready (e);
+      wy_entry_announce_ready (e);
       return true;
     }
   wy_problem_send (ex, &p);
   return false;
 }
 
-/* Take from the headers of EX what says how R is to be treated.  Answers EX
-   and returns false when they make no sense; R is then still the
-   caller's.  */
+/* Set key, deadline and idempotency of R from the headers of EX.  When one is
+   malformed, responds to EX and returns false; R still belongs to the caller
+   of this function.  */
 bool
-wy_caller_head (struct wy_request *r, struct wy_http_exchange *ex)
+wy_caller_read_headers (struct wy_request *r, struct wy_http_exchange *ex)
 {
   const char *header = wy_http_header (ex, "idempotency-key");
-  const char *mark = wy_http_header (ex, "waxwing-idempotent");
+  const char *idempotent = wy_http_header (ex, "waxwing-idempotent");
   const char *deadline = wy_http_header (ex, "waxwing-deadline-ms");
   int64_t ms;
   char *key;
   bool ok;
 
-  r->non_idempotent = mark && !g_ascii_strcasecmp (mark, "no");
+  r->non_idempotent = idempotent && !g_ascii_strcasecmp (idempotent, "no");
   if (deadline)
     {
-      if (!number (deadline, DEADLINE_MAX_MS, &ms))
+      if (!parse_positive (deadline, DEADLINE_MAX_MS, &ms))
         {
-          wy_caller_bad (ex, "Waxwing-Deadline-Ms is not a number of ms.");
+          wy_caller_respond_bad_request (
+              ex, "Waxwing-Deadline-Ms is not a number of ms.");
           return false;
         }
       r->deadline_mono_ms = wy_clock_mono_ms (r->entry->clock) + ms;
     }
   if (!header)
     return true;
-  key = bare_key (header);
-  ok = key_allowed (key) && issue_time (ex, key, &ms);
+  key = unquote_key (header);
+  ok = key_is_valid (key) && issue_time (ex, key, &ms);
   if (ok)
-    wy_request_identify (r, key, ms);
+    wy_request_set_key (r, key, ms);
   else
-    wy_caller_bad (ex, "Idempotency-Key has up to 128 letters, digits and "
-                       "-_.~: and Waxwing-Issued-At is a number of ms.");
+    wy_caller_respond_bad_request (
+        ex, "Idempotency-Key has up to 128 letters, digits and "
+            "-_.~: and Waxwing-Issued-At is a number of ms.");
   g_free (key);
   return ok;
 }
@@ -144,11 +149,11 @@
   return c;
 }
 
-/* The same non-idempotent request is in progress already: wait for its answer
-   too, instead of running it again.  */
+/* R is a duplicate of FIRST, a non-idempotent request in progress: wait for
+   its response instead of running it again.  */
 static void
-join (struct wy_request *first, struct wy_request *r,
-      struct wy_http_exchange *ex, const struct wy_sink *sink)
+join_request (struct wy_request *first, struct wy_request *r,
+              struct wy_http_exchange *ex, const struct wy_sink *sink)
 {
   struct wy_problem p = { .reason = WY_REASON_KEY_REUSED, .request = r->id };
   struct wy_caller *c;
@@ -166,7 +171,7 @@
   wy_request_free (r);
 }
 
-/* Put R in progress for the caller of EX, who gets the answer by SINK.  */
+/* Start R for EX; SINK receives the response.  Takes R over.  */
 void
 wy_caller_open (struct wy_request *r, struct wy_http_exchange *ex,
                 const struct wy_sink *sink)
@@ -179,7 +184,7 @@
   r->body_hash = wy_hash64 (r->body->str, r->body->len, 0);
   if (first)
     {
-      join (first, r, ex, sink);
+      join_request (first, r, ex, sink);
       return;
     }
   if (e->open.length >= e->s->request_limit)
@@ -196,23 +201,24 @@
   wy_request_open (r, &c->sink);
 }
 
-/* Pass N bytes at P of a streamed answer on.  A caller that reads too slowly
-   is given up: its bytes would pile up here and take the memory of all.  */
+/* Forward N bytes at P of a streamed response.  A request is cancelled when
+   its caller reads too slowly, since the pending bytes would use up the memory
+   of the process.  */
 void
-wy_caller_data (struct wy_sink *s, struct wy_request *r, const char *p,
-                size_t n)
+wy_caller_stream_data (struct wy_sink *s, struct wy_request *r, const char *p,
+                       size_t n)
 {
   struct wy_http_exchange *ex = ((struct wy_caller *)s)->ex;
 
   wy_http_stream_write (ex, p, n);
-  if (wy_http_stream_pending_bytes (ex) > UNREAD_MAX_BYTES)
+  if (wy_http_stream_pending_bytes (ex) > PENDING_MAX_BYTES)
     r->cancelled = true;
 }
 
-/* The answer behind S comes now: free S and return the exchange, which is
-   still to be answered or ended.  */
+/* Free S and return its exchange, to which the caller of this function
+   responds.  */
 struct wy_http_exchange *
-wy_caller_end (struct wy_sink *s)
+wy_caller_detach (struct wy_sink *s)
 {
   struct wy_caller *c = (struct wy_caller *)s;
   struct wy_http_exchange *ex = c->ex;
@@ -222,29 +228,30 @@
   return ex;
 }
 
-/* R won't be answered: tell the caller behind S.  */
+/* Report to the caller behind S that R failed: by an error response, or, once
+   a stream has begun, by an error event and a broken connection.  */
 void
-wy_caller_refused (struct wy_sink *s, struct wy_request *r, enum wy_ran ran,
-                   enum wy_entry_reason reason, uint32_t retry_after_ms)
+wy_caller_reject (struct wy_sink *s, struct wy_request *r, enum wy_ran ran,
+                  enum wy_entry_reason reason, uint32_t retry_after_ms)
 {
   struct wy_problem p = { .reason = reason,
                           .ran = ran,
                           .request = r->id,
                           .retry_after_ms = retry_after_ms };
-  bool begun = s->streams;
-  struct wy_http_exchange *ex = wy_caller_end (s);
+  bool streaming = s->streams;
+  struct wy_http_exchange *ex = wy_caller_detach (s);
   GString *event;
   char *text;
 
-  if (!begun)
+  if (!streaming)
     {
       wy_http_add_header (ex, "waxwing-request-id", r->id);
       wy_problem_send (ex, &p);
       return;
     }
-  if (wy_http_stream_pending_bytes (ex) > UNREAD_MAX_BYTES)
+  if (wy_http_stream_pending_bytes (ex) > PENDING_MAX_BYTES)
     {
-      /* The event would wait behind what is not read either.  */
+      /* The event would only queue up behind the unread bytes.  */
       wy_http_close_connection (ex);
       return;
     }
--- a/src/entry/completion_text.c
+++ b/src/entry/completion_text.c
@@ -1,4 +1,4 @@
-/* Completions: the body for the engine and the events of its answer.  */
+/* Request bodies of completions and parsing of their event streams.  */
 #include "entry/completion_text.h"
 
 #include <stdbool.h>
@@ -12,17 +12,17 @@
 
 enum
 {
-  /* Prompts that share their first so many bytes share the cached prefix:
-     long enough for the common preamble of an application, short enough
-     that its differing questions come after it.  */
+  /* Prompts that have this many first bytes in common are taken to share a
+     cached prefix: enough to cover an application's common preamble, short
+     enough to end before its questions differ.  */
   PREFIX_BYTES = 256,
   DECIMAL = 10,
   DIGITS_MAX = 18
 };
 
-/* The request body of C for the engine, with the identifier ID.  */
+/* Write to OUT the JSON request body for the engine: C with request id ID.  */
 void
-wy_completion_body (const struct wy_completion_order *c, const char *id,
+wy_completion_body (const struct wy_completion_params *c, const char *id,
                     GString *out)
 {
   json_t *j = json_pack ("{s:s, s:s, s:s, s:I}", "request_id", id, "model",
@@ -38,8 +38,8 @@
   json_decref (j);
 }
 
-/* A hash of the part of PROMPT that others may share; 0 when it is too short
-   to matter.  */
+/* Hash of the prefix of PROMPT that other prompts may share; 0 when PROMPT is
+   too short for caching to matter.  */
 uint64_t
 wy_completion_prefix (const char *prompt)
 {
@@ -56,7 +56,7 @@
   bool done;
 };
 
-/* What one event says.  The texts are not owned and have no NUL.  */
+/* A parsed token event.  The texts are borrowed and not NUL-terminated.  */
 struct event
 {
   const char *run;
@@ -67,7 +67,7 @@
 };
 
 static bool
-skip (const char **p, const char *end, const char *what)
+skip_literal (const char **p, const char *end, const char *what)
 {
   size_t n = strlen (what);
 
@@ -77,19 +77,21 @@
   return true;
 }
 
-/* A JSON string without escapes.  */
+/* Reads a JSON string without escapes, up to and including the closing
+   quote.  */
 static bool
-plain_text (const char **p, const char *end, const char **text, size_t *n)
+read_plain_string (const char **p, const char *end, const char **text,
+                   size_t *n)
 {
   *text = *p;
   while (*p < end && **p != '"' && **p != '\\' && (unsigned char)**p >= ' ')
     ++*p;
   *n = (size_t)(*p - *text);
-  return skip (p, end, "\"");
+  return skip_literal (p, end, "\"");
 }
 
 static bool
-digits (const char **p, const char *end, json_int_t *out)
+read_digits (const char **p, const char *end, json_int_t *out)
 {
   const char *from = *p;
 
@@ -99,49 +101,51 @@
   return *p > from;
 }
 
-/* Read the event of a token in the one form that engines write it, N bytes at
-   P.  An answer has one for each token, and a JSON parser took most of the
-   entry's time for a whole answer; anything in another form is left to it.  */
+/* Parses a token event of N bytes at P in the exact form that engines write.
+   There is one event per token, and parsing all of them with a JSON parser
+   dominated the entry's CPU time for a response.  Returns false for any other
+   form, which is left to the JSON parser.  */
 static bool
-plain_event (const char *p, size_t n, struct event *out)
+parse_plain_event (const char *p, size_t n, struct event *out)
 {
   const char *end = p + n;
   json_int_t version;
 
   while (p < end && *p == ' ')
     p++;
-  return skip (&p, end, "{\"run\":\"")
-         && plain_text (&p, end, &out->run, &out->run_n)
-         && skip (&p, end, ",\"i\":") && digits (&p, end, &out->i)
-         && skip (&p, end, ",\"text\":\"")
-         && plain_text (&p, end, &out->text, &out->text_n)
-         && skip (&p, end, ",\"version\":") && digits (&p, end, &version)
-         && skip (&p, end, "}") && p == end;
+  return skip_literal (&p, end, "{\"run\":\"")
+         && read_plain_string (&p, end, &out->run, &out->run_n)
+         && skip_literal (&p, end, ",\"i\":") && read_digits (&p, end, &out->i)
+         && skip_literal (&p, end, ",\"text\":\"")
+         && read_plain_string (&p, end, &out->text, &out->text_n)
+         && skip_literal (&p, end, ",\"version\":")
+         && read_digits (&p, end, &version) && skip_literal (&p, end, "}")
+         && p == end;
 }
 
 static int
-take_token (struct events *v, const struct event *e)
+append_token (struct events *v, const struct event *e)
 {
   if (v->done || e->i != v->next++)
-    return WY_ENTRY_EANSWER;
+    return WY_ENTRY_ERESPONSE;
   if (!v->run)
     v->run = g_strndup (e->run, e->run_n);
   else if (strlen (v->run) != e->run_n
            || memcmp (v->run, e->run, e->run_n) != 0)
-    return WY_ENTRY_EANSWER;
+    return WY_ENTRY_ERESPONSE;
   g_string_append_len (v->text, e->text, (gssize)e->text_n);
   return 0;
 }
 
 static int
-take_event (struct events *v, const char *p, size_t n)
+handle_event (struct events *v, const char *p, size_t n)
 {
   struct event e = { 0 };
   json_t *j;
-  int err = WY_ENTRY_EANSWER;
+  int err = WY_ENTRY_ERESPONSE;
 
-  if (plain_event (p, n, &e))
-    return take_token (v, &e);
+  if (parse_plain_event (p, n, &e))
+    return append_token (v, &e);
   j = json_loadb (p, n, 0, NULL);
   e.run = json_string_value (json_object_get (j, "run"));
   e.text = json_string_value (json_object_get (j, "text"));
@@ -156,19 +160,20 @@
     {
       e.run_n = strlen (e.run);
       e.text_n = strlen (e.text);
-      err = take_token (v, &e);
+      err = append_token (v, &e);
     }
   json_decref (j);
   return err;
 }
 
-/* Append to OUT the text of the completion whose EVENTS are whole.  Returns
-   WY_ENTRY_EANSWER when they are not the events of one run, in order and to
-   the end: tokens of two runs in one answer must never go unseen.  */
+/* Append to OUT the text of the completion that EVENTS, a complete event
+   stream, contains.  Returns WY_ENTRY_ERESPONSE unless these are the events of
+   one run, in order and complete: mixed tokens of two runs must not pass
+   unnoticed.  */
 int
 wy_completion_text (const GString *events, GString *out)
 {
-  static const char mark[] = "data:";
+  static const char prefix[] = "data:";
   struct events v = { .text = out };
   const char *p = events->str;
   const char *end = p + events->len;
@@ -179,10 +184,10 @@
       const char *line_end = memchr (p, '\n', (size_t)(end - p));
       size_t n = line_end ? (size_t)(line_end - p) : (size_t)(end - p);
 
-      if (n > sizeof mark && !memcmp (p, mark, sizeof mark - 1))
-        err = take_event (&v, p + sizeof mark - 1, n - sizeof mark + 1);
+      if (n > sizeof prefix && !memcmp (p, prefix, sizeof prefix - 1))
+        err = handle_event (&v, p + sizeof prefix - 1, n - sizeof prefix + 1);
       p += n + 1;
     }
   g_free (v.run);
-  return !err && v.done ? 0 : WY_ENTRY_EANSWER;
+  return !err && v.done ? 0 : WY_ENTRY_ERESPONSE;
 }
--- a/src/entry/completion_text.h
+++ b/src/entry/completion_text.h
@@ -1,4 +1,4 @@
-/* Completions: the body for the engine and the events of its answer.  */
+/* Request bodies of completions and parsing of their event streams.  */
 #ifndef WY_ENTRY_COMPLETION_TEXT_H
 #define WY_ENTRY_COMPLETION_TEXT_H
 
@@ -6,7 +6,7 @@
 
 #include <glib.h>
 
-struct wy_completion_order
+struct wy_completion_params
 {
   const char *model;
   const char *prompt;
@@ -14,7 +14,7 @@
   int64_t min_version; /* 0: any */
 };
 
-void wy_completion_body (const struct wy_completion_order *c, const char *id,
+void wy_completion_body (const struct wy_completion_params *c, const char *id,
                          GString *out);
 int wy_completion_text (const GString *events, GString *out);
 uint64_t wy_completion_prefix (const char *prompt);
--- a/src/entry/completions.c
+++ b/src/entry/completions.c
@@ -1,4 +1,4 @@
-/* Callers' completions, whole and streamed.  */
+/* Callers' completion requests, streamed and not.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -12,7 +12,7 @@
 
 enum
 {
-  MAX_TOKENS_DEFAULT = 16, /* as in the interface this one follows */
+  MAX_TOKENS_DEFAULT = 16, /* as in the completions API followed here */
   MAX_TOKENS_LIMIT = 1000000,
   TOKEN_BYTES = 4,
   STATUS_OK = 200
@@ -23,7 +23,7 @@
 {
   struct wy_caller *c = (struct wy_caller *)s;
 
-  /* An error of the target comes whole, as a refusal.  */
+  /* An error is not streamed; it becomes an error response.  */
   if (r->status != STATUS_OK)
     return;
   s->streams = true;
@@ -46,7 +46,7 @@
 }
 
 static char *
-whole_text (const struct wy_request *r, const char *text)
+response_json (const struct wy_request *r, const char *text)
 {
   json_t *j = json_pack (
       "{s:s, s:s, s:I, s:s, s:[{s:i, s:s, s:s}], s:{s:i, s:i, s:i},"
@@ -54,7 +54,7 @@
       "id", r->id, "object", "text_completion", "created",
       (json_int_t)(wy_clock_wall_ms (r->entry->clock) / WY_MS_PER_S), "model",
       r->name, "choices", "index", 0, "text", text, "finish_reason",
-      r->finish ? r->finish : "", "usage", "prompt_tokens",
+      r->finish_reason ? r->finish_reason : "", "usage", "prompt_tokens",
       (int)r->prompt_tokens, "completion_tokens", (int)r->tokens,
       "total_tokens", (int)(r->prompt_tokens + r->tokens), "waxwing", "run",
       r->run ? r->run : "", "segments", segments (r));
@@ -70,7 +70,7 @@
   struct wy_problem failed
       = { .reason = WY_REASON_FAILED, .ran = WY_RAN_YES, .request = r->id };
   bool streamed = s->streams;
-  struct wy_http_exchange *ex = wy_caller_end (s);
+  struct wy_http_exchange *ex = wy_caller_detach (s);
   GString *text;
   char *body = NULL;
 
@@ -81,8 +81,8 @@
     }
   text = g_string_new (NULL);
   wy_http_add_header (ex, "waxwing-request-id", r->id);
-  if (r->status == STATUS_OK && !wy_completion_text (r->answer, text))
-    body = whole_text (r, text->str);
+  if (r->status == STATUS_OK && !wy_completion_text (r->response, text))
+    body = response_json (r, text->str);
   if (body)
     r->sent_digest = wy_hash64 (body, strlen (body), 0);
   if (body)
@@ -93,22 +93,22 @@
   g_string_free (text, TRUE);
 }
 
-static const struct wy_sink whole_sink
-    = { .done = on_done, .refused = wy_caller_refused };
+static const struct wy_sink unstreamed_sink
+    = { .done = on_done, .rejected = wy_caller_reject };
 static const struct wy_sink stream_sink = { .head = on_stream_head,
-                                            .data = wy_caller_data,
+                                            .data = wy_caller_stream_data,
                                             .done = on_done,
-                                            .refused = wy_caller_refused };
+                                            .rejected = wy_caller_reject };
 
 static struct wy_request *
-make (struct wy_entry *e, struct wy_http_exchange *ex,
-      const struct wy_completion_order *c)
+make_request (struct wy_entry *e, struct wy_http_exchange *ex,
+              const struct wy_completion_params *c)
 {
   struct wy_pool *l = wy_pool_get (e, c->model);
   struct wy_problem unknown = { .reason = WY_REASON_UNKNOWN_NAME };
   struct wy_request *r;
 
-  if (!wy_caller_admitted (e, ex))
+  if (!wy_caller_check_ready (e, ex))
     return NULL;
   if (!l || !l->is_model)
     {
@@ -116,7 +116,7 @@
       return NULL;
     }
   r = wy_request_new (e, c->model, l);
-  if (!wy_caller_head (r, ex))
+  if (!wy_caller_read_headers (r, ex))
     {
       wy_request_free (r);
       return NULL;
@@ -133,7 +133,7 @@
 }
 
 static bool
-read_order (const json_t *j, struct wy_completion_order *c)
+read_params (const json_t *j, struct wy_completion_params *c)
 {
   const json_t *max = json_object_get (j, "max_tokens");
 
@@ -149,33 +149,35 @@
   return c->model && c->prompt;
 }
 
-/* Run the completion that EX asks for.  */
+/* Run the completion that EX requests.  */
 void
 wy_completions_http (struct wy_entry *e, struct wy_http_exchange *ex)
 {
-  struct wy_completion_order c = { 0 };
+  struct wy_completion_params c = { 0 };
   struct wy_request *r;
   size_t n;
   const char *body = wy_http_body (ex, &n);
   json_t *j = json_loadb (body, n, 0, NULL);
 
-  if (!read_order (j, &c))
+  if (!read_params (j, &c))
     {
-      wy_caller_bad (ex, "The body is JSON with \"model\", \"prompt\", and "
-                         "if wanted \"max_tokens\" from 1 to 1000000 and "
-                         "\"stream\".");
+      wy_caller_respond_bad_request (
+          ex, "The body is JSON with \"model\", \"prompt\", and "
+              "if wanted \"max_tokens\" from 1 to 1000000 and "
+              "\"stream\".");
       json_decref (j);
       return;
     }
-  r = make (e, ex, &c);
+  r = make_request (e, ex, &c);
   if (r)
     {
-      /* By the prompt, so that a new key does not make it another one.  */
+      /* From the prompt only: the same prompt under a new key must have the
+         same fingerprint.  */
       r->fingerprint = wy_fingerprint (NULL, c.prompt, strlen (c.prompt));
       wy_caller_open (r, ex,
                       json_is_true (json_object_get (j, "stream"))
                           ? &stream_sink
-                          : &whole_sink);
+                          : &unstreamed_sink);
     }
   json_decref (j);
 }
--- a/src/entry/counters.c
+++ b/src/entry/counters.c
@@ -1,12 +1,12 @@
-/* What an entry counts.  */
+/* Metrics of an entry.  */
 #include "entry/counters.h"
 
-/* Make the counters of E.  */
+/* Register the metrics of E.  */
 void
-wy_entry_counters_make (struct wy_entry *e)
+wy_entry_counters_init (struct wy_entry *e)
 {
   struct wy_metrics *m = e->metrics;
-  struct wy_entry_counters *n = &e->n;
+  struct wy_entry_counters *n = &e->counters;
 
   n->received = wy_metrics_counter (m, "wy_requests_received_total",
                                     "Requests taken from callers and yards");
@@ -26,8 +26,8 @@
                                    "Requests tried at another target");
   n->resumed = wy_metrics_counter (m, "wy_resumes_total",
                                    "Times a run was asked for again");
-  n->redials = wy_metrics_counter (m, "wy_dials_total",
-                                   "Connections to agents begun");
+  n->dials = wy_metrics_counter (m, "wy_dials_total",
+                                 "Connections to agents begun");
   n->chunks_dropped = wy_metrics_counter (
       m, "wy_chunks_dropped_total", "Chunks that came twice or too early");
   n->list_failed = wy_metrics_counter (m, "wy_list_failures_total",
@@ -37,8 +37,8 @@
   n->open = wy_metrics_gauge (m, "wy_requests_open", "Requests in progress");
   n->connections = wy_metrics_gauge (m, "wy_caller_connections",
                                      "Open connections of callers");
-  n->peers_ready = wy_metrics_gauge (m, "wy_targets_connected",
-                                     "Targets whose agent is connected");
+  n->peers_connected = wy_metrics_gauge (m, "wy_targets_connected",
+                                         "Targets whose agent is connected");
   n->config_revision
       = wy_metrics_gauge (m, "wy_config_revision", "Configuration in force");
   n->latency_us = wy_metrics_histogram (m, "wy_request_latency_us",
--- a/src/entry/dispatch.c
+++ b/src/entry/dispatch.c
@@ -1,38 +1,39 @@
-/* Which target a request goes to, and what follows when it is lost.
-
-   An idempotent request may go to another target when it was refused or its
-   run was lost, as often as attempts and retry budget allow, unless its
-   caller was already given a part of the answer: two runs are never spliced.
-   A non-idempotent request has one home and never goes elsewhere; what its
-   home can't be asked about stays unknown.  */
+/* Dispatch of requests to targets, and what happens when a target fails.
+
+   An idempotent request may be retried at another target when it was refused
+   or its run was lost, within the attempt limit and the retry budget, unless
+   part of the response was already sent to the caller: output of two runs is
+   never spliced.  A non-idempotent request has exactly one target that may run
+   it, its home (see src/config/home.c), and is never sent elsewhere.  While
+   the home can't be asked, whether the request ran stays unknown.  */
 #include "entry/dispatch.h"
 
 #include "entry/home.h"
-#include "entry/token_latency.h"
 #include "entry/peers.h"
 #include "entry/pool.h"
-#include "entry/reports.h"
 #include "entry/problem.h"
+#include "entry/reports.h"
 #include "entry/request.h"
 #include "entry/suspects.h"
+#include "entry/token_latency.h"
 
 enum
 {
-  /* When to come back after the loss of a target: lists and connections
-     have followed by then.  */
-  RETRY_LOST_MS = 1000,
-  /* Two refused dials in a row: nobody listens, so the process is gone, and
-     with it what it remembered.  */
-  DIALS_MAX = 2
+  /* Retry-After once a target has failed: instance list and connections are up
+     to date by then.  */
+  RETRY_AFTER_MS = 1000,
+  /* After two failed dials in a row nothing listens there: the process has
+     exited, and its record of requests is lost.  */
+  FAILED_DIALS_MAX = 2
 };
 
-/* What is proven of R as a whole.  A key may have been sent before through
-   another entry, so that of a request with a key only its home can say that
-   it did not run.  */
+/* What is known of all attempts of R together.  A key may have been sent
+   earlier through another entry, so for a request with a key only its home can
+   prove that it did not run.  */
 static enum wy_ran
-ran_of (const struct wy_request *r)
+proven_ran (const struct wy_request *r)
 {
-  if (r->may_run || r->sent)
+  if (r->may_have_run || r->sent)
     return WY_RAN_UNKNOWN;
   if (r->non_idempotent && r->key[0])
     return WY_RAN_UNKNOWN;
@@ -90,26 +91,26 @@
   if (wy_peer_send (r->peer, &f))
     return;
   r->sent = true;
-  r->sent_to = r->peer->incarnation_hash;
+  r->submitted_incarnation = r->peer->incarnation_hash;
   wy_trace_event (r->entry->trace, "request.submitted", "{s:s, s:s, s:i}",
                   "req", r->id, "target", r->peer->id, "attempt",
                   (int)r->attempt);
 }
 
 static void
-give_to (struct wy_request *r, struct wy_peer *p)
+assign (struct wy_request *r, struct wy_peer *p)
 {
   r->peer = p;
   g_queue_push_tail_link (&p->requests, &r->peer_link);
   r->attempt++;
-  wy_pool_started (r, p);
+  wy_pool_request_started (r, p);
   if (p->ready)
     {
       submit (r);
       return;
     }
-  r->away_ms = wy_clock_mono_ms (r->entry->clock);
-  wy_peer_want (p);
+  r->disconnected_since_ms = wy_clock_mono_ms (r->entry->clock);
+  wy_peer_connect (p);
 }
 
 static void
@@ -122,28 +123,30 @@
   home = wy_home_of (e, r->name, r->id, r->issued_ms);
   if (!home)
     {
-      wy_request_refused (r, ran_of (r), WY_REASON_NO_CONFIG, RETRY_LOST_MS);
+      wy_request_reject (r, proven_ran (r), WY_REASON_NO_CONFIG,
+                         RETRY_AFTER_MS);
       return;
     }
   p = g_hash_table_lookup (e->peers, home);
   if (!p)
     {
-      wy_request_refused (r, ran_of (r), WY_REASON_HOME_AWAY, RETRY_LOST_MS);
+      wy_request_reject (r, proven_ran (r), WY_REASON_HOME_AWAY,
+                         RETRY_AFTER_MS);
       return;
     }
-  give_to (r, p);
+  assign (r, p);
 }
 
-/* Send R to a target, or refuse it.  */
+/* Send R to a target, or reject it.  */
 void
 wy_dispatch (struct wy_request *r)
 {
   struct wy_peer *p;
 
-  if (wy_suspect_refused (r))
+  if (wy_suspect_must_reject (r))
     {
-      wy_request_refused (r, ran_of (r), WY_REASON_SUSPECT,
-                          WY_SUSPECT_RETRY_MS);
+      wy_request_reject (r, proven_ran (r), WY_REASON_SUSPECT,
+                         WY_SUSPECT_RETRY_MS);
       return;
     }
   if (r->non_idempotent)
@@ -153,100 +156,103 @@
     }
   p = wy_pool_pick (r);
   if (p)
-    give_to (r, p);
+    assign (r, p);
   else
-    wy_request_refused (r, ran_of (r), WY_REASON_NO_TARGET, RETRY_LOST_MS);
+    wy_request_reject (r, proven_ran (r), WY_REASON_NO_TARGET, RETRY_AFTER_MS);
 }
 
-/* Whether R may be tried at one more target.  */
+/* Whether R may be retried at another target.  Takes a retry from the budget
+   if so.  */
 static bool
 may_retry (struct wy_request *r)
 {
   struct wy_entry *e = r->entry;
 
-  if (r->non_idempotent || r->begun || r->cancelled || r->sinks->len == 0
-      || r->attempt >= e->s->attempt_limit
+  if (r->non_idempotent || r->response_begun || r->cancelled
+      || r->sinks->len == 0 || r->attempt >= e->s->attempt_limit
       || wy_clock_mono_ms (e->clock) >= r->deadline_mono_ms)
     return false;
   if (wy_retry_take (&e->budget))
     return false;
-  ++*e->n.retries;
+  ++*e->counters.retries;
   return true;
 }
 
 static void
 retry (struct wy_request *r)
 {
-  wy_pool_tried (r);
-  wy_request_leave_peer (r);
-  wy_request_reset (r);
+  wy_pool_exclude_target (r);
+  wy_request_detach_peer (r);
+  wy_request_reset_run (r);
   wy_dispatch (r);
 }
 
-/* Whether R's home, asked for R's answer, knows nothing of R and is the same
-   incarnation that R was sent to: then R was lost on the way and may be sent
-   again.  Its agent tells a sending that arrives twice.  */
+/* Whether R's home, asked to resume R, has no record of R and is the same
+   incarnation that R was sent to.  Then SUBMIT was lost in transit and may be
+   sent again; the agent detects duplicates.  */
 static bool
-lost_on_the_way (const struct wy_request *r, const struct wy_frame_refused *f)
+lost_in_transit (const struct wy_request *r, const struct wy_frame_refused *f)
 {
   return f->reason == WY_REFUSED_LOST && f->ran == WY_RAN_UNKNOWN
          && r->non_idempotent && !r->run
-         && r->sent_to == r->peer->incarnation_hash
+         && r->submitted_incarnation == r->peer->incarnation_hash
          && r->attempt < r->entry->s->attempt_limit;
 }
 
-/* The target of R refused it.  */
+/* Handle REFUSED from the target of R: retry R at another target, or reject
+   it.  */
 void
 wy_dispatch_refused (struct wy_request *r, const struct wy_frame_refused *f)
 {
   enum wy_entry_reason reason = wy_reason_of_refusal (f->reason);
   enum wy_ran ran = f->ran;
 
-  if (lost_on_the_way (r, f))
+  if (lost_in_transit (r, f))
     {
       r->attempt++;
       submit (r);
       return;
     }
-  wy_pool_ended (r, WY_OUTCOME_REFUSED);
+  wy_pool_request_ended (r, WY_OUTCOME_REFUSED);
   if (f->reason == WY_REFUSED_LEAVING)
     {
-      r->peer->told_leaving = true;
+      r->peer->reported_leaving = true;
       wy_peer_set_leaving (r->peer, true);
     }
-  /* A target that is not home knows nothing of what the home did.  */
+  /* A target that is not the home can't know whether the home ran R.  */
   if (f->reason == WY_REFUSED_NOT_HOME && r->key[0])
     ran = WY_RAN_UNKNOWN;
   if (ran != WY_RAN_NO)
-    r->may_run = true;
-  /* What was proven for this attempt holds for the request when no other
-     attempt may have run.  */
+    r->may_have_run = true;
+  /* The proof for this attempt covers the request only if no other attempt may
+     have run.  */
   r->sent = false;
-  if (!r->may_run)
+  if (!r->may_have_run)
     ran = WY_RAN_NO;
   else if (ran == WY_RAN_NO)
     ran = WY_RAN_UNKNOWN;
-  if (wy_reason_is_local (reason) && may_retry (r))
+  if (wy_reason_is_retryable (reason) && may_retry (r))
     retry (r);
   else
-    wy_request_refused (r, ran, reason, f->retry_after_ms);
+    wy_request_reject (r, ran, reason, f->retry_after_ms);
 }
 
-/* R's run at its target failed or was lost; RAN is what is known of it.  */
+/* R's run failed or was lost: retry R, or reject it.  RAN is what is known of
+   this attempt.  */
 void
 wy_dispatch_failed (struct wy_request *r, enum wy_ran ran,
                     enum wy_entry_reason reason)
 {
   if (ran != WY_RAN_NO)
-    r->may_run = true;
-  if (wy_reason_is_local (reason) && may_retry (r))
+    r->may_have_run = true;
+  if (wy_reason_is_retryable (reason) && may_retry (r))
     retry (r);
   else
-    wy_request_refused (r, ran == WY_RAN_NO ? ran_of (r) : ran, reason,
-                        RETRY_LOST_MS);
+    wy_request_reject (r, ran == WY_RAN_NO ? proven_ran (r) : ran, reason,
+                       RETRY_AFTER_MS);
 }
 
-/* Ask for the rest of R's answer.  */
+/* Ask the target for the remaining bytes of R's response.  */
 void
 wy_dispatch_resume (struct wy_request *r)
 {
@@ -255,20 +261,20 @@
   f.u.resume.id = wy_bytes_of (r->id);
   f.u.resume.run = wy_bytes_of (r->run ? r->run : "");
   f.u.resume.offset_bytes = r->offset_bytes;
-  ++*r->entry->n.resumed;
-  wy_pace_begin (r);
+  ++*r->entry->counters.resumed;
+  wy_token_latency_begin (r);
   wy_peer_send (r->peer, &f);
 }
 
-/* P is connected, anew or for the first time: go on with all its requests.  */
+/* P is connected: submit or resume all its requests.  */
 void
-wy_dispatch_ready (struct wy_peer *p)
+wy_dispatch_connected (struct wy_peer *p)
 {
   for (GList *l = p->requests.head; l; l = l->next)
     {
       struct wy_request *r = l->data;
 
-      r->away_ms = 0;
+      r->disconnected_since_ms = 0;
       if (r->sent)
         wy_dispatch_resume (r);
       else
@@ -276,9 +282,9 @@
     }
 }
 
-/* The connection of P is gone.  Its requests wait for the next one.  */
+/* The connection to P is closed.  Its requests wait for a new one.  */
 void
-wy_dispatch_away (struct wy_peer *p)
+wy_dispatch_disconnected (struct wy_peer *p)
 {
   int64_t now_ms = wy_clock_mono_ms (p->entry->clock);
 
@@ -286,12 +292,14 @@
     {
       struct wy_request *r = l->data;
 
-      if (r->away_ms == 0)
-        r->away_ms = now_ms;
+      if (r->disconnected_since_ms == 0)
+        r->disconnected_since_ms = now_ms;
     }
 }
 
-/* Tell the target of R, if it ever got R, that nobody wants the answer.  */
+/* Cancel R at its target, if R was submitted.  While the target is
+   disconnected the cancellation is stored and sent once it is connected
+   again.  */
 void
 wy_dispatch_cancel (struct wy_request *r)
 {
@@ -302,23 +310,24 @@
   f.u.resume.id = wy_bytes_of (r->id);
   f.u.resume.run = wy_bytes_of (r->run ? r->run : "");
   if (wy_peer_send (r->peer, &f))
-    g_queue_push_tail (&r->peer->cancels, g_strdup (r->id));
+    g_queue_push_tail (&r->peer->pending_cancels, g_strdup (r->id));
 }
 
 static void
-lose (struct wy_request *r)
+fail_disconnected (struct wy_request *r)
 {
-  enum wy_ran ran = ran_of (r);
+  enum wy_ran ran = proven_ran (r);
 
-  wy_pool_ended (r, WY_OUTCOME_FAILED);
+  wy_pool_request_ended (r, WY_OUTCOME_FAILED);
   if (!r->non_idempotent)
     wy_dispatch_cancel (r);
   wy_dispatch_failed (
       r, ran, r->non_idempotent ? WY_REASON_HOME_AWAY : WY_REASON_LOST);
 }
 
-/* Look whether R has waited too long, for its target or at all.  The deadline
-   of a stream is that of its beginning.  */
+/* End R when it is cancelled, when its target has been disconnected for too
+   long, or when its deadline has passed.  The deadline of a streamed response
+   covers only its start.  */
 void
 wy_dispatch_sweep (struct wy_request *r, int64_t now_ms)
 {
@@ -326,21 +335,21 @@
 
   if (r->cancelled)
     {
-      /* Once more: it may have been sent since it was cancelled.  */
+      /* Again, since R may have been submitted after the cancellation.  */
       wy_dispatch_cancel (r);
-      wy_request_refused (r, ran_of (r), WY_REASON_CANCELLED, 0);
+      wy_request_reject (r, proven_ran (r), WY_REASON_CANCELLED, 0);
       return;
     }
-  if (r->away_ms
-      && (now_ms - r->away_ms > e->s->resume_limit_ms
-          || (r->peer && r->peer->failures >= DIALS_MAX)))
+  if (r->disconnected_since_ms
+      && (now_ms - r->disconnected_since_ms > e->s->resume_limit_ms
+          || (r->peer && r->peer->failed_dials >= FAILED_DIALS_MAX)))
     {
-      lose (r);
+      fail_disconnected (r);
       return;
     }
-  if (r->begun || now_ms < r->deadline_mono_ms)
+  if (r->response_begun || now_ms < r->deadline_mono_ms)
     return;
   if (!r->non_idempotent)
     wy_dispatch_cancel (r);
-  wy_request_refused (r, ran_of (r), WY_REASON_DEADLINE, RETRY_LOST_MS);
+  wy_request_reject (r, proven_ran (r), WY_REASON_DEADLINE, RETRY_AFTER_MS);
 }
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -1,4 +1,4 @@
-/* An entry: construction, the sweep over what waits, and the stop.  */
+/* Lifecycle of an entry: start, periodic checks, graceful stop.  */
 #include "entry/entry.h"
 
 #include <stdlib.h>
@@ -7,8 +7,8 @@
 #include "entry/acks.h"
 #include "entry/counters.h"
 #include "entry/dispatch.h"
-#include "entry/issue_times.h"
 #include "entry/instance_list.h"
+#include "entry/issue_times.h"
 #include "entry/orderer.h"
 #include "entry/outcomes.h"
 #include "entry/peers.h"
@@ -23,10 +23,11 @@
 
 enum
 {
-  /* How late a deadline, a redial or the end of a stop may be noticed.  */
+  /* Period of the checks of deadlines, redials and the end of a stop.  */
   SWEEP_MS = 20,
-  /* Unsent bytes held for one target before its connection is cut: some
-     seconds of requests; what is cut off is sent again on the next.  */
+  /* Unsent bytes for one target beyond which its connection is closed: some
+     seconds of requests.  What was lost is sent again on the next
+     connection.  */
   SEND_LIMIT_BYTES = 16 << 20,
   PORT_MAX = 65535
 };
@@ -97,8 +98,8 @@
 {
   GList *next;
 
-  /* What one request's end brings about takes no other out of progress, see
-     wy_runner's cancel.  */
+  /* The end of one request never removes another one from the list, see cancel
+     in runner.c.  */
   for (GList *l = e->open.head; l; l = next)
     {
       next = l->next;
@@ -117,13 +118,13 @@
     wy_peer_sweep (value, now_ms);
 }
 
-/* Tell once that E is ready, if it is.  */
+/* Log, the first time, that E is ready.  */
 void
-wy_entry_tell_ready (struct wy_entry *e)
+wy_entry_announce_ready (struct wy_entry *e)
 {
-  if (e->ready_told || !wy_entry_ready (e))
+  if (e->ready_announced || !wy_entry_ready (e))
     return;
-  e->ready_told = true;
+  e->ready_announced = true;
   wy_trace_event (e->trace, "process.ready", NULL);
   wy_log (WY_LOG_INFO, "ready", "port=%u", wy_entry_port (e));
 }
@@ -133,16 +134,16 @@
 {
   e->stopped = true;
   wy_acks_flush (e, NULL);
-  e->cut = wy_http_server_active_requests (e->http);
-  uv_timer_stop (&e->sweep);
-  wy_members_stop (e);
-  e->on_stopped (e->stopped_ctx, e->cut);
+  e->requests_cut = wy_http_server_active_requests (e->http);
+  uv_timer_stop (&e->sweep_timer);
+  wy_instance_list_stop (e);
+  e->on_stopped (e->stopped_ctx, e->requests_cut);
 }
 
 static bool
 is_done (const struct wy_entry *e)
 {
-  return e->open.length == 0 && e->starts.length == 0
+  return e->open.length == 0 && e->pending_starts.length == 0
          && wy_http_server_active_requests (e->http) == 0
          && !(e->hooks.is_busy && e->hooks.is_busy (e->hooks.ctx));
 }
@@ -160,10 +161,10 @@
   wy_acks_sweep (e, now_ms);
   if (e->suspect_rows)
     wy_suspect_rows_sweep (e->suspect_rows, now_ms);
-  if (e->issue_rows)
-    wy_issue_rows_sweep (e->issue_rows);
-  wy_entry_tell_ready (e);
-  if (e->stopping && (now_ms >= e->stop_limit_ms || is_done (e)))
+  if (e->issue_times)
+    wy_issue_times_sweep (e->issue_times);
+  wy_entry_announce_ready (e);
+  if (e->stopping && (now_ms >= e->stop_deadline_ms || is_done (e)))
     finish_stop (e);
 }
 
@@ -200,7 +201,7 @@
 }
 
 static void
-make_tables (struct wy_entry *e)
+init_tables (struct wy_entry *e)
 {
   e->peers
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, wy_peer_free);
@@ -212,12 +213,12 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, wy_order_free);
   e->outcomes = wy_outcomes_new ();
   g_queue_init (&e->open);
-  g_queue_init (&e->starts);
-  g_queue_init (&e->late_acks);
+  g_queue_init (&e->pending_starts);
+  g_queue_init (&e->deferred_acks);
 }
 
-/* Start an entry as O says and store it in OUT.  It reads the instance list
-   from then on, and serves what it can.  */
+/* Create an entry with options O and store it in OUT.  It reads the instance
+   list and serves requests from then on.  Returns 0 or a wy_entry_error.  */
 int
 wy_entry_new (struct wy_entry **out, const struct wy_entry_options *o)
 {
@@ -242,53 +243,53 @@
       g_free (e);
       return err;
     }
-  make_tables (e);
-  wy_entry_counters_make (e);
+  init_tables (e);
+  wy_entry_counters_init (e);
   wy_rng_seed (&e->rng, wy_hash64 (e->identity.incarnation,
                                    strlen (e->identity.incarnation), 0));
   wy_retry_init (&e->budget, &retry);
   wy_suspects_init (&e->suspects);
   e->client = wy_http_client_new (e->loop, (uint32_t)e->s->list_poll_ms);
-  uv_timer_init (e->loop, &e->starter);
-  e->starter.data = e;
-  uv_timer_init (e->loop, &e->sweep);
-  e->sweep.data = e;
-  uv_timer_start (&e->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
+  uv_timer_init (e->loop, &e->start_timer);
+  e->start_timer.data = e;
+  uv_timer_init (e->loop, &e->sweep_timer);
+  e->sweep_timer.data = e;
+  uv_timer_start (&e->sweep_timer, on_sweep, SWEEP_MS, SWEEP_MS);
   if (e->store)
     {
       e->suspect_rows = wy_suspect_rows_new (e);
-      e->issue_rows = wy_issue_rows_new (e);
+      e->issue_times = wy_issue_times_new (e);
     }
-  wy_members_start (e);
+  wy_instance_list_start (e);
   *out = e;
   return 0;
 }
 
-/* Serve the parts of H as well.  */
+/* Let E serve the routes of H too.  */
 void
 wy_entry_set_hooks (struct wy_entry *e, const struct wy_entry_hooks *h)
 {
   e->hooks = *h;
 }
 
-/* The port that callers use.  */
+/* The HTTP port in use.  */
 uint16_t
 wy_entry_port (const struct wy_entry *e)
 {
   return wy_http_server_port (e->http);
 }
 
-/* D is the configuration in force from now on; it stays valid until the
-   next.  */
+/* D is the configuration in force from now on; it must stay valid until the
+   next call.  */
 void
 wy_entry_configure (struct wy_entry *e, const struct wy_document *d)
 {
   e->document = d;
 }
 
-/* Stop gracefully: take no new connections, finish what is in progress, and
-   call ON_STOPPED with the number of requests that were cut off all the
-   same.  */
+/* Stop gracefully: accept no new connections, finish the requests in progress,
+   and call ON_STOPPED with the number of requests that were cut off at the
+   drain deadline.  */
 void
 wy_entry_stop (struct wy_entry *e,
                void (*on_stopped) (void *ctx, uint32_t cut), void *ctx)
@@ -298,7 +299,7 @@
   e->stopping = true;
   e->on_stopped = on_stopped;
   e->stopped_ctx = ctx;
-  e->stop_limit_ms = wy_clock_mono_ms (e->clock) + e->s->drain_deadline_ms;
+  e->stop_deadline_ms = wy_clock_mono_ms (e->clock) + e->s->drain_deadline_ms;
   wy_trace_event (e->trace, "process.drain", NULL);
   wy_http_server_stop_accepting (e->http);
   wy_acks_flush (e, NULL);
@@ -306,12 +307,12 @@
     e->hooks.stop (e->hooks.ctx);
 }
 
-/* End a stop now, whatever is in progress.  */
+/* End a stop immediately, even with requests in progress.  */
 void
 wy_entry_stop_now (struct wy_entry *e)
 {
   if (e->stopping && !e->stopped)
-    e->stop_limit_ms = 0;
+    e->stop_deadline_ms = 0;
 }
 
 static void
@@ -322,11 +323,11 @@
 
   g_hash_table_iter_init (&i, e->peers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    wy_peer_unwant (value);
+    wy_peer_disconnect (value);
 }
 
-/* Begin to free E, which is stopped: close its connections.  The loop has to
-   run out before wy_entry_free.  */
+/* Close the connections of E, which is stopped.  The loop has to run until it
+   is empty before wy_entry_free.  */
 void
 wy_entry_close (struct wy_entry *e)
 {
@@ -334,12 +335,12 @@
   e->suspect_rows = NULL;
   close_peers (e);
   wy_http_server_free (e->http);
-  uv_close ((uv_handle_t *)&e->starter, NULL);
-  uv_close ((uv_handle_t *)&e->sweep, NULL);
+  uv_close ((uv_handle_t *)&e->start_timer, NULL);
+  uv_close ((uv_handle_t *)&e->sweep_timer, NULL);
   uv_close ((uv_handle_t *)&e->list_timer, NULL);
 }
 
-/* Free E after its loop has run out.  */
+/* Free E once its loop is empty.  */
 void
 wy_entry_free (struct wy_entry *e)
 {
@@ -347,11 +348,11 @@
 
   while ((r = g_queue_peek_head (&e->open)))
     {
-      wy_request_leave_peer (r);
+      wy_request_detach_peer (r);
       g_queue_unlink (&e->open, &r->open_link);
       wy_request_free (r);
     }
-  wy_issue_rows_free (e->issue_rows);
+  wy_issue_times_free (e->issue_times);
   wy_outcomes_free (e->outcomes);
   g_hash_table_destroy (e->requests);
   g_hash_table_destroy (e->orders);
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,5 +1,5 @@
-/* An entry: callers', trainers' and operators' HTTP, and the connections to
-   the targets.  */
+/* An entry: serves HTTP for callers, trainers and operators, and is connected
+   to the agents of the targets.  */
 #ifndef WY_ENTRY_ENTRY_H
 #define WY_ENTRY_ENTRY_H
 
@@ -24,26 +24,26 @@
   WY_ENTRY_EKEY = -802,     /* not NUMBER:SECRET */
   WY_ENTRY_ELISTEN = -803,
   WY_ENTRY_ENOTARGET = -804, /* no connection to the target */
-  WY_ENTRY_ELOST = -805,     /* no answer to an order */
+  WY_ENTRY_ELOST = -805,     /* no result of an order */
   WY_ENTRY_ETOKEN = -806,    /* two roles share a token */
-  WY_ENTRY_EANSWER = -807    /* a target answered nonsense */
+  WY_ENTRY_ERESPONSE = -807  /* malformed response of a target */
 };
 
 struct wy_entry;
 
-/* Parts of other packages that an entry serves but knows nothing of.  Any
-   may be NULL.  */
+/* Routes and state of other modules that an entry serves without depending on
+   them.  Each may be NULL.  */
 struct wy_entry_hooks
 {
-  /* Handle EX if it is theirs; true when it was.  */
+  /* Handles EX; returns false when it has no such route.  */
   bool (*yard_http) (void *ctx, struct wy_http_exchange *ex);
   bool (*config_http) (void *ctx, struct wy_http_exchange *ex);
-  /* Add what they have to STATUS, an object.  */
+  /* Adds its members to STATUS, a JSON object.  */
   void (*status) (void *ctx, json_t *status);
-  /* The entry begins to stop.  */
+  /* Called when the entry begins to stop.  */
   void (*stop) (void *ctx);
-  /* Whether something of theirs, such as giving back a lease, must still end
-     before the process does.  */
+  /* Whether work remains, such as releasing a lease, that must end before the
+     process does.  */
   bool (*is_busy) (void *ctx);
   void *ctx;
 };
--- a/src/entry/home.h
+++ b/src/entry/home.h
@@ -1,4 +1,4 @@
-/* The one target that may run a non-idempotent request.  */
+/* Home of a non-idempotent request: the one target that may run it.  */
 #ifndef WY_ENTRY_HOME_H
 #define WY_ENTRY_HOME_H
 
@@ -8,6 +8,6 @@
                         const char *id, int64_t issued_ms);
 const char *wy_home_previous (struct wy_entry *e, const char *service,
                               const char *id);
-void wy_home_draw (struct wy_request *r);
+void wy_home_draw_id (struct wy_request *r);
 
 #endif
--- a/src/entry/instance_list.c
+++ b/src/entry/instance_list.c
@@ -1,9 +1,10 @@
-/* The targets there are, by the instance list.
+/* Targets from the instance list.
 
-   The list lags and has outages.  What it says is taken as a hint: a target
-   that tells itself that it is leaving counts as leaving before the list
-   says so; one that the list no longer names is closed to new work and let
-   go once its requests have ended; without a list the last one holds.  */
+   The list lags and has outages, so it is only a hint.  A target that itself
+   reports that it is leaving counts as leaving before the list shows it.  A
+   target that is no longer listed gets no new work and is removed once its
+   requests have ended.  While the list is unavailable the last one stays in
+   use.  */
 #include "entry/instance_list.h"
 
 #include <string.h>
@@ -18,9 +19,9 @@
 {
   STATUS_OK = 200,
   STATUS_NOT_MODIFIED = 304,
-  /* Bytes of the list that an entry may read a second, on average.  A node
-     has 4 KB/s for all of control, and the list of thousands of instances is
-     half a megabyte; what is urgent in it the targets say themselves.  */
+  /* Bytes of the list that an entry may read per second on average.  A node
+     has 4 KB/s for all control traffic, and a list of thousands of instances
+     has half a megabyte.  Targets report urgent changes themselves.  */
   LIST_BYTES_PER_S = 1000,
   PORT_MAX = 65535
 };
@@ -34,26 +35,26 @@
 }
 
 static bool
-moved (const struct wy_peer *p, const char *host, json_int_t port)
+has_moved (const struct wy_peer *p, const char *host, json_int_t port)
 {
   return strcmp (p->host, host) != 0 || p->port != port;
 }
 
-/* The target of P listens elsewhere now: a new instance of it.  */
+/* P has a new address: a new instance of the target.  */
 static void
-move (struct wy_peer *p, const char *host, uint16_t port)
+move_peer (struct wy_peer *p, const char *host, uint16_t port)
 {
   g_free (p->host);
   p->host = g_strdup (host);
   p->port = port;
-  p->failures = 0;
-  p->redial_ms = 0;
+  p->failed_dials = 0;
+  p->next_dial_ms = 0;
   if (p->conn)
     wy_conn_close (p->conn);
 }
 
 static void
-take_instance (struct wy_entry *e, const json_t *j)
+apply_instance (struct wy_entry *e, const json_t *j)
 {
   const char *id = text_of (j, "id");
   const char *host = text_of (j, "host");
@@ -71,11 +72,11 @@
     {
       p = wy_peer_new (e, id, host, (uint16_t)port,
                        text_of (j, "availability_zone"),
-                       wy_pool_make (e, serves, is_model));
+                       wy_pool_get_or_create (e, serves, is_model));
       g_hash_table_insert (e->peers, p->id, p);
     }
-  else if (moved (p, host, port))
-    move (p, host, (uint16_t)port);
+  else if (has_moved (p, host, port))
+    move_peer (p, host, (uint16_t)port);
   p->listed = true;
   p->list_leaving = !strcmp (text_of (j, "state"), "leaving");
 }
@@ -103,28 +104,29 @@
   g_free (items);
 }
 
-/* Close what the list no longer names, and forget it once it is idle.  */
+/* Stop giving work to targets that are no longer listed, and remove them once
+   they are idle.  */
 static void
-drop_unlisted (struct wy_entry *e, const GPtrArray *peers)
+remove_unlisted (struct wy_entry *e, const GPtrArray *peers)
 {
   for (guint i = 0; i < peers->len; i++)
     {
       struct wy_peer *p = peers->pdata[i];
 
-      wy_peer_set_leaving (p,
-                           !p->listed || p->list_leaving || p->told_leaving);
+      wy_peer_set_leaving (p, !p->listed || p->list_leaving
+                                  || p->reported_leaving);
       if (p->listed || p->requests.length > 0)
         continue;
-      if (p->wanted)
-        wy_peer_unwant (p);
+      if (p->keep_connected)
+        wy_peer_disconnect (p);
       else if (!p->conn)
         g_hash_table_remove (e->peers, p->id);
     }
 }
 
-/* Take in LIST, an answer of the instance list.  */
+/* Apply LIST, a response of the instance list.  */
 void
-wy_members_take (struct wy_entry *e, const json_t *list)
+wy_instance_list_apply (struct wy_entry *e, const json_t *list)
 {
   const json_t *instances = json_object_get (list, "instances");
   json_int_t as_of = json_integer_value (json_object_get (list, "as_of_ms"));
@@ -132,37 +134,37 @@
   GHashTableIter i;
   gpointer value;
 
-  /* An answer that took long must not undo a later one.  */
+  /* A delayed response must not override a later one.  */
   if (!json_is_array (instances) || as_of < e->list_as_of_ms)
     return;
   e->list_as_of_ms = as_of;
   e->list_known = true;
-  e->list_ms = wy_clock_mono_ms (e->clock);
+  e->list_received_ms = wy_clock_mono_ms (e->clock);
   g_hash_table_iter_init (&i, e->peers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     ((struct wy_peer *)value)->listed = false;
   e->entries_listed = 0;
   for (size_t k = 0; k < json_array_size (instances); k++)
-    take_instance (e, json_array_get (instances, k));
+    apply_instance (e, json_array_get (instances, k));
   if (e->store)
     wy_store_set_pollers (e->store, e->entries_listed);
   peers = wy_peers_all (e);
   g_hash_table_iter_init (&i, e->pools);
   while (g_hash_table_iter_next (&i, NULL, &value))
     choose_subset (e, value, peers);
-  drop_unlisted (e, peers);
+  remove_unlisted (e, peers);
   g_ptr_array_unref (peers);
 }
 
 static void
-read_again (struct wy_entry *e, size_t size_bytes)
+schedule_read (struct wy_entry *e, size_t size_bytes)
 {
   uint64_t wait_ms = (uint64_t)size_bytes * WY_MS_PER_S / LIST_BYTES_PER_S;
   uint32_t half = (uint32_t)e->s->list_poll_ms / 2;
 
   if (wait_ms > 2 * (uint64_t)half)
     half = (uint32_t)(wait_ms / 2);
-  /* With jitter, so that the entries don't ask in step.  */
+  /* With jitter, so that the entries don't poll at the same time.  */
   uv_timer_start (&e->list_timer, e->list_timer.timer_cb,
                   half + wy_rng_below (&e->rng, 2 * half + 1), 0);
 }
@@ -187,22 +189,22 @@
     j = json_loadb (a->body, a->size_bytes, 0, NULL);
   if (j)
     {
-      wy_members_take (e, j);
+      wy_instance_list_apply (e, j);
       keep_etag (e, a->etag);
     }
   else if (same)
-    e->list_ms = wy_clock_mono_ms (e->clock);
+    e->list_received_ms = wy_clock_mono_ms (e->clock);
   failed = !j && !same;
   if (failed)
-    ++*e->n.list_failed;
-  /* Told when it changes, not at each read of a long outage.  */
+    ++*e->counters.list_failed;
+  /* Logged only on changes, not at each failed read of a long outage.  */
   if (failed != e->list_failing)
     wy_log (WY_LOG_WARN, failed ? "list.failed" : "list.back",
             "err=%d status=%d", a->err, a->status);
   e->list_failing = failed;
   json_decref (j);
   if (!e->stopped)
-    read_again (e, failed ? 0 : a->size_bytes);
+    schedule_read (e, failed ? 0 : a->size_bytes);
 }
 
 static void
@@ -222,18 +224,18 @@
   e->list_call = wy_http_fetch (e->client, &o, on_list, e);
 }
 
-/* Begin to read the list of E.  */
+/* Start polling the instance list.  */
 void
-wy_members_start (struct wy_entry *e)
+wy_instance_list_start (struct wy_entry *e)
 {
   uv_timer_init (e->loop, &e->list_timer);
   e->list_timer.data = e;
   uv_timer_start (&e->list_timer, on_timer, 0, 0);
 }
 
-/* Read the list no more.  */
+/* Stop polling the instance list.  */
 void
-wy_members_stop (struct wy_entry *e)
+wy_instance_list_stop (struct wy_entry *e)
 {
   uv_timer_stop (&e->list_timer);
   if (e->list_call)
--- a/src/entry/instance_list.h
+++ b/src/entry/instance_list.h
@@ -1,4 +1,4 @@
-/* The targets there are, by the instance list.  */
+/* Targets from the instance list.  */
 #ifndef WY_ENTRY_INSTANCE_LIST_H
 #define WY_ENTRY_INSTANCE_LIST_H
 
@@ -6,8 +6,8 @@
 
 #include "entry/state.h"
 
-void wy_members_start (struct wy_entry *e);
-void wy_members_stop (struct wy_entry *e);
-void wy_members_take (struct wy_entry *e, const json_t *list);
+void wy_instance_list_start (struct wy_entry *e);
+void wy_instance_list_stop (struct wy_entry *e);
+void wy_instance_list_apply (struct wy_entry *e, const json_t *list);
 
 #endif
--- a/src/entry/issue_times.c
+++ b/src/entry/issue_times.c
@@ -1,21 +1,22 @@
-/* Issue times of keys that tell none.
-
-   At most once rests on the issue time of a key: a target that was restarted
-   shuts out what was issued before its start, since an earlier incarnation
-   may have run it.  A key that carries no time, such as "filing-17", can't be
-   told from one that ran before, and would be answered `unknown' for the
-   length of the cold window after each start of its target.
-
-   While the table service is up, the first entry to see such a key writes a
-   row that gives it an issue time; a resend through any entry finds that row
-   and so the same time.  While the service is down or slow the key goes on
-   without one, and the cold window holds; filings go on either way.
-
-   A key that ran during an outage has no row.  Met after it, it must not look
-   new: until such keys are no longer sent again, a new row is dated before
-   the outage, so that only a target that has been up all the time, and
-   remembers, takes it.  The last outage is kept in a row too, for entries
-   that start later.  */
+/* Issue times for idempotency keys that don't encode one.
+
+   At-most-once execution relies on the issue time of a key: a restarted target
+   rejects requests issued before its start, since an earlier incarnation may
+   have run them.  For a key without a time, such as "filing-17", it can't tell
+   whether an earlier incarnation ran it, and would respond `unknown' for the
+   full cold window after each start.
+
+   While the table service is up, the first entry that receives such a key
+   writes a row with an issue time.  Retries through any entry find that row
+   and use the same time.  While the service is down or slow the request is
+   sent on without a time and the cold window applies; requests are served
+   either way.
+
+   A key that ran during an outage has no row, and after the outage it must not
+   look new.  Therefore, as long as such keys may still be retried, new rows
+   are dated before the outage, so that only a target that has been up all the
+   time, and has a complete record, accepts them.  The last outage is stored in
+   a row as well, for entries that start later.  */
 #include "entry/issue_times.h"
 
 #include <string.h>
@@ -30,54 +31,56 @@
 
 enum
 {
-  /* A caller must not wait for a slow store: beyond this the key goes without
-     a time.  */
-  BUDGET_MS = 300,
-  /* The window in which callers send again, as the targets' cold window.  */
+  /* Limit for writing the row, so that a slow store doesn't delay callers;
+     after it the key goes without a time.  */
+  STORE_BUDGET_MS = 300,
+  /* Time within which callers retry, equal to the cold window of the
+     targets.  */
   WINDOW_MS = 15 * 60 * WY_MS_PER_S,
-  /* Rows are of use within the window only, and deleted after it.  */
+  /* Rows matter only within the window; they are deleted after twice that
+     time.  */
   KEEP_MS = 2 * WINDOW_MS,
-  /* Clocks of instances differ by up to this.  */
+  /* Greatest clock difference between instances.  */
   SKEW_MS = 500
 };
 
-struct written
+struct written_row
 {
   char *key;
-  int64_t at_ms; /* wall time */
+  int64_t at_ms; /* wall clock */
 };
 
-struct wy_issue_rows
+struct wy_issue_times
 {
   struct wy_entry *entry;
-  GQueue written; /* struct written, oldest first */
-  /* The last outage, by the wall clock; 0: none is known.  */
+  GQueue written; /* struct written_row, oldest first */
+  /* The last outage, wall clock; 0: none is known.  */
   int64_t outage_from_ms;
   int64_t outage_to_ms;
-  int64_t down_since_ms; /* of the one that lasts; 0: none does */
-  bool outage_known;     /* the row has been read */
+  int64_t down_since_ms; /* start of the current outage; 0: none */
+  bool outage_known;     /* the row of the last outage has been read */
   bool reading;
 };
 
-struct ask
+struct issue_lookup
 {
-  struct wy_issue_rows *rows;
+  struct wy_issue_times *rows;
   char *id;
   char *key;
   int64_t issued_ms;
 };
 
 static int64_t
-wall_ms (const struct wy_issue_rows *s)
+wall_ms (const struct wy_issue_times *s)
 {
   return wy_clock_wall_ms (s->entry->clock);
 }
 
-/* Rows of E's keys.  */
-struct wy_issue_rows *
-wy_issue_rows_new (struct wy_entry *e)
+/* Create the issue times of E's keys.  */
+struct wy_issue_times *
+wy_issue_times_new (struct wy_entry *e)
 {
-  struct wy_issue_rows *s = g_new0 (struct wy_issue_rows, 1);
+  struct wy_issue_times *s = g_new0 (struct wy_issue_times, 1);
 
   s->entry = e;
   g_queue_init (&s->written);
@@ -87,15 +90,15 @@
 static void
 written_free (gpointer p)
 {
-  struct written *w = p;
+  struct written_row *w = p;
 
   g_free (w->key);
   g_free (w);
 }
 
-/* Free S, after the store.  */
+/* Free S; the store must be freed before.  */
 void
-wy_issue_rows_free (struct wy_issue_rows *s)
+wy_issue_times_free (struct wy_issue_times *s)
 {
   if (!s)
     return;
@@ -104,14 +107,14 @@
 }
 
 static void
-on_nothing (void *ctx, const struct wy_store_result *r)
+ignore_result (void *ctx, const struct wy_store_result *r)
 {
 }
 
 static void
 on_outage_row (void *ctx, const struct wy_store_result *r)
 {
-  struct wy_issue_rows *s = ctx;
+  struct wy_issue_times *s = ctx;
   const struct wy_store_row *row;
   int64_t from;
   int64_t to;
@@ -133,7 +136,7 @@
 }
 
 static void
-read_outage (struct wy_issue_rows *s)
+read_outage (struct wy_issue_times *s)
 {
   static const char *const keys[] = { OUTAGE_KEY };
   struct wy_store_read r = { .cause = "issue", .keys = keys, .n_keys = 1 };
@@ -143,7 +146,7 @@
 }
 
 static void
-write_outage (struct wy_issue_rows *s)
+write_outage (struct wy_issue_times *s)
 {
   char op[WY_ID_SIZE_BYTES];
   json_t *value
@@ -154,12 +157,12 @@
       = { .cause = "issue", .op = op, .writes = &write, .n_writes = 1 };
 
   wy_id_new (s->entry->clock, op);
-  wy_store_txn (s->entry->store, &t, on_nothing, NULL);
+  wy_store_txn (s->entry->store, &t, ignore_result, NULL);
   json_decref (value);
 }
 
 static void
-watch_outage (struct wy_issue_rows *s)
+watch_outage (struct wy_issue_times *s)
 {
   bool down = wy_store_is_down (s->entry->store);
 
@@ -174,7 +177,7 @@
 }
 
 static void
-delete_row (struct wy_issue_rows *s, const char *key)
+delete_row (struct wy_issue_times *s, const char *key)
 {
   char op[WY_ID_SIZE_BYTES];
   const struct wy_store_write write = { key, NULL };
@@ -182,15 +185,15 @@
       = { .cause = "issue", .op = op, .writes = &write, .n_writes = 1 };
 
   wy_id_new (s->entry->clock, op);
-  wy_store_txn (s->entry->store, &t, on_nothing, NULL);
+  wy_store_txn (s->entry->store, &t, ignore_result, NULL);
 }
 
-/* One row a sweep: as fast as rows can come, and no burst of writes after a
-   long outage.  */
+/* Deletes at most one row per sweep: as fast as rows are written, without a
+   burst of writes after a long outage.  */
 static void
-delete_old (struct wy_issue_rows *s)
+delete_old (struct wy_issue_times *s)
 {
-  struct written *w = g_queue_peek_head (&s->written);
+  struct written_row *w = g_queue_peek_head (&s->written);
 
   if (!w || w->at_ms >= wall_ms (s) - KEEP_MS)
     return;
@@ -199,9 +202,10 @@
   written_free (w);
 }
 
-/* Look for the beginning and end of outages and for rows to delete.  */
+/* Periodic check: detect the start and end of outages, and delete old
+   rows.  */
 void
-wy_issue_rows_sweep (struct wy_issue_rows *s)
+wy_issue_times_sweep (struct wy_issue_times *s)
 {
   watch_outage (s);
   if (s->down_since_ms)
@@ -211,12 +215,11 @@
   delete_old (s);
 }
 
-/* Whether R can be given an issue time: it needs one, and the store is there
-   to keep it.  */
+/* Whether R needs an issue time and the store can record one now.  */
 bool
-wy_issue_rows_wanted (const struct wy_request *r)
+wy_issue_times_should_assign (const struct wy_request *r)
 {
-  const struct wy_issue_rows *s = r->entry->issue_rows;
+  const struct wy_issue_times *s = r->entry->issue_times;
 
   return s && r->non_idempotent && r->key[0] && r->issued_ms == 0
          && s->outage_known && !s->down_since_ms
@@ -224,7 +227,7 @@
 }
 
 static void
-ask_free (struct ask *a)
+lookup_free (struct issue_lookup *a)
 {
   g_free (a->id);
   g_free (a->key);
@@ -232,9 +235,9 @@
 }
 
 static void
-note_written (struct wy_issue_rows *s, const char *key)
+remember_written (struct wy_issue_times *s, const char *key)
 {
-  struct written *w = g_new0 (struct written, 1);
+  struct written_row *w = g_new0 (struct written_row, 1);
 
   w->key = g_strdup (key);
   w->at_ms = wall_ms (s);
@@ -244,7 +247,7 @@
 static void
 on_row (void *ctx, const struct wy_store_result *r)
 {
-  struct ask *a = ctx;
+  struct issue_lookup *a = ctx;
   struct wy_entry *e = a->rows->entry;
   struct wy_request *q = g_hash_table_lookup (e->requests, a->id);
   const struct wy_store_row *row = wy_store_find_row (r, a->key);
@@ -253,22 +256,22 @@
   if (!r->err)
     {
       issued = a->issued_ms;
-      note_written (a->rows, a->key);
+      remember_written (a->rows, a->key);
     }
   else if (r->err == WY_STORE_ECONFLICT && row && row->value)
     issued = json_integer_value (json_object_get (row->value, "issued_ms"));
-  if (q && q->issue_ask == a && !e->stopped)
+  if (q && q->issue_lookup == a && !e->stopped)
     {
-      q->issue_ask = NULL;
+      q->issue_lookup = NULL;
       q->issued_ms = issued;
       wy_dispatch (q);
     }
-  ask_free (a);
+  lookup_free (a);
 }
 
-/* The time for a key that is first met now.  */
+/* The issue time for a key received for the first time now.  */
 static int64_t
-time_of_new (const struct wy_issue_rows *s)
+time_for_new_key (const struct wy_issue_times *s)
 {
   int64_t now = wall_ms (s);
 
@@ -277,11 +280,12 @@
   return now;
 }
 
-/* Give R an issue time, or leave it without, and send it on then.  */
+/* Look up or assign the issue time of R, then dispatch R, if need be without
+   one.  */
 void
-wy_issue_rows_ask (struct wy_issue_rows *s, struct wy_request *r)
+wy_issue_times_assign (struct wy_issue_times *s, struct wy_request *r)
 {
-  struct ask *a = g_new0 (struct ask, 1);
+  struct issue_lookup *a = g_new0 (struct issue_lookup, 1);
   char op[WY_ID_SIZE_BYTES];
   struct wy_store_condition condition;
   struct wy_store_write write;
@@ -291,18 +295,18 @@
                             .n_conditions = 1,
                             .writes = &write,
                             .n_writes = 1,
-                            .total_timeout_ms = BUDGET_MS };
+                            .total_timeout_ms = STORE_BUDGET_MS };
 
   a->rows = s;
   a->id = g_strdup (r->id);
   a->key = g_strconcat (PREFIX, r->id, NULL);
-  a->issued_ms = time_of_new (s);
+  a->issued_ms = time_for_new_key (s);
   wy_id_new (s->entry->clock, op);
   condition = (struct wy_store_condition){ a->key, 0 };
   write.key = a->key;
   write.value = json_pack ("{s:I, s:s}", "issued_ms", (json_int_t)a->issued_ms,
                            "op", op);
-  r->issue_ask = a;
+  r->issue_lookup = a;
   wy_store_txn (s->entry->store, &t, on_row, a);
   json_decref (write.value);
 }
--- a/src/entry/orderer.c
+++ b/src/entry/orderer.c
@@ -1,8 +1,8 @@
 /* Orders to the agents.
 
-   An order is sent once.  When its connection is lost or no answer comes, its
-   effect is unknown: the giver reads the version in force from the target's
-   reports and orders again, which the fencing number makes safe.  */
+   An order is sent once.  When its connection fails or no result arrives, its
+   effect is unknown: the orderer reads the version in force from the target's
+   reports and sends a new order, which the fencing token makes safe.  */
 #include "entry/orderer.h"
 
 #include <string.h>
@@ -12,8 +12,8 @@
 
 enum
 {
-  /* Fetching a weight version takes its time at the store's rate.  */
-  ORDER_LIMIT_MS = 60000
+  /* Includes fetching a weight version at the rate of the store.  */
+  ORDER_TIMEOUT_MS = 60000
 };
 
 /* Free ORDER, a struct wy_order.  */
@@ -28,7 +28,7 @@
 }
 
 static void
-finish (struct wy_order *o, int result, int64_t version)
+complete_order (struct wy_order *o, int result, int64_t version)
 {
   g_hash_table_steal (o->entry->orders, o->id);
   if (o->on_done)
@@ -36,8 +36,9 @@
   wy_order_free (o);
 }
 
-/* Send the order R; FINGERPRINT only for WY_ORDER_UNBLOCK.  ON_DONE comes
-   once and may be NULL.  */
+/* Send the order R.  FINGERPRINT is used for WY_ORDER_UNBLOCK only.  ON_DONE,
+   which may be NULL, is called once, with the agent's result or
+   WY_ENTRY_ELOST.  */
 void
 wy_order_send (struct wy_entry *e, const struct wy_order_request *r,
                uint64_t fingerprint,
@@ -54,7 +55,7 @@
   o->target = g_strdup (r->target);
   o->on_done = on_done;
   o->ctx = ctx;
-  o->limit_ms = wy_clock_mono_ms (e->clock) + ORDER_LIMIT_MS;
+  o->expires_ms = wy_clock_mono_ms (e->clock) + ORDER_TIMEOUT_MS;
   g_hash_table_insert (e->orders, o->id, o);
   f.u.order.order = wy_bytes_of (o->id);
   f.u.order.lease = wy_bytes_of (r->lease ? r->lease : "");
@@ -64,26 +65,27 @@
   f.u.order.version = r->version;
   f.u.order.source = wy_bytes_of (r->source ? r->source : "");
   f.u.order.fingerprint = fingerprint;
-  /* The next sweep fails it: never before this function returns.  */
+  /* Failed by the next sweep, so that ON_DONE is never called before this
+     function returns.  */
   if (!p || wy_peer_send (p, &f))
-    o->limit_ms = 0;
+    o->expires_ms = 0;
 }
 
-/* P answered an order.  */
+/* Handle ORDERED from P, the result of an order.  */
 void
-wy_ordered_frame (struct wy_peer *p, const struct wy_frame_ordered *f)
+wy_order_result_frame (struct wy_peer *p, const struct wy_frame_ordered *f)
 {
   char *id = wy_bytes_dup (f->order);
   struct wy_order *o = g_hash_table_lookup (p->entry->orders, id);
 
   g_free (id);
   if (o && !strcmp (o->target, p->id))
-    finish (o, f->result, f->version);
+    complete_order (o, f->result, f->version);
 }
 
 static void
 fail_if (struct wy_entry *e,
-         bool (*lost) (const struct wy_order *o, const void *arg),
+         bool (*matches) (const struct wy_order *o, const void *arg),
          const void *arg)
 {
   GHashTableIter i;
@@ -92,10 +94,10 @@
 
   g_hash_table_iter_init (&i, e->orders);
   while (g_hash_table_iter_next (&i, NULL, &order))
-    if (lost (order, arg))
+    if (matches (order, arg))
       g_ptr_array_add (failed, order);
   for (guint k = 0; k < failed->len; k++)
-    finish (failed->pdata[k], WY_ENTRY_ELOST, 0);
+    complete_order (failed->pdata[k], WY_ENTRY_ELOST, 0);
   g_ptr_array_free (failed, TRUE);
 }
 
@@ -106,36 +108,37 @@
 }
 
 static bool
-is_late (const struct wy_order *o, const void *now_ms)
+is_expired (const struct wy_order *o, const void *now_ms)
 {
-  return *(const int64_t *)now_ms >= o->limit_ms;
+  return *(const int64_t *)now_ms >= o->expires_ms;
 }
 
-/* The connection of P is gone, and with it the answers to its orders.  */
+/* The connection to P is closed: fail the orders that wait for its
+   results.  */
 void
-wy_orders_lost (struct wy_peer *p)
+wy_orders_fail_peer (struct wy_peer *p)
 {
   fail_if (p->entry, is_for, p->id);
 }
 
-/* Give up orders that waited too long.  */
+/* Fail orders whose time limit has passed.  */
 void
 wy_orders_sweep (struct wy_entry *e, int64_t now_ms)
 {
-  fail_if (e, is_late, &now_ms);
+  fail_if (e, is_expired, &now_ms);
 }
 
 static void
-order (void *ctx, const struct wy_order_request *r,
-       void (*on_done) (void *done_ctx, int result, int64_t version),
-       void *done_ctx)
+send_order (void *ctx, const struct wy_order_request *r,
+            void (*on_done) (void *done_ctx, int result, int64_t version),
+            void *done_ctx)
 {
   wy_order_send (ctx, r, 0, on_done, done_ctx);
 }
 
 static size_t
-targets (void *ctx, const char *model, struct wy_target_view *out,
-         size_t limit)
+list_targets (void *ctx, const char *model, struct wy_target_view *out,
+              size_t limit)
 {
   struct wy_entry *e = ctx;
   GHashTableIter i;
@@ -149,9 +152,9 @@
 
       if (strcmp (p->pool->name, model) != 0 || !p->listed)
         continue;
-      /* A rollout reaches all targets of the model, those outside this
-         entry's subset too.  Only the holder of its lease asks.  */
-      wy_peer_want (p);
+      /* A rollout covers all targets of the model, also those outside this
+         entry's subset.  Only the lease holder calls this.  */
+      wy_peer_connect (p);
       out[n++] = (struct wy_target_view){
         .id = p->id,
         .availability_zone = p->availability_zone,
@@ -167,9 +170,12 @@
   return n;
 }
 
-/* How a weight rollout gives orders to the targets of E.  */
+/* The interface through which a weight rollout sends orders to the targets of
+   E.  */
 struct wy_orderer
 wy_entry_orderer (struct wy_entry *e)
 {
-  return (struct wy_orderer){ .order = order, .targets = targets, .ctx = e };
+  return (struct wy_orderer){ .order = send_order,
+                              .targets = list_targets,
+                              .ctx = e };
 }
--- a/src/entry/outcomes.c
+++ b/src/entry/outcomes.c
@@ -1,10 +1,10 @@
-/* What became of a request.
+/* Outcome of a request, queried by its identifier.
 
-   A caller whose answer was lost, or was told `unknown', asks by identifier.
-   The entry tells what it saw itself, and else asks the agents that may have
-   run the request: the homes of a key, or all connected ones for a fresh
-   identifier.  `no' is said only when all that could have run it are sure
-   not to have.  */
+   A caller whose response was lost, or who was told `unknown', can query the
+   outcome later.  The entry returns what it recorded itself, or else asks the
+   agents that may have run the request: the homes of a key, or all connected
+   agents for a fresh identifier.  `no' is returned only when every target that
+   could have run the request proves that it did not.  */
 #include "entry/outcomes.h"
 
 #include <stdlib.h>
@@ -19,10 +19,11 @@
 
 enum
 {
-  /* Outcomes kept: about a minute of a busy entry, at 150 bytes each.  */
-  KEPT_MAX = 4096,
-  /* Agents answer at once; one that has not by then is away.  */
-  ASK_LIMIT_MS = 1000
+  /* Recorded outcomes: about a minute's worth for a busy entry, 150 bytes
+     each.  */
+  RECORDED_MAX = 4096,
+  /* Agents respond immediately; one that has not by then is unreachable.  */
+  QUERY_TIMEOUT_MS = 1000
 };
 
 struct outcome
@@ -34,22 +35,22 @@
   enum wy_ran ran;
 };
 
-struct question
+struct outcome_query
 {
   char *id;
   struct wy_http_exchange *ex;
   struct wy_entry *entry;
   uint32_t waiting;
-  bool all_asked; /* every agent that could have run it */
+  bool all_asked; /* every agent that could have run it was asked */
   bool all_no;
-  int64_t limit_ms;
+  int64_t expires_ms;
 };
 
 struct wy_outcomes
 {
   GHashTable *by_id; /* struct outcome */
   GQueue order;      /* the same, oldest first */
-  GQueue questions;  /* struct question */
+  GQueue queries;    /* struct outcome_query */
 };
 
 static void
@@ -61,7 +62,7 @@
   g_free (o);
 }
 
-/* An empty store of outcomes.  */
+/* Create an empty record of outcomes.  */
 struct wy_outcomes *
 wy_outcomes_new (void)
 {
@@ -69,28 +70,28 @@
 
   o->by_id = g_hash_table_new (g_str_hash, g_str_equal);
   g_queue_init (&o->order);
-  g_queue_init (&o->questions);
+  g_queue_init (&o->queries);
   return o;
 }
 
 static void
-question_free (struct question *q)
+query_free (struct outcome_query *q)
 {
   g_free (q->id);
   g_free (q);
 }
 
-/* Free O; open questions get no answer.  */
+/* Free O; open queries get no response.  */
 void
 wy_outcomes_free (struct wy_outcomes *o)
 {
   struct outcome *x;
-  struct question *q;
+  struct outcome_query *q;
 
-  while ((q = g_queue_pop_head (&o->questions)))
+  while ((q = g_queue_pop_head (&o->queries)))
     {
       wy_http_on_abort (q->ex, NULL, NULL);
-      question_free (q);
+      query_free (q);
     }
   g_hash_table_destroy (o->by_id);
   while ((x = g_queue_pop_head (&o->order)))
@@ -98,10 +99,10 @@
   g_free (o);
 }
 
-/* Keep in mind how R ended: STATE, a literal, and RAN.  */
+/* Record how R ended: STATE, a string literal, and RAN.  */
 void
-wy_outcome_note (const struct wy_request *r, enum wy_ran ran,
-                 const char *state)
+wy_outcome_record (const struct wy_request *r, enum wy_ran ran,
+                   const char *state)
 {
   struct wy_outcomes *o = r->entry->outcomes;
   struct outcome *x = g_malloc0 (sizeof *x);
@@ -121,7 +122,7 @@
     }
   g_hash_table_insert (o->by_id, x->id, x);
   g_queue_push_tail (&o->order, x);
-  if (o->order.length <= KEPT_MAX)
+  if (o->order.length <= RECORDED_MAX)
     return;
   old = g_queue_pop_head (&o->order);
   g_hash_table_remove (o->by_id, old->id);
@@ -129,8 +130,8 @@
 }
 
 static void
-tell (struct wy_http_exchange *ex, const char *id, const char *state,
-      enum wy_ran ran, const char *run, const char *target)
+respond (struct wy_http_exchange *ex, const char *id, const char *state,
+         enum wy_ran ran, const char *run, const char *target)
 {
   json_t *j = json_pack ("{s:s, s:s, s:s}", "request", id, "state", state,
                          "ran", wy_ran_name (ran));
@@ -147,31 +148,31 @@
 }
 
 static void
-answer (struct question *q, const char *state, enum wy_ran ran,
-        const char *run, const char *target)
+finish_query (struct outcome_query *q, const char *state, enum wy_ran ran,
+              const char *run, const char *target)
 {
-  g_queue_remove (&q->entry->outcomes->questions, q);
+  g_queue_remove (&q->entry->outcomes->queries, q);
   wy_http_on_abort (q->ex, NULL, NULL);
-  tell (q->ex, q->id, state, ran, run, target);
-  question_free (q);
+  respond (q->ex, q->id, state, ran, run, target);
+  query_free (q);
 }
 
 static void
 on_abort (struct wy_http_exchange *ex, void *ctx)
 {
-  struct question *q = ctx;
+  struct outcome_query *q = ctx;
 
-  g_queue_remove (&q->entry->outcomes->questions, q);
-  question_free (q);
+  g_queue_remove (&q->entry->outcomes->queries, q);
+  query_free (q);
 }
 
 static void
-conclude (struct question *q)
+conclude (struct outcome_query *q)
 {
   if (q->all_asked && q->all_no)
-    answer (q, "not_run", WY_RAN_NO, NULL, NULL);
+    finish_query (q, "not_run", WY_RAN_NO, NULL, NULL);
   else
-    answer (q, "unknown", WY_RAN_UNKNOWN, NULL, NULL);
+    finish_query (q, "unknown", WY_RAN_UNKNOWN, NULL, NULL);
 }
 
 static const char *
@@ -194,14 +195,15 @@
 }
 
 static void
-took (struct question *q, struct wy_peer *p, const struct wy_frame_end *f)
+handle_reply (struct outcome_query *q, struct wy_peer *p,
+              const struct wy_frame_end *f)
 {
   char *run;
 
   if (f->ran == WY_RAN_YES || f->run.n > 0)
     {
       run = wy_bytes_dup (f->run);
-      answer (q, state_of (f), f->ran, run, p->id);
+      finish_query (q, state_of (f), f->ran, run, p->id);
       g_free (run);
       return;
     }
@@ -210,24 +212,24 @@
     conclude (q);
 }
 
-/* P told the outcome of a request as it knows it.  */
+/* Handle OUTCOME from P, the outcome of a request as P knows it.  */
 void
 wy_outcome_frame (struct wy_peer *p, const struct wy_frame_end *f)
 {
   GList *next;
 
-  for (GList *l = p->entry->outcomes->questions.head; l; l = next)
+  for (GList *l = p->entry->outcomes->queries.head; l; l = next)
     {
-      struct question *q = l->data;
+      struct outcome_query *q = l->data;
 
       next = l->next;
       if (wy_bytes_equal (f->id, q->id))
-        took (q, p, f);
+        handle_reply (q, p, f);
     }
 }
 
 static void
-ask (struct question *q, struct wy_peer *p)
+query_agent (struct outcome_query *q, struct wy_peer *p)
 {
   struct wy_frame f = { .kind = WY_FRAME_QUERY };
 
@@ -239,16 +241,16 @@
 }
 
 static void
-ask_home (struct question *q, const char *target)
+query_home (struct outcome_query *q, const char *target)
 {
   if (target)
-    ask (q, g_hash_table_lookup (q->entry->peers, target));
+    query_agent (q, g_hash_table_lookup (q->entry->peers, target));
 }
 
-/* Ask those that may have run Q.  A fresh identifier may have gone to any
-   target, also to one this entry is not connected to.  */
+/* Query the agents that may have run the request.  One with a fresh identifier
+   may have gone to any target, also to one this entry is not connected to.  */
 static void
-ask_all (struct question *q)
+query_agents (struct outcome_query *q)
 {
   struct wy_entry *e = q->entry;
   const char *colon = strchr (q->id, ':');
@@ -260,35 +262,36 @@
     {
       service = g_strndup (q->id, (gsize)(colon - q->id));
       q->all_asked = wy_home_of (e, service, q->id, 0) != NULL;
-      ask_home (q, wy_home_of (e, service, q->id, 0));
-      ask_home (q, wy_home_previous (e, service, q->id));
+      query_home (q, wy_home_of (e, service, q->id, 0));
+      query_home (q, wy_home_previous (e, service, q->id));
       g_free (service);
       return;
     }
   q->all_asked = false;
   g_hash_table_iter_init (&i, e->peers);
   while (g_hash_table_iter_next (&i, NULL, &p))
-    ask (q, p);
+    query_agent (q, p);
 }
 
-/* Answer EX with what became of request ID.  */
+/* Respond to EX with the outcome of request ID.  */
 void
-wy_outcome_ask (struct wy_entry *e, struct wy_http_exchange *ex,
-                const char *id)
+wy_outcome_query_http (struct wy_entry *e, struct wy_http_exchange *ex,
+                       const char *id)
 {
   const struct outcome *o = g_hash_table_lookup (e->outcomes->by_id, id);
   const struct wy_request *r = g_hash_table_lookup (e->requests, id);
-  struct question *q;
+  struct outcome_query *q;
 
   if (r)
     {
-      tell (ex, id, "running", r->headed ? WY_RAN_YES : WY_RAN_UNKNOWN, r->run,
-            r->peer ? r->peer->id : NULL);
+      respond (ex, id, "running",
+               r->head_received ? WY_RAN_YES : WY_RAN_UNKNOWN, r->run,
+               r->peer ? r->peer->id : NULL);
       return;
     }
   if (o && o->ran != WY_RAN_UNKNOWN)
     {
-      tell (ex, id, o->state, o->ran, o->run, o->target);
+      respond (ex, id, o->state, o->ran, o->run, o->target);
       return;
     }
   q = g_malloc0 (sizeof *q);
@@ -296,26 +299,26 @@
   q->ex = ex;
   q->id = g_strdup (id);
   q->all_no = true;
-  q->limit_ms = wy_clock_mono_ms (e->clock) + ASK_LIMIT_MS;
-  g_queue_push_tail (&e->outcomes->questions, q);
+  q->expires_ms = wy_clock_mono_ms (e->clock) + QUERY_TIMEOUT_MS;
+  g_queue_push_tail (&e->outcomes->queries, q);
   wy_http_on_abort (ex, on_abort, q);
-  ask_all (q);
+  query_agents (q);
   if (q->waiting == 0)
     conclude (q);
 }
 
-/* Answer the questions that waited too long.  */
+/* Conclude queries whose time limit has passed.  */
 void
 wy_outcome_sweep (struct wy_entry *e, int64_t now_ms)
 {
   GList *next;
 
-  for (GList *l = e->outcomes->questions.head; l; l = next)
+  for (GList *l = e->outcomes->queries.head; l; l = next)
     {
-      struct question *q = l->data;
+      struct outcome_query *q = l->data;
 
       next = l->next;
-      if (now_ms < q->limit_ms)
+      if (now_ms < q->expires_ms)
         continue;
       q->all_asked = false;
       conclude (q);
--- a/src/entry/peers.c
+++ b/src/entry/peers.c
@@ -1,10 +1,10 @@
 /* Connections to the agents of the targets.
 
-   A connection can go silent for good in either direction while new ones
-   work.  The connection layer closes it after the silence limit; here it is
-   dialled anew at once, and every request that was open on it is asked for
-   again, since requests belong to no connection.  Only when a target stays
-   away are its requests given up.  */
+   A connection can go permanently silent in either direction while new ones
+   work.  The connection layer closes it after the silence limit; it is dialled
+   again at once, and every request that was open on it is resumed, since
+   requests are not bound to a connection.  Requests are given up only when a
+   target stays disconnected.  */
 #include "entry/peers.h"
 
 #include <string.h>
@@ -19,18 +19,18 @@
 
 enum
 {
-  /* First wait after a failed dial; doubles with each.  */
+  /* Backoff after the first failed dial; doubles with each.  */
   REDIAL_MS = 50,
   REDIAL_MAX_MS = 2000,
   REDIAL_DOUBLINGS_MAX = 6
 };
 
 static void
-cancel_owed (struct wy_peer *p)
+send_pending_cancels (struct wy_peer *p)
 {
   char *id;
 
-  while ((id = g_queue_pop_head (&p->cancels)))
+  while ((id = g_queue_pop_head (&p->pending_cancels)))
     {
       struct wy_frame f = { .kind = WY_FRAME_CANCEL };
 
@@ -47,29 +47,30 @@
   struct wy_peer *p = ctx;
 
   p->ready = true;
-  p->failures = 0;
-  p->away_ms = 0;
+  p->failed_dials = 0;
+  p->disconnected_since_ms = 0;
   p->config_revision = 0;
-  p->config_sent = 0;
+  p->config_sent_revision = 0;
   if (!p->incarnation || strcmp (p->incarnation, incarnation) != 0)
     {
       g_free (p->incarnation);
       p->incarnation = g_strdup (incarnation);
       p->incarnation_hash = wy_hash64 (incarnation, strlen (incarnation), 0);
       p->has_load = false;
-      p->down = false;
+      p->target_down = false;
       g_clear_pointer (&p->weights_source, g_free);
       memset (&p->load, 0, sizeof p->load);
-      /* What the earlier incarnation announced does not bind this one.  */
-      p->told_leaving = false;
+      /* An announcement of the earlier incarnation does not apply to this
+         one.  */
+      p->reported_leaving = false;
       p->leaving = !p->listed || p->list_leaving;
     }
   wy_log (WY_LOG_INFO, "peer.ready", "target=%s process=%s incarnation=%s",
           p->id, process, incarnation);
-  wy_pool_enter (p);
+  wy_pool_add_peer (p);
   wy_peer_push_config (p);
-  cancel_owed (p);
-  wy_dispatch_ready (p);
+  send_pending_cancels (p);
+  wy_dispatch_connected (p);
 }
 
 static void
@@ -81,7 +82,7 @@
     {
     case WY_FRAME_PING:
     case WY_FRAME_PONG:
-      wy_peer_report (p, &f->u.ping);
+      wy_peer_heartbeat (p, &f->u.ping);
       return;
     case WY_FRAME_ACCEPTED:
     case WY_FRAME_REFUSED:
@@ -94,10 +95,10 @@
       wy_outcome_frame (p, &f->u.end);
       return;
     case WY_FRAME_ORDERED:
-      wy_ordered_frame (p, &f->u.ordered);
+      wy_order_result_frame (p, &f->u.ordered);
       return;
     case WY_FRAME_LEAVING:
-      p->told_leaving = true;
+      p->reported_leaving = true;
       wy_peer_set_leaving (p, true);
       return;
     case WY_FRAME_CONFIG:
@@ -121,17 +122,16 @@
     }
 }
 
-/* The wait before the next dial.  The first after a sound connection is
-   none: a connection gone silent is replaced at once.  Later ones double,
-   with jitter, so that the entries don't all dial a target that comes back
-   in the same moment.  */
+/* Backoff before the next dial.  None after a connection that worked: a silent
+   one is replaced at once.  Later ones double, with jitter, so that the
+   entries don't all dial a returning target at the same moment.  */
 static int64_t
-redial_wait_ms (struct wy_peer *p)
+redial_backoff_ms (struct wy_peer *p)
 {
-  uint32_t doublings = MIN (p->failures, REDIAL_DOUBLINGS_MAX);
+  uint32_t doublings = MIN (p->failed_dials, REDIAL_DOUBLINGS_MAX);
   uint32_t wait;
 
-  if (p->failures == 0)
+  if (p->failed_dials == 0)
     return 0;
   wait = MIN (REDIAL_MAX_MS, (uint32_t)REDIAL_MS << (doublings - 1));
   return wait / 2 + wy_rng_below (&p->entry->rng, wait / 2 + 1);
@@ -148,14 +148,14 @@
     wy_log (WY_LOG_INFO, "peer.away", "target=%s err=%d open=%u", p->id, err,
             p->requests.length);
   else
-    p->failures++;
+    p->failed_dials++;
   p->ready = false;
-  if (p->away_ms == 0)
-    p->away_ms = now_ms;
-  p->redial_ms = now_ms + redial_wait_ms (p);
-  wy_pool_leave (p);
-  wy_orders_lost (p);
-  wy_dispatch_away (p);
+  if (p->disconnected_since_ms == 0)
+    p->disconnected_since_ms = now_ms;
+  p->next_dial_ms = now_ms + redial_backoff_ms (p);
+  wy_pool_remove_peer (p);
+  wy_orders_fail_peer (p);
+  wy_dispatch_disconnected (p);
 }
 
 static void
@@ -173,7 +173,7 @@
 {
   const struct wy_peer *p = ctx;
 
-  return p->requests.length > 0 || p->cancels.length > 0;
+  return p->requests.length > 0 || p->pending_cancels.length > 0;
 }
 
 static void
@@ -186,16 +186,16 @@
                                    .fill_ping = fill_ping,
                                    .ctx = p };
 
-  ++*p->entry->n.redials;
+  ++*p->entry->counters.dials;
   p->conn = wy_conn_dial (&p->entry->identity, p->host, p->port, &events);
   if (p->conn)
     return;
-  p->failures++;
-  p->redial_ms = wy_clock_mono_ms (p->entry->clock) + redial_wait_ms (p);
+  p->failed_dials++;
+  p->next_dial_ms = wy_clock_mono_ms (p->entry->clock) + redial_backoff_ms (p);
 }
 
-/* A peer for target ID, whose agent listens at HOST and PORT; not yet
-   connected.  */
+/* Create a peer for target ID of POOL, whose agent listens at HOST and PORT;
+   not yet connected.  */
 struct wy_peer *
 wy_peer_new (struct wy_entry *e, const char *id, const char *host,
              uint16_t port, const char *zone, struct wy_pool *pool)
@@ -210,21 +210,21 @@
   p->az = wy_zone_number (e, zone);
   p->pool = pool;
   p->slot = -1;
-  p->away_ms = wy_clock_mono_ms (e->clock);
+  p->disconnected_since_ms = wy_clock_mono_ms (e->clock);
   g_queue_init (&p->requests);
-  g_queue_init (&p->cancels);
+  g_queue_init (&p->pending_cancels);
   return p;
 }
 
-/* Close the connection of PEER, a struct wy_peer, and free it.  It must have
-   no open requests.  */
+/* Remove PEER, a struct wy_peer, from its pool and free it.  It must have
+   neither a connection nor open requests.  */
 void
 wy_peer_free (void *peer)
 {
   struct wy_peer *p = peer;
 
-  wy_pool_leave (p);
-  g_queue_clear_full (&p->cancels, g_free);
+  wy_pool_remove_peer (p);
+  g_queue_clear_full (&p->pending_cancels, g_free);
   g_free (p->id);
   g_free (p->host);
   g_free (p->availability_zone);
@@ -235,19 +235,19 @@
 
 /* Keep P connected from now on.  */
 void
-wy_peer_want (struct wy_peer *p)
+wy_peer_connect (struct wy_peer *p)
 {
-  if (p->wanted)
+  if (p->keep_connected)
     return;
-  p->wanted = true;
-  p->failures = 0;
-  p->redial_ms = 0;
+  p->keep_connected = true;
+  p->failed_dials = 0;
+  p->next_dial_ms = 0;
   if (!p->conn)
     dial (p);
 }
 
-/* Take in whether P is in this entry's subset.  One that no longer is keeps
-   its connection until its requests have ended.  */
+/* Set whether P is in this entry's subset.  A peer that leaves the subset
+   keeps its connection until its requests have ended.  */
 void
 wy_peer_set_subset (struct wy_peer *p, bool in_subset)
 {
@@ -256,36 +256,37 @@
   p->in_subset = in_subset;
   if (in_subset)
     {
-      wy_peer_want (p);
+      wy_peer_connect (p);
       if (p->ready)
-        wy_pool_enter (p);
+        wy_pool_add_peer (p);
     }
   else if (was && p->requests.length > 0)
     p->in_subset = true;
   else if (was)
-    wy_peer_unwant (p);
+    wy_peer_disconnect (p);
 }
 
-/* Let the connection of P go.  */
+/* Close the connection to P and don't dial again.  */
 void
-wy_peer_unwant (struct wy_peer *p)
+wy_peer_disconnect (struct wy_peer *p)
 {
-  p->wanted = false;
+  p->keep_connected = false;
   if (p->conn)
     wy_conn_close (p->conn);
 }
 
-/* Dial P when that is due.  */
+/* Periodic check: dial P when that is due, and send it a newer
+   configuration.  */
 void
 wy_peer_sweep (struct wy_peer *p, int64_t now_ms)
 {
-  if (p->wanted && !p->conn && now_ms >= p->redial_ms)
+  if (p->keep_connected && !p->conn && now_ms >= p->next_dial_ms)
     dial (p);
   else if (p->ready)
     wy_peer_push_config (p);
 }
 
-/* Send F to P.  0 says only that it was handed on, never that it arrived.  */
+/* Send F to P.  0 means only that F was queued, not that it arrived.  */
 int
 wy_peer_send (struct wy_peer *p, const struct wy_frame *f)
 {
@@ -303,7 +304,8 @@
   return strcmp (x->id, y->id);
 }
 
-/* All targets known to E, in order of id; to be freed by the caller.  */
+/* All targets known to E, sorted by id; the caller of this function unrefs the
+   array.  */
 GPtrArray *
 wy_peers_all (struct wy_entry *e)
 {
--- a/src/entry/problem.c
+++ b/src/entry/problem.c
@@ -1,6 +1,5 @@
-/* Refusals, as callers get them: application/problem+json (RFC 9457) with the
-   members `ran' and `reason', given at once, and with Retry-After where
-   coming back helps.  */
+/* Error responses to callers: application/problem+json (RFC 9457) with the
+   members `ran' and `reason', and with Retry-After where a retry helps.  */
 #include "entry/problem.h"
 
 #include <stdlib.h>
@@ -15,9 +14,9 @@
   const char *name;
   int status;
   const char *title;
-  /* Another target may well take what this one refused for the reason.  */
-  bool local;
-  uint32_t retry_after_ms; /* when the target named none; 0: don't */
+  /* Another target may accept the request.  */
+  bool is_retryable;
+  uint32_t retry_after_ms; /* when the target gave none; 0: no Retry-After */
 };
 
 static const struct reason reasons[WY_REASON_COUNT] = {
@@ -72,21 +71,21 @@
       1000 },
 };
 
-/* REASON in the word of the timeline and of answers.  */
+/* REASON as written in the timeline and in responses.  */
 const char *
 wy_reason_name (enum wy_entry_reason reason)
 {
   return reasons[reason].name;
 }
 
-/* Whether a request refused for REASON may be tried at another target.  */
+/* Whether a request rejected for REASON may be retried at another target.  */
 bool
-wy_reason_is_local (enum wy_entry_reason reason)
+wy_reason_is_retryable (enum wy_entry_reason reason)
 {
-  return reasons[reason].local;
+  return reasons[reason].is_retryable;
 }
 
-/* The reason for callers when an agent refused for R.  */
+/* The reason reported to callers when an agent refused a request for R.  */
 enum wy_entry_reason
 wy_reason_of_refusal (enum wy_refusal_reason r)
 {
@@ -127,12 +126,12 @@
                            : reasons[p->reason].retry_after_ms;
 }
 
-/* P as JSON, to be freed with free.  */
+/* P as JSON text, to be freed with free.  */
 char *
 wy_problem_text (const struct wy_problem *p)
 {
   const struct reason *r = &reasons[p->reason];
-  uint32_t again_ms = retry_after_ms (p);
+  uint32_t retry_ms = retry_after_ms (p);
   json_t *j
       = json_pack ("{s:s+, s:s, s:i, s:s, s:s}", "type",
                    "urn:waxwingyard:", r->name, "title", r->title, "status",
@@ -143,25 +142,25 @@
     json_object_set_new (j, "detail", json_string (p->detail));
   if (p->request)
     json_object_set_new (j, "request", json_string (p->request));
-  if (again_ms)
-    json_object_set_new (j, "retry_after_ms", json_integer (again_ms));
+  if (retry_ms)
+    json_object_set_new (j, "retry_after_ms", json_integer (retry_ms));
   text = json_dumps (j, JSON_COMPACT);
   json_decref (j);
   return text;
 }
 
-/* Answer EX with P.  EX must not be used after.  */
+/* Respond to EX with P.  EX must not be used afterwards.  */
 void
 wy_problem_send (struct wy_http_exchange *ex, const struct wy_problem *p)
 {
-  uint32_t again_ms = retry_after_ms (p);
+  uint32_t retry_ms = retry_after_ms (p);
   char seconds[16];
   char *text = wy_problem_text (p);
 
-  if (again_ms)
+  if (retry_ms)
     {
       g_snprintf (seconds, sizeof seconds, "%u",
-                  (again_ms + WY_MS_PER_S - 1) / WY_MS_PER_S);
+                  (retry_ms + WY_MS_PER_S - 1) / WY_MS_PER_S);
       wy_http_add_header (ex, "retry-after", seconds);
     }
   if (p->reason == WY_REASON_NO_TOKEN)
--- a/src/entry/reports.c
+++ b/src/entry/reports.c
@@ -1,5 +1,5 @@
-/* What targets tell of themselves in heartbeats: load, leaving, being down,
-   the configuration they have.  */
+/* State that targets report in heartbeats: load, leaving, target down, and the
+   revision of their configuration.  */
 #include "entry/reports.h"
 
 #include "entry/acks.h"
@@ -10,11 +10,11 @@
 
 enum
 {
-  /* A frame with the configuration is not sent again before this.  */
+  /* Shortest time between two CONFIG frames with the same revision.  */
   CONFIG_RESEND_MS = 1000
 };
 
-/* Send P the configuration in force unless it has it.  */
+/* Send P the configuration in force unless P has it.  */
 void
 wy_peer_push_config (struct wy_peer *p)
 {
@@ -25,17 +25,17 @@
   struct wy_frame f = { .kind = WY_FRAME_CONFIG };
 
   if (!text || p->config_revision >= revision
-      || (p->config_sent == revision && now_ms < p->config_again_ms))
+      || (p->config_sent_revision == revision && now_ms < p->config_resend_ms))
     return;
   f.u.config.revision = revision;
   f.u.config.confirmed_ms = wy_config_feed_confirmed_ms (e->feed);
   f.u.config.json = wy_bytes_of (text);
-  p->config_sent = revision;
-  p->config_again_ms = now_ms + CONFIG_RESEND_MS;
+  p->config_sent_revision = revision;
+  p->config_resend_ms = now_ms + CONFIG_RESEND_MS;
   wy_peer_send (p, &f);
 }
 
-/* Take in whether P is leaving; a leaving target gets no new work.  */
+/* Set whether P is leaving; a leaving target gets no new work.  */
 void
 wy_peer_set_leaving (struct wy_peer *p, bool leaving)
 {
@@ -46,33 +46,33 @@
           p->id);
   if (leaving)
     {
-      wy_pool_close (p);
+      wy_pool_drain_peer (p);
       wy_acks_flush (p->entry, p);
     }
-  else if (!p->down)
-    wy_pool_reopen (p);
+  else if (!p->target_down)
+    wy_pool_readmit_peer (p);
 }
 
-/* Take in whether the target of P is down beside its agent: the agent lives
-   and would refuse everything.  */
+/* Set whether the target of P is down while its agent runs, which would refuse
+   every request.  */
 static void
-set_down (struct wy_peer *p, bool down)
+set_target_down (struct wy_peer *p, bool down)
 {
-  if (p->down == down)
+  if (p->target_down == down)
     return;
-  p->down = down;
+  p->target_down = down;
   if (down && p->entry->suspect_rows)
-    wy_suspect_rows_hurry (p->entry->suspect_rows);
+    wy_suspect_rows_read_soon (p->entry->suspect_rows);
   wy_log (WY_LOG_INFO, down ? "target.down" : "target.up", "target=%s", p->id);
   if (down)
-    wy_pool_close (p);
+    wy_pool_drain_peer (p);
   else if (!p->leaving)
-    wy_pool_reopen (p);
+    wy_pool_readmit_peer (p);
 }
 
-/* Take in what P told of itself in a heartbeat.  */
+/* Handle PING, a heartbeat from P.  */
 void
-wy_peer_report (struct wy_peer *p, const struct wy_frame_ping *ping)
+wy_peer_heartbeat (struct wy_peer *p, const struct wy_frame_ping *ping)
 {
   struct wy_entry *e = p->entry;
   int64_t now_ms = wy_clock_mono_ms (e->clock);
@@ -89,15 +89,16 @@
   if (!p->weights_source && p->load.weights_port)
     p->weights_source
         = g_strdup_printf ("%s:%u", p->host, p->load.weights_port);
-  wy_pool_load (p);
-  /* The load is the newer word of the same process: a drained target that
-     was taken back no longer leaves.  */
-  p->told_leaving = ping->load.leaving;
-  wy_peer_set_leaving (p, !p->listed || p->list_leaving || p->told_leaving);
-  set_down (p, !ping->load.target_up);
+  wy_pool_load_reported (p);
+  /* The load report is newer than a LEAVING frame of the same process: a
+     drained target that was undrained is no longer leaving.  */
+  p->reported_leaving = ping->load.leaving;
+  wy_peer_set_leaving (p,
+                       !p->listed || p->list_leaving || p->reported_leaving);
+  set_target_down (p, !ping->load.target_up);
   if (p->slot < 0)
     return;
   for (uint32_t i = 0; i < ping->n_prefixes; i++)
-    wy_placement_cache_event (p->pool->place, (uint32_t)p->slot,
+    wy_placement_cache_event (p->pool->placement, (uint32_t)p->slot,
                               ping->prefixes[i], true, now_ms);
 }
--- a/src/entry/reports.h
+++ b/src/entry/reports.h
@@ -1,4 +1,4 @@
-/* What targets tell of themselves in heartbeats.  */
+/* State that targets report in heartbeats.  */
 #ifndef WY_ENTRY_REPORTS_H
 #define WY_ENTRY_REPORTS_H
 
@@ -6,6 +6,6 @@
 
 void wy_peer_push_config (struct wy_peer *p);
 void wy_peer_set_leaving (struct wy_peer *p, bool leaving);
-void wy_peer_report (struct wy_peer *p, const struct wy_frame_ping *ping);
+void wy_peer_heartbeat (struct wy_peer *p, const struct wy_frame_ping *ping);
 
 #endif
--- a/src/entry/request.c
+++ b/src/entry/request.c
@@ -1,4 +1,4 @@
-/* Requests in progress: from their receipt until the final answer.  */
+/* Requests in progress, from receipt to the final response.  */
 #include "entry/request.h"
 
 #include <string.h>
@@ -17,7 +17,7 @@
   DIGEST_SEED = 0
 };
 
-/* RAN in the word of the timeline and of answers.  */
+/* RAN as written in the timeline and in responses.  */
 const char *
 wy_ran_name (enum wy_ran ran)
 {
@@ -33,7 +33,8 @@
   return "unknown";
 }
 
-/* A request for NAME with a fresh identifier, not yet in progress.  */
+/* Create a request for model or service NAME with a fresh identifier, not yet
+   in progress.  */
 struct wy_request *
 wy_request_new (struct wy_entry *e, const char *name, struct wy_pool *pool)
 {
@@ -58,12 +59,13 @@
   return r;
 }
 
-/* R came with the caller's KEY.  A non-idempotent request takes its
-   identifier from it, so that it is the same one when it is sent again
-   through another entry; an idempotent one keeps its fresh identifier, since
-   only then a refusal of this sending can be proven to be `not run'.  */
+/* Set the caller's KEY and its issue time (wall clock, 0: unknown) for R.  A
+   non-idempotent request takes its identifier from the key, so that a retry
+   through another entry has the same one.  An idempotent request keeps its
+   fresh identifier; only then can a rejection of this attempt be proven to be
+   `not run'.  */
 void
-wy_request_identify (struct wy_request *r, const char *key, int64_t issued_ms)
+wy_request_set_key (struct wy_request *r, const char *key, int64_t issued_ms)
 {
   g_free (r->key);
   r->key = g_strdup (key);
@@ -74,34 +76,34 @@
   r->issued_ms = issued_ms;
 }
 
-/* Put R in progress for S, and send it on.  S may be told of the end before
-   this returns.  */
+/* Put R in progress for S and dispatch it.  S may be called before this
+   returns.  */
 void
 wy_request_open (struct wy_request *r, struct wy_sink *s)
 {
   struct wy_entry *e = r->entry;
 
-  /* Before the identifier is known to anyone.  */
+  /* Before the identifier is used anywhere.  */
   if (r->non_idempotent && !r->key[0])
-    wy_home_draw (r);
+    wy_home_draw_id (r);
   g_ptr_array_add (r->sinks, s);
   g_hash_table_insert (e->requests, r->id, r);
   g_queue_push_tail_link (&e->open, &r->open_link);
-  ++*e->n.received;
-  *e->n.open = e->open.length;
+  ++*e->counters.received;
+  *e->counters.open = e->open.length;
   wy_retry_request (&e->budget);
   wy_trace_event (
       e->trace, "request.received", "{s:s, s:s, s:b, s:s, s:s}", "req", r->id,
       "key", r->key, "idempotent", !r->non_idempotent, "class",
       r->request_class == WY_REQUEST_ROLLOUT ? "rollout" : "interactive",
       "name", r->name);
-  if (wy_issue_rows_wanted (r))
-    wy_issue_rows_ask (e->issue_rows, r);
+  if (wy_issue_times_should_assign (r))
+    wy_issue_times_assign (e->issue_times, r);
   else
     wy_dispatch (r);
 }
 
-/* The request in progress that has identifier ID, or NULL.  */
+/* The request in progress with identifier ID, or NULL.  */
 struct wy_request *
 wy_request_find (struct wy_entry *e, struct wy_bytes id)
 {
@@ -114,61 +116,61 @@
   return g_hash_table_lookup (e->requests, text);
 }
 
-/* Forget what is known of R's run, before another.  */
+/* Discard the state of R's run, before another attempt.  */
 void
-wy_request_reset (struct wy_request *r)
+wy_request_reset_run (struct wy_request *r)
 {
   g_free (r->run);
-  g_free (r->finish);
+  g_free (r->finish_reason);
   g_free (r->segments);
-  if (r->answer_headers)
-    g_ptr_array_unref (r->answer_headers);
+  if (r->response_headers)
+    g_ptr_array_unref (r->response_headers);
   r->run = NULL;
-  r->finish = NULL;
+  r->finish_reason = NULL;
   r->segments = NULL;
-  r->answer_headers = NULL;
+  r->response_headers = NULL;
   r->n_segments = 0;
-  r->headed = false;
+  r->head_received = false;
   r->offset_bytes = 0;
   r->tokens = 0;
-  r->gap_asked = false;
-  if (r->answer)
-    g_string_truncate (r->answer, 0);
+  r->gap_requested = false;
+  if (r->response)
+    g_string_truncate (r->response, 0);
   XXH64_reset (r->digest, DIGEST_SEED);
 }
 
-/* R is no longer with its target.  */
+/* Detach R from its target.  */
 void
-wy_request_leave_peer (struct wy_request *r)
+wy_request_detach_peer (struct wy_request *r)
 {
   if (!r->peer)
     return;
   g_queue_unlink (&r->peer->requests, &r->peer_link);
   r->peer = NULL;
   r->sent = false;
-  r->away_ms = 0;
+  r->disconnected_since_ms = 0;
 }
 
-/* Take R out of progress; no frame reaches it any more.  */
+/* Remove R from the requests in progress; no frame reaches it any more.  */
 static void
-close_request (struct wy_request *r)
+remove_request (struct wy_request *r)
 {
   struct wy_entry *e = r->entry;
 
-  wy_pool_ended (r, WY_OUTCOME_CANCELLED);
-  wy_request_leave_peer (r);
+  wy_pool_request_ended (r, WY_OUTCOME_CANCELLED);
+  wy_request_detach_peer (r);
   g_hash_table_remove (e->requests, r->id);
   g_queue_unlink (&e->open, &r->open_link);
-  *e->n.open = e->open.length;
+  *e->counters.open = e->open.length;
 }
 
 /* Free R, which is not in progress.  */
 void
 wy_request_free (struct wy_request *r)
 {
-  wy_request_reset (r);
-  if (r->answer)
-    g_string_free (r->answer, TRUE);
+  wy_request_reset_run (r);
+  if (r->response)
+    g_string_free (r->response, TRUE);
   if (r->headers)
     g_ptr_array_unref (r->headers);
   XXH64_freeState (r->digest);
@@ -184,7 +186,7 @@
 }
 
 static void
-tell_answered (struct wy_request *r)
+trace_answered (struct wy_request *r)
 {
   struct wy_entry *e = r->entry;
   uint64_t run_digest = XXH64_digest (r->digest);
@@ -200,65 +202,65 @@
                   "{s:s, s:s, s:i, s:I, s:s, s:s}", "req", r->id, "run",
                   r->run ? r->run : "", "status", (int)r->status, "bytes",
                   (json_int_t)r->offset_bytes, "digest", digest, "sent", sent);
-  ++*e->n.answered;
-  wy_hist_add (e->n.latency_us,
+  ++*e->counters.answered;
+  wy_hist_add (e->counters.latency_us,
                (uint64_t)(wy_clock_mono_us (e->clock) - r->received_us));
 }
 
-/* R's answer is whole: give it out, acknowledge and free R.  */
+/* R's response is complete: acknowledge it, deliver it and free R.  */
 void
-wy_request_answered (struct wy_request *r)
+wy_request_complete (struct wy_request *r)
 {
   if (r->sinks->len > 0)
-    wy_ack (r);
-  wy_outcome_note (r, WY_RAN_YES, "answered");
-  close_request (r);
+    wy_ack_response (r);
+  wy_outcome_record (r, WY_RAN_YES, "answered");
+  remove_request (r);
   for (guint i = 0; i < r->sinks->len; i++)
     {
       struct wy_sink *s = r->sinks->pdata[i];
       s->done (s, r);
     }
-  /* Only now is it known what the callers were sent.  */
+  /* Only now is the body that the callers were sent known.  */
   if (r->sinks->len > 0)
-    tell_answered (r);
+    trace_answered (r);
   wy_request_free (r);
 }
 
-/* R won't be answered, or not whole: say so at once and free R.  RAN is what
-   is proven of it.  */
+/* R failed, before or during its response: report it to the callers and free
+   R.  RAN is what is proven of R's execution.  */
 void
-wy_request_refused (struct wy_request *r, enum wy_ran ran,
-                    enum wy_entry_reason reason, uint32_t retry_after_ms)
+wy_request_reject (struct wy_request *r, enum wy_ran ran,
+                   enum wy_entry_reason reason, uint32_t retry_after_ms)
 {
   struct wy_entry *e = r->entry;
 
-  wy_outcome_note (r, ran, r->begun ? "broken" : "refused");
-  if (r->sinks->len > 0 && r->begun)
+  wy_outcome_record (r, ran, r->response_begun ? "broken" : "refused");
+  if (r->sinks->len > 0 && r->response_begun)
     {
       wy_trace_event (e->trace, "request.broken", "{s:s, s:s, s:s}", "req",
                       r->id, "run", r->run ? r->run : "", "ran",
                       wy_ran_name (ran));
-      ++*e->n.broken;
+      ++*e->counters.broken;
     }
   else if (r->sinks->len > 0)
     {
       wy_trace_event (e->trace, "request.refused", "{s:s, s:s, s:s}", "req",
                       r->id, "ran", wy_ran_name (ran), "reason",
                       wy_reason_name (reason));
-      ++*e->n.refused[ran];
+      ++*e->counters.refused[ran];
     }
-  close_request (r);
+  remove_request (r);
   for (guint i = 0; i < r->sinks->len; i++)
     {
       struct wy_sink *s = r->sinks->pdata[i];
-      s->refused (s, r, ran, reason, retry_after_ms);
+      s->rejected (s, r, ran, reason, retry_after_ms);
     }
   wy_request_free (r);
 }
 
-/* The caller behind S has gone away.  An idempotent request is cancelled when
-   nobody waits for it any more; a non-idempotent one goes on, and its answer
-   stays with the target for when the caller sends it again.  */
+/* The caller behind S disconnected.  An idempotent request is cancelled when
+   no other caller waits for it.  A non-idempotent one that was submitted goes
+   on, and the target keeps its response for a retry.  */
 void
 wy_request_abandon (struct wy_request *r, struct wy_sink *s)
 {
@@ -268,11 +270,11 @@
   if (r->sinks->len > 0)
     return;
   wy_trace_event (e->trace, "request.abandoned", "{s:s}", "req", r->id);
-  ++*e->n.abandoned;
+  ++*e->counters.abandoned;
   if (r->non_idempotent && r->sent)
     return;
   wy_dispatch_cancel (r);
-  wy_outcome_note (r, WY_RAN_UNKNOWN, "abandoned");
-  close_request (r);
+  wy_outcome_record (r, WY_RAN_UNKNOWN, "abandoned");
+  remove_request (r);
   wy_request_free (r);
 }
--- a/src/entry/routes.c
+++ b/src/entry/routes.c
@@ -1,5 +1,5 @@
-/* The HTTP routes of an entry: one table of methods and paths, with the role
-   each needs.  */
+/* HTTP routes of an entry: a table of methods and paths with the role that
+   each requires.  */
 #include "entry/routes.h"
 
 #include <string.h>
@@ -16,7 +16,7 @@
   const char *method; /* NULL: any */
   const char *path;   /* a prefix when it ends with a slash */
   enum wy_role role;
-  /* TAIL is the path after the prefix.  */
+  /* TAIL is the rest of the path after the prefix.  */
   void (*handle) (struct wy_entry *e, struct wy_http_exchange *ex,
                   const char *tail);
 };
@@ -36,19 +36,19 @@
 static void
 outcome (struct wy_entry *e, struct wy_http_exchange *ex, const char *tail)
 {
-  wy_outcome_ask (e, ex, tail);
+  wy_outcome_query_http (e, ex, tail);
 }
 
 static void
 blocks (struct wy_entry *e, struct wy_http_exchange *ex, const char *tail)
 {
-  wy_suspect_list (e, ex);
+  wy_suspect_list_http (e, ex);
 }
 
 static void
 lift (struct wy_entry *e, struct wy_http_exchange *ex, const char *tail)
 {
-  wy_suspect_lift (e, ex, tail);
+  wy_suspect_lift_http (e, ex, tail);
 }
 
 static void
@@ -87,7 +87,7 @@
   { "POST", "/v1/targets/", WY_ROLE_OPERATOR, wy_status_target },
   { "GET", "/v1/status", WY_ROLE_OPERATOR, wy_status_http },
   { "GET", "/v1/events", WY_ROLE_OPERATOR, wy_status_events },
-  /* Read by the platform's probes, which hold no token.  */
+  /* Used by the platform's probes, which have no token.  */
   { "GET", "/metrics", WY_ROLE_CALLER, wy_status_metrics },
   { "GET", "/healthz", WY_ROLE_CALLER, wy_status_health },
   { "GET", "/readyz", WY_ROLE_CALLER, wy_status_ready },
@@ -103,7 +103,7 @@
   return strcmp (path, r->path) ? NULL : "";
 }
 
-/* Handle the request of EX.  */
+/* Route the request of EX.  */
 void
 wy_routes_http (struct wy_http_exchange *ex, void *entry)
 {
@@ -123,7 +123,7 @@
 
       if (!tail || (r->method && strcmp (r->method, wy_http_method (ex)) != 0))
         continue;
-      if (wy_access (e, ex, r->role))
+      if (wy_access_check_role (e, ex, r->role))
         r->handle (e, ex, tail);
       return;
     }
--- a/src/entry/routes.h
+++ b/src/entry/routes.h
@@ -1,4 +1,4 @@
-/* The HTTP routes of an entry.  */
+/* HTTP routes of an entry.  */
 #ifndef WY_ENTRY_ROUTES_H
 #define WY_ENTRY_ROUTES_H
 
--- a/src/entry/run.c
+++ b/src/entry/run.c
@@ -1,20 +1,20 @@
-/* Frames of a run: head, chunks and end of an answer.
+/* Response frames of a run: head, chunks and end.
 
-   Frames may come twice, after a resume, or from a run that was given up.
-   Each names its run and the place of its bytes in the answer, so that what
-   was taken before is dropped, what is missing is asked for again, and
-   nothing of one run gets into the answer of another.  */
+   After a resume frames may arrive twice, and frames may arrive from a run
+   that was given up.  Each frame carries its run and the offset of its bytes
+   in the response.  Bytes received before are dropped, missing ones are
+   requested again, and bytes of different runs are never mixed.  */
 #include "entry/run.h"
 
 #include <string.h>
 
 #include "entry/acks.h"
 #include "entry/dispatch.h"
-#include "entry/token_latency.h"
+#include "entry/pool.h"
 #include "entry/problem.h"
 #include "entry/request.h"
-#include "entry/pool.h"
 #include "entry/suspects.h"
+#include "entry/token_latency.h"
 
 static bool
 same_run (struct wy_request *r, struct wy_bytes run)
@@ -25,27 +25,28 @@
 }
 
 static void
-take_headers (struct wy_request *r, const struct wy_frame_head *h)
+copy_response_headers (struct wy_request *r, const struct wy_frame_head *h)
 {
-  r->answer_headers = g_ptr_array_new_with_free_func (g_free);
+  r->response_headers = g_ptr_array_new_with_free_func (g_free);
   for (uint32_t i = 0; i < h->n_headers; i++)
     {
-      g_ptr_array_add (r->answer_headers, wy_bytes_dup (h->headers[i].name));
-      g_ptr_array_add (r->answer_headers, wy_bytes_dup (h->headers[i].value));
+      g_ptr_array_add (r->response_headers, wy_bytes_dup (h->headers[i].name));
+      g_ptr_array_add (r->response_headers,
+                       wy_bytes_dup (h->headers[i].value));
     }
 }
 
 static void
-take_head (struct wy_request *r, const struct wy_frame_head *h)
+handle_head (struct wy_request *r, const struct wy_frame_head *h)
 {
-  if (!same_run (r, h->run) || r->headed)
+  if (!same_run (r, h->run) || r->head_received)
     return;
-  r->headed = true;
+  r->head_received = true;
   r->status = h->status;
-  take_headers (r, h);
-  wy_pace_begin (r);
-  /* The caller of a non-idempotent request may be gone and come back.  */
-  r->keep = r->non_idempotent;
+  copy_response_headers (r, h);
+  wy_token_latency_begin (r);
+  /* The caller of a non-idempotent request may disconnect and retry.  */
+  r->keep_response = r->non_idempotent;
   for (guint i = 0; i < r->sinks->len; i++)
     {
       struct wy_sink *s = r->sinks->pdata[i];
@@ -53,22 +54,22 @@
       if (s->head)
         s->head (s, r);
       if (s->streams)
-        r->begun = true;
+        r->response_begun = true;
       else
-        r->keep = true;
+        r->keep_response = true;
     }
-  if (r->keep && !r->answer)
-    r->answer = g_string_new (NULL);
+  if (r->keep_response && !r->response)
+    r->response = g_string_new (NULL);
 }
 
 static void
-take_bytes (struct wy_request *r, const char *p, size_t n)
+append_bytes (struct wy_request *r, const char *p, size_t n)
 {
   r->offset_bytes += n;
-  wy_pace_chunk (r, p, n);
+  wy_token_latency_chunk (r, p, n);
   XXH64_update (r->digest, p, n);
-  if (r->keep)
-    g_string_append_len (r->answer, p, (gssize)n);
+  if (r->keep_response)
+    g_string_append_len (r->response, p, (gssize)n);
   for (guint i = 0; i < r->sinks->len; i++)
     {
       struct wy_sink *s = r->sinks->pdata[i];
@@ -77,90 +78,90 @@
     }
 }
 
-/* Ask once for what is missing at the present place; the answer to it comes
-   in order.  */
+/* Request the missing bytes from the current offset on, once per offset; the
+   resumed frames arrive in order.  */
 static void
-ask_for_gap (struct wy_request *r)
+request_missing (struct wy_request *r)
 {
-  if (r->gap_asked && r->gap_bytes == r->offset_bytes)
+  if (r->gap_requested && r->gap_offset_bytes == r->offset_bytes)
     return;
-  r->gap_asked = true;
-  r->gap_bytes = r->offset_bytes;
+  r->gap_requested = true;
+  r->gap_offset_bytes = r->offset_bytes;
   wy_dispatch_resume (r);
 }
 
 static void
-take_chunk (struct wy_request *r, const struct wy_frame_chunk *c)
+handle_chunk (struct wy_request *r, const struct wy_frame_chunk *c)
 {
   uint64_t end = c->offset_bytes + c->data.n;
   uint64_t skip;
 
-  if (!r->headed || c->offset_bytes > r->offset_bytes)
+  if (!r->head_received || c->offset_bytes > r->offset_bytes)
     {
-      ++*r->entry->n.chunks_dropped;
-      ask_for_gap (r);
+      ++*r->entry->counters.chunks_dropped;
+      request_missing (r);
       return;
     }
   if (!same_run (r, c->run) || end <= r->offset_bytes)
     {
-      ++*r->entry->n.chunks_dropped;
+      ++*r->entry->counters.chunks_dropped;
       return;
     }
   skip = r->offset_bytes - c->offset_bytes;
-  take_bytes (r, c->data.p + skip, c->data.n - skip);
+  append_bytes (r, c->data.p + skip, c->data.n - skip);
 }
 
 static void
-take_segments (struct wy_request *r, const struct wy_frame_end *f)
+set_segments (struct wy_request *r, const struct wy_frame_end *f)
 {
   g_free (r->segments);
   r->segments = g_memdup2 (f->segments, f->n_segments * sizeof *f->segments);
   r->n_segments = f->n_segments;
   r->tokens = f->tokens;
-  g_free (r->finish);
-  r->finish = wy_bytes_dup (f->finish);
+  g_free (r->finish_reason);
+  r->finish_reason = wy_bytes_dup (f->finish);
 }
 
-/* The run came to nothing.  Its end is acknowledged as well: the agent holds
-   it, and a stop of the agent waits for it.  */
+/* The run failed.  Its end is acknowledged too, since the agent holds it until
+   then, and its graceful stop waits for that.  */
 static void
-fail (struct wy_request *r, const struct wy_frame_end *f,
-      enum wy_outcome outcome, enum wy_entry_reason reason)
+fail_run (struct wy_request *r, const struct wy_frame_end *f,
+          enum wy_outcome outcome, enum wy_entry_reason reason)
 {
-  wy_ack (r);
-  wy_pool_ended (r, outcome);
+  wy_ack_response (r);
+  wy_pool_request_ended (r, outcome);
   wy_dispatch_failed (r, f->ran, reason);
 }
 
-/* The run is over and the target answered, with success or an error.  */
+/* The run ended with a response, either success or an error.  */
 static void
-end_whole (struct wy_request *r, const struct wy_frame_end *f)
+end_with_response (struct wy_request *r, const struct wy_frame_end *f)
 {
   bool failed = f->result == WY_RUN_FAILED;
 
-  if (!r->headed || r->offset_bytes < f->total_bytes)
+  if (!r->head_received || r->offset_bytes < f->total_bytes)
     {
       if (failed && f->total_bytes == 0)
-        fail (r, f, WY_OUTCOME_FAILED, WY_REASON_FAILED);
+        fail_run (r, f, WY_OUTCOME_FAILED, WY_REASON_FAILED);
       else
-        ask_for_gap (r);
+        request_missing (r);
       return;
     }
   if (f->digest != XXH64_digest (r->digest) || (failed && r->pool->is_model))
     {
-      fail (r, f, WY_OUTCOME_FAILED, WY_REASON_FAILED);
+      fail_run (r, f, WY_OUTCOME_FAILED, WY_REASON_FAILED);
       return;
     }
-  take_segments (r, f);
-  wy_pool_ended (r, failed ? WY_OUTCOME_FAILED : WY_OUTCOME_OK);
+  set_segments (r, f);
+  wy_pool_request_ended (r, failed ? WY_OUTCOME_FAILED : WY_OUTCOME_OK);
   if (!failed)
-    wy_suspect_cleared (r);
-  wy_request_answered (r);
+    wy_suspect_clear (r);
+  wy_request_complete (r);
 }
 
 static void
-take_end (struct wy_peer *p, struct wy_request *r,
-          const struct wy_frame_end *f)
+handle_end (struct wy_peer *p, struct wy_request *r,
+            const struct wy_frame_end *f)
 {
   if (f->run.n > 0 && !same_run (r, f->run))
     return;
@@ -168,29 +169,29 @@
     {
     case WY_RUN_DONE:
     case WY_RUN_FAILED:
-      end_whole (r, f);
+      end_with_response (r, f);
       return;
     case WY_RUN_CRASHED:
-      ++*r->entry->n.crashes;
-      wy_suspect_crashed (r, p);
-      fail (r, f, WY_OUTCOME_FAILED, WY_REASON_CRASHED);
+      ++*r->entry->counters.crashes;
+      wy_suspect_record_crash (r, p);
+      fail_run (r, f, WY_OUTCOME_FAILED, WY_REASON_CRASHED);
       return;
     case WY_RUN_CANCELLED:
-      fail (r, f, WY_OUTCOME_CANCELLED, WY_REASON_CANCELLED);
+      fail_run (r, f, WY_OUTCOME_CANCELLED, WY_REASON_CANCELLED);
       return;
     case WY_RUN_TIMED_OUT:
-      wy_ack (r);
-      wy_pool_ended (r, WY_OUTCOME_SLOW);
-      wy_request_refused (r, f->ran, WY_REASON_DEADLINE, 0);
+      wy_ack_response (r);
+      wy_pool_request_ended (r, WY_OUTCOME_SLOW);
+      wy_request_reject (r, f->ran, WY_REASON_DEADLINE, 0);
       return;
     }
 }
 
-/* Take in F, which P sent about a run.  */
+/* Handle F, which P sent about a run.  */
 void
 wy_run_frame (struct wy_peer *p, const struct wy_frame *f)
 {
-  /* Every kind that comes here begins with the id.  */
+  /* Every kind handled here begins with the request id.  */
   struct wy_request *r = wy_request_find (p->entry, f->u.resume.id);
 
   if (!r || r->peer != p || !r->sent)
@@ -205,13 +206,13 @@
       wy_dispatch_refused (r, &f->u.refused);
       return;
     case WY_FRAME_HEAD:
-      take_head (r, &f->u.head);
+      handle_head (r, &f->u.head);
       return;
     case WY_FRAME_CHUNK:
-      take_chunk (r, &f->u.chunk);
+      handle_chunk (r, &f->u.chunk);
       return;
     case WY_FRAME_END:
-      take_end (p, r, &f->u.end);
+      handle_end (p, r, &f->u.end);
       return;
     default:
       return;
--- a/src/entry/run.h
+++ b/src/entry/run.h
@@ -1,4 +1,4 @@
-/* Frames of a run: head, chunks and end of an answer.  */
+/* Response frames of a run: head, chunks and end.  */
 #ifndef WY_ENTRY_RUN_H
 #define WY_ENTRY_RUN_H
 
--- a/src/entry/runner.c
+++ b/src/entry/runner.c
@@ -1,5 +1,5 @@
-/* How a yard has its samples run: as requests of the rollout class, on the
-   same path as those of callers.  */
+/* Runs the samples of yards, as requests of the rollout class on the same path
+   as those of callers.  */
 #include <string.h>
 
 #include "entry/completion_text.h"
@@ -11,17 +11,17 @@
 
 enum
 {
-  /* KV memory a sample is counted with when the capacity is told; the agent
-     counts exactly when it admits.  */
+  /* KV tokens assumed per sample when the free capacity is estimated; the
+     agent's admission counts exactly.  */
   SAMPLE_TOKENS = 512,
   TOKEN_BYTES = 4,
-  ALWAYS_MS = 24 * 3600 * WY_MS_PER_S
+  NO_DEADLINE_MS = 24 * 3600 * WY_MS_PER_S
 };
 
 struct sample
 {
   struct wy_sink sink;        /* must stay first */
-  struct wy_request *request; /* until it is opened */
+  struct wy_request *request; /* until it is started */
   char *id;
   void (*on_done) (void *ctx, const char *id, const struct wy_run_outcome *o);
   void *ctx;
@@ -36,7 +36,7 @@
 }
 
 static void
-done (struct wy_sink *sink, struct wy_request *r)
+sample_done (struct wy_sink *sink, struct wy_request *r)
 {
   struct sample *s = (struct sample *)sink;
   struct wy_run_outcome o = { .result = WY_RUN_DONE,
@@ -47,9 +47,9 @@
                               .n_segments = r->n_segments };
   GString *text = g_string_new (NULL);
 
-  /* A completion whose events don't fit together is no sample: what made it
-     can't be proven.  */
-  if (r->status != 200 || wy_completion_text (r->answer, text))
+  /* A completion whose events are inconsistent is rejected as a sample, since
+     it can't be proven which run made it.  */
+  if (r->status != 200 || wy_completion_text (r->response, text))
     o.result = WY_RUN_FAILED;
   o.text = text->str;
   end_sample (s, &o);
@@ -57,8 +57,8 @@
 }
 
 static void
-refused (struct wy_sink *sink, struct wy_request *r, enum wy_ran ran,
-         enum wy_entry_reason reason, uint32_t retry_after_ms)
+sample_rejected (struct wy_sink *sink, struct wy_request *r, enum wy_ran ran,
+                 enum wy_entry_reason reason, uint32_t retry_after_ms)
 {
   struct wy_run_outcome o = { .result = WY_RUN_FAILED,
                               .ran = ran,
@@ -87,20 +87,20 @@
 }
 
 static struct wy_request *
-make (struct wy_entry *e, const struct wy_run_request *q)
+make_request (struct wy_entry *e, const struct wy_run_request *q)
 {
-  struct wy_pool *l = wy_pool_make (e, q->model, true);
+  struct wy_pool *l = wy_pool_get_or_create (e, q->model, true);
   struct wy_request *r = wy_request_new (e, q->model, l);
-  struct wy_completion_order c = { .model = q->model,
-                                   .prompt = q->prompt,
-                                   .max_tokens = q->max_tokens,
-                                   .min_version = q->min_version };
+  struct wy_completion_params c = { .model = q->model,
+                                    .prompt = q->prompt,
+                                    .max_tokens = q->max_tokens,
+                                    .min_version = q->min_version };
 
   g_free (r->id);
   r->id = g_strdup (q->id);
   r->request_class = WY_REQUEST_ROLLOUT;
   r->deadline_mono_ms = wy_clock_mono_ms (e->clock)
-                        + (q->deadline_ms ? q->deadline_ms : ALWAYS_MS);
+                        + (q->deadline_ms ? q->deadline_ms : NO_DEADLINE_MS);
   r->trainer = g_strdup (q->trainer);
   r->worth_milli = q->worth_milli;
   r->max_tokens = q->max_tokens;
@@ -116,13 +116,13 @@
   return r;
 }
 
-/* Open the samples that were started since the last turn of the loop.  */
+/* Open the requests queued since the last loop iteration.  */
 void
-wy_runner_open (struct wy_entry *e)
+wy_runner_open_pending (struct wy_entry *e)
 {
   struct sample *s;
 
-  while ((s = g_queue_pop_head (&e->starts)))
+  while ((s = g_queue_pop_head (&e->pending_starts)))
     {
       struct wy_request *r = s->request;
 
@@ -132,9 +132,9 @@
 }
 
 static void
-on_starter (uv_timer_t *t)
+on_start_timer (uv_timer_t *t)
 {
-  wy_runner_open (t->data);
+  wy_runner_open_pending (t->data);
 }
 
 static void
@@ -146,15 +146,16 @@
   struct wy_entry *e = ctx;
   struct sample *s = g_malloc0 (sizeof *s);
 
-  s->sink.done = done;
-  s->sink.refused = refused;
+  s->sink.done = sample_done;
+  s->sink.rejected = sample_rejected;
   s->id = g_strdup (q->id);
   s->on_done = on_done;
   s->ctx = done_ctx;
-  s->request = make (e, q);
-  /* Opened in the next turn, since opening may refuse at once.  */
-  g_queue_push_tail (&e->starts, s);
-  uv_timer_start (&e->starter, on_starter, 0, 0);
+  s->request = make_request (e, q);
+  /* Opened in the next loop iteration: opening may reject at once, which would
+     call ON_DONE before this returns.  */
+  g_queue_push_tail (&e->pending_starts, s);
+  uv_timer_start (&e->start_timer, on_start_timer, 0, 0);
 }
 
 static void
@@ -163,7 +164,7 @@
   struct wy_entry *e = ctx;
   struct wy_request *r = g_hash_table_lookup (e->requests, id);
 
-  for (GList *l = e->starts.head; l && !r; l = l->next)
+  for (GList *l = e->pending_starts.head; l && !r; l = l->next)
     {
       struct sample *s = l->data;
       if (!strcmp (s->id, id))
@@ -177,11 +178,12 @@
 }
 
 static uint32_t
-free_places (const struct wy_peer *p)
+free_slots (const struct wy_peer *p)
 {
   const struct wy_target_load *t = &p->load;
   int64_t n = (t->kv_total_tokens - t->kv_used_tokens) / SAMPLE_TOKENS;
-  uint32_t own = wy_placement_in_flight (p->pool->place, (uint32_t)p->slot);
+  uint32_t own
+      = wy_placement_in_flight (p->pool->placement, (uint32_t)p->slot);
   uint32_t ahead = own - MIN (own, t->running);
 
   if (t->queued_rollout > 0 || !t->target_up)
@@ -201,7 +203,7 @@
     {
       const struct wy_peer *p = l->peers->pdata[i];
       if (p && p->ready && p->has_load && !p->leaving)
-        n += free_places (p);
+        n += free_slots (p);
     }
   return n;
 }
@@ -226,7 +228,7 @@
     }
 }
 
-/* How a yard has its samples run at the targets of E.  */
+/* The interface through which a yard runs samples at the targets of E.  */
 struct wy_runner
 wy_entry_runner (struct wy_entry *e)
 {
--- a/src/entry/services.c
+++ b/src/entry/services.c
@@ -1,5 +1,5 @@
-/* Callers' requests to plain services: method, path, headers and body are
-   passed on as they came, and so is the answer.  */
+/* Callers' requests to services: method, path, headers, body and the response
+   are forwarded unchanged.  */
 #include <string.h>
 
 #include "entry/callers.h"
@@ -9,62 +9,63 @@
 
 #define PREFIX "/services/"
 
-/* Headers that concern the connection, not the request, and those that are
-   set anew on the way.  */
-static const char *const own_headers[]
+/* Hop-by-hop headers and those that are set anew at each hop; not
+   forwarded.  */
+static const char *const hop_headers[]
     = { "connection",     "keep-alive", "te",
         "trailer",        "upgrade",    "expect",
         "content-length", "host",       "authorization",
         "date",           "server",     NULL };
 
 static bool
-is_own (const char *name)
+is_hop_header (const char *name)
 {
   if (!g_ascii_strcasecmp (name, "transfer-encoding")
       || !g_ascii_strncasecmp (name, "proxy-", strlen ("proxy-")))
     return true;
-  for (size_t i = 0; own_headers[i]; i++)
-    if (!g_ascii_strcasecmp (name, own_headers[i]))
+  for (size_t i = 0; hop_headers[i]; i++)
+    if (!g_ascii_strcasecmp (name, hop_headers[i]))
       return true;
   return false;
 }
 
 static const char *
-answer_type (const struct wy_request *r)
+content_type (const struct wy_request *r)
 {
-  for (guint i = 0; i + 1 < r->answer_headers->len; i += 2)
-    if (!g_ascii_strcasecmp (r->answer_headers->pdata[i], "content-type"))
-      return r->answer_headers->pdata[i + 1];
+  for (guint i = 0; i + 1 < r->response_headers->len; i += 2)
+    if (!g_ascii_strcasecmp (r->response_headers->pdata[i], "content-type"))
+      return r->response_headers->pdata[i + 1];
   return NULL;
 }
 
 static void
-pass_headers (const struct wy_request *r, struct wy_http_exchange *ex)
+forward_headers (const struct wy_request *r, struct wy_http_exchange *ex)
 {
-  for (guint i = 0; i + 1 < r->answer_headers->len; i += 2)
+  for (guint i = 0; i + 1 < r->response_headers->len; i += 2)
     {
-      const char *name = r->answer_headers->pdata[i];
+      const char *name = r->response_headers->pdata[i];
 
-      if (!is_own (name) && g_ascii_strcasecmp (name, "content-type"))
-        wy_http_add_header (ex, name, r->answer_headers->pdata[i + 1]);
+      if (!is_hop_header (name) && g_ascii_strcasecmp (name, "content-type"))
+        wy_http_add_header (ex, name, r->response_headers->pdata[i + 1]);
     }
   wy_http_add_header (ex, "waxwing-request-id", r->id);
 }
 
-/* An event stream has to be passed on as it comes.  Any other answer is held
-   until it is whole, so that a lost run can be made up for unseen.  */
+/* An event stream is forwarded as it arrives.  Any other response is buffered
+   until it is complete, so that a lost run can be retried without the caller
+   noticing.  */
 static void
 on_head (struct wy_sink *s, struct wy_request *r)
 {
   struct wy_caller *c = (struct wy_caller *)s;
-  const char *type = answer_type (r);
+  const char *type = content_type (r);
 
   if (r->non_idempotent || !type
       || g_ascii_strncasecmp (type, "text/event-stream",
                               strlen ("text/event-stream")))
     return;
   s->streams = true;
-  pass_headers (r, c->ex);
+  forward_headers (r, c->ex);
   wy_http_stream_begin (c->ex, (int)r->status, type);
 }
 
@@ -72,22 +73,22 @@
 on_done (struct wy_sink *s, struct wy_request *r)
 {
   bool streamed = s->streams;
-  struct wy_http_exchange *ex = wy_caller_end (s);
+  struct wy_http_exchange *ex = wy_caller_detach (s);
 
   if (streamed)
     {
       wy_http_stream_end (ex);
       return;
     }
-  pass_headers (r, ex);
-  wy_http_respond (ex, (int)r->status, answer_type (r), r->answer->str,
-                   r->answer->len);
+  forward_headers (r, ex);
+  wy_http_respond (ex, (int)r->status, content_type (r), r->response->str,
+                   r->response->len);
 }
 
 static const struct wy_sink service_sink = { .head = on_head,
-                                             .data = wy_caller_data,
+                                             .data = wy_caller_stream_data,
                                              .done = on_done,
-                                             .refused = wy_caller_refused };
+                                             .rejected = wy_caller_reject };
 
 static void
 copy_headers (struct wy_request *r, struct wy_http_exchange *ex)
@@ -100,16 +101,16 @@
   for (size_t i = 0; i < n; i++)
     {
       wy_http_header_at (ex, i, &name, &value);
-      if (is_own (name))
+      if (is_hop_header (name))
         continue;
       g_ptr_array_add (r->headers, g_strdup (name));
       g_ptr_array_add (r->headers, g_strdup (value));
     }
 }
 
-/* By all that makes the request: with the key alone, another request under
-   the same key would pass for it; without, all that have no body would be
-   one.  */
+/* Fingerprint of key, method, path and body.  With the key alone, different
+   requests under one key would have the same fingerprint; without it, so would
+   all requests without a body.  */
 static uint64_t
 fingerprint (const struct wy_request *r)
 {
@@ -123,7 +124,7 @@
   return f;
 }
 
-/* Pass the request of EX on to the service that its path names.  */
+/* Forward the request of EX to the service that its path names.  */
 void
 wy_services_http (struct wy_entry *e, struct wy_http_exchange *ex)
 {
@@ -138,7 +139,7 @@
   const char *body;
   size_t n;
 
-  if (!wy_caller_admitted (e, ex))
+  if (!wy_caller_check_ready (e, ex))
     {
       g_free (name);
       return;
@@ -151,7 +152,7 @@
     }
   r = wy_request_new (e, name, l);
   g_free (name);
-  if (!wy_caller_head (r, ex))
+  if (!wy_caller_read_headers (r, ex))
     {
       wy_request_free (r);
       return;
--- a/src/entry/settings.c
+++ b/src/entry/settings.c
@@ -1,4 +1,4 @@
-/* The table of an entry's settings, with the reason for each default.  */
+/* Settings of an entry, with reasons for the defaults.  */
 #include "entry/settings.h"
 
 #include "entry/state.h"
@@ -27,15 +27,15 @@
   TEXT (key_2, "", "second shared key, accepted as well"),
   TEXT (operator_token, "", "bearer token of operators; empty: none"),
   TEXT (trainer_token, "", "bearer token of trainers; empty: none"),
-  /* Four heartbeats fit into the silence limit, so that one late loop turn
-     at either end does not cut a sound connection.  */
+  /* Four heartbeats fit into the silence limit, so that one delayed loop
+     iteration at either end does not close a working connection.  */
   NUMBER (heartbeat_ms, "250", 10, 60000, "ms",
           "time between two heartbeats to a target"),
   NUMBER (silence_limit_ms, "1000", 50, 600000, "ms",
           "a connection that was silent for so long is closed"),
   NUMBER (handshake_timeout_ms, "2000", 50, 60000, "ms",
           "time for a connection to prove its key"),
-  /* A request has to fit into one frame, with its headers.  */
+  /* A request with its headers has to fit into one frame.  */
   NUMBER (body_limit_bytes, "4194304", 1024, 15728640, "bytes",
           "largest request body"),
   NUMBER (header_limit, "64", 8, WY_ENTRY_HEADERS_MAX, NULL,
@@ -49,8 +49,8 @@
   NUMBER (default_deadline_ms, "30000", 100, 3600000, "ms",
           "deadline of a request that names none"),
   /* Long enough for two redials of a target whose connection went silent,
-     short enough that a caller waits for a lost target no longer than for a
-     slow answer.  */
+     short enough that waiting for a failed target takes no longer than a slow
+     response.  */
   NUMBER (resume_limit_ms, "1500", 50, 600000, "ms",
           "a target away for so long loses its requests"),
   NUMBER (subset_size, "24", 1, 4096, NULL,
@@ -63,8 +63,9 @@
           "targets tried for one idempotent request"),
   NUMBER (retry_percent, "10", 1, 100, "%", "retries per 100 first attempts"),
   NUMBER (retry_burst, "50", 1, 100000, NULL, "retries that may be saved up"),
-  /* Filings must go through an outage of the store, for which the members
-     known are trusted; a change of members waits as long.  */
+  /* Non-idempotent requests must be served during an outage of the store,
+     for which the known members are trusted this long; a change of members
+     takes effect only after the same time.  */
   NUMBER (roster_trust_ms, "4500000", 1000, 86400000, "ms",
           "time that changed members of a service take to count"),
 };
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -1,4 +1,4 @@
-/* State of an entry; inside the package only.  */
+/* Internal state of an entry.  */
 #ifndef WY_ENTRY_STATE_H
 #define WY_ENTRY_STATE_H
 
@@ -26,7 +26,7 @@
 #define WY_ENTRY_KEY_LIMIT_BYTES 128
 #define WY_ENTRY_HEADERS_MAX 128
 
-/* Why a request was not answered; the reasons that callers are told.  */
+/* Why a request failed, as reported to callers.  */
 enum wy_entry_reason
 {
   WY_REASON_BUSY,
@@ -62,8 +62,8 @@
 {
   char *name;
   bool is_model;
-  struct wy_placement *place;
-  GPtrArray *peers; /* by slot of place; NULL: free */
+  struct wy_placement *placement;
+  GPtrArray *peers; /* by slot of placement; NULL: free */
 };
 
 /* A target and the connection to its agent.  */
@@ -77,49 +77,50 @@
   struct wy_conn *conn;
   char *incarnation;
   uint64_t incarnation_hash;
-  char *weights_source; /* host:port its agent relays weights from */
-  int64_t redial_ms;
-  int64_t away_ms;         /* monotonic time since when it is not ready */
-  int64_t config_revision; /* as the agent told last */
-  int64_t config_sent;
-  int64_t config_again_ms;
+  char *weights_source; /* host:port where its agent serves weights */
+  int64_t next_dial_ms;
+  int64_t disconnected_since_ms; /* monotonic; 0: connected */
+  int64_t config_revision;       /* as the agent reported last */
+  int64_t config_sent_revision;
+  int64_t config_resend_ms;
   struct wy_target_load load;
-  GQueue requests;   /* struct wy_request, by peer_link */
-  GQueue cancels;    /* char *, ids to be cancelled when it is back */
-  uint32_t failures; /* dials in a row that did not get ready */
+  GQueue requests;        /* struct wy_request, by peer_link */
+  GQueue pending_cancels; /* char *, ids to cancel once it is connected */
+  uint32_t failed_dials;  /* consecutive failed dials */
   uint32_t az;
   int slot; /* in the pool's placement; -1: none */
   uint16_t port;
   bool has_load;
   bool ready;
-  bool listed; /* in the last list */
+  bool listed; /* in the last instance list */
   bool list_leaving;
-  bool told_leaving; /* by this incarnation itself */
-  bool wanted;       /* kept connected */
-  bool in_subset;    /* gets work that any target may do */
-  bool leaving;      /* for any reason */
-  bool down;         /* the target, beside a living agent */
+  bool reported_leaving; /* by this incarnation */
+  bool keep_connected;
+  bool in_subset;   /* gets work that any target may run */
+  bool leaving;     /* reported, listed as leaving, or unlisted */
+  bool target_down; /* the target is down while its agent runs */
 };
 
 struct wy_request;
 
-/* Who gets what becomes of a request.  The request is freed after done or
-   refused returns.  */
+/* Receiver of a request's response.  The request is freed after done or
+   rejected returns.  */
 struct wy_sink
 {
-  /* The answer begins; only for those that set streams.  */
+  /* The response head has arrived; may set streams.  NULL: not of
+     interest.  */
   void (*head) (struct wy_sink *s, struct wy_request *r);
   void (*data) (struct wy_sink *s, struct wy_request *r, const char *p,
                 size_t n);
-  /* The whole answer is there.  */
+  /* The response is complete.  */
   void (*done) (struct wy_sink *s, struct wy_request *r);
-  /* Not answered; RAN tells what is known.  */
-  void (*refused) (struct wy_sink *s, struct wy_request *r, enum wy_ran ran,
-                   enum wy_entry_reason reason, uint32_t retry_after_ms);
+  /* The request failed; RAN is what is known of its execution.  */
+  void (*rejected) (struct wy_sink *s, struct wy_request *r, enum wy_ran ran,
+                    enum wy_entry_reason reason, uint32_t retry_after_ms);
   bool streams;
 };
 
-/* A request in progress.  It belongs to no connection.  */
+/* A request in progress.  It is not bound to a connection.  */
 struct wy_request
 {
   struct wy_entry *entry;
@@ -130,7 +131,7 @@
   GPtrArray *sinks; /* struct wy_sink */
   GList open_link;
 
-  /* What is asked for.  */
+  /* The request.  */
   int64_t issued_ms;
   int64_t received_us;
   int64_t deadline_mono_ms;
@@ -149,44 +150,44 @@
   uint32_t predicted_tokens;
   uint32_t worth_milli;
 
-  /* Where it is.  */
+  /* Its current attempt.  */
   uint32_t attempt;
   struct wy_peer *peer;
   GList peer_link;
-  int64_t away_ms;  /* monotonic time since when the peer is away; 0: here */
-  uint64_t sent_to; /* incarnation of the peer that SUBMIT went to */
-  uint32_t slot;    /* of the placement; counts while placed */
+  int64_t disconnected_since_ms;  /* the peer; monotonic, 0: connected */
+  uint64_t submitted_incarnation; /* of the peer that SUBMIT went to */
+  uint32_t slot;                  /* in the placement; valid while placed */
   uint32_t n_tried;
   uint32_t tried[WY_PLACEMENT_TRIED_MAX];
 
-  /* The answer, as far as it is there.  */
+  /* The response, as far as received.  */
   char *run;
-  GPtrArray *answer_headers; /* char *, names and values in turn */
-  GString *answer;
+  GPtrArray *response_headers; /* char *, names and values in turn */
+  GString *response;
   uint64_t offset_bytes;
-  uint64_t gap_bytes;
-  int64_t pace_from_us; /* see pace.c */
-  int64_t pace_last_us;
+  uint64_t gap_offset_bytes;
+  int64_t latency_window_start_us; /* see token_latency.c */
+  int64_t last_chunk_us;
   XXH64_state_t *digest;
-  uint64_t sent_digest; /* of the body made for the caller; 0: the run's */
-  char *finish;
+  uint64_t sent_digest; /* of the body built for the caller; 0: the run's */
+  char *finish_reason;
   struct wy_segment *segments;
   size_t n_segments;
   uint32_t tokens;
   uint32_t status;
-  uint32_t pace_newlines;
+  uint32_t latency_window_newlines;
 
   bool non_idempotent;
   bool suspect;
-  bool cancelled; /* by the yard; the next sweep ends it */
+  bool cancelled; /* by yard or slow caller; the next sweep ends it */
   bool placed;
-  bool sent;    /* SUBMIT went out to peer */
-  bool may_run; /* some earlier attempt may have run */
-  bool headed;  /* HEAD taken */
-  bool begun;   /* a caller was given the head */
-  bool keep;    /* the answer is kept whole in answer */
-  bool gap_asked;
-  void *issue_ask; /* an issue time is awaited, see issue_rows.c */
+  bool sent;         /* SUBMIT was sent to peer */
+  bool may_have_run; /* an earlier attempt may have run */
+  bool head_received;
+  bool response_begun; /* the head was sent to a caller */
+  bool keep_response;  /* buffer the complete response */
+  bool gap_requested;
+  void *issue_lookup; /* pending lookup, see issue_times.c */
 };
 
 struct wy_order
@@ -196,7 +197,7 @@
   char *target;
   void (*on_done) (void *ctx, int result, int64_t version);
   void *ctx;
-  int64_t limit_ms;
+  int64_t expires_ms;
 };
 
 struct wy_entry_counters
@@ -208,14 +209,14 @@
   uint64_t *abandoned;
   uint64_t *retries;
   uint64_t *resumed;
-  uint64_t *redials;
+  uint64_t *dials;
   uint64_t *chunks_dropped;
   uint64_t *list_failed;
   uint64_t *crashes;
   int64_t *open;
   int64_t *connections;
   int64_t *config_revision;
-  int64_t *peers_ready;
+  int64_t *peers_connected;
   struct wy_hist *latency_us;
 };
 
@@ -226,13 +227,13 @@
   const struct wy_entry_settings *s;
   struct wy_trace *trace;
   struct wy_metrics *metrics;
-  struct wy_entry_counters n;
+  struct wy_entry_counters counters;
   struct wy_http_server *http;
   struct wy_http_client *client;
   struct wy_inner_key keys[2];
   struct wy_inner_identity identity;
   char *list_host;
-  char *list_etag; /* of the list last taken; NULL: none */
+  char *list_etag; /* of the last list applied; NULL: none */
   uint32_t entries_listed;
   uint16_t list_port;
 
@@ -242,32 +243,32 @@
   GHashTable *requests;
   GQueue open; /* struct wy_request, by open_link */
   GHashTable *orders;
-  GQueue late_acks; /* in order of their time */
+  GQueue deferred_acks; /* struct deferred_ack, by due time */
   struct wy_outcomes *outcomes;
-  GQueue starts; /* samples to be opened in the next turn */
-  uv_timer_t starter;
+  GQueue pending_starts; /* samples to open in the next loop iteration */
+  uv_timer_t start_timer;
   struct wy_rng rng;
   struct wy_retry_budget budget;
   struct wy_suspects suspects;
 
   struct wy_config_feed *feed;
-  struct wy_store *store;           /* may be NULL */
-  struct wy_issue_rows *issue_rows; /* NULL: no store */
+  struct wy_store *store;             /* may be NULL */
+  struct wy_issue_times *issue_times; /* NULL: no store */
   struct wy_suspect_rows *suspect_rows;
   const struct wy_document *document; /* NULL: none known yet */
 
   bool list_known;
   bool list_failing;
-  int64_t list_ms;
+  int64_t list_received_ms;
   int64_t list_as_of_ms;
   uv_timer_t list_timer;
   struct wy_http_call *list_call;
-  uv_timer_t sweep;
+  uv_timer_t sweep_timer;
 
-  bool ready_told;
-  uint32_t cut;
+  bool ready_announced;
+  uint32_t requests_cut;
   bool stopping;
-  int64_t stop_limit_ms;
+  int64_t stop_deadline_ms;
   bool stopped;
   void (*on_stopped) (void *ctx, uint32_t cut);
   void *stopped_ctx;
--- a/src/entry/status.c
+++ b/src/entry/status.c
@@ -1,5 +1,5 @@
-/* What operators and their tools see of an entry: status, events, metrics,
-   probes, and the orders to drain a target.  */
+/* Operator interface of an entry: status, events, metrics, probes, and drain
+   orders.  */
 #include "entry/status.h"
 
 #include <stdlib.h>
@@ -31,7 +31,7 @@
 static const char *
 target_state (const struct wy_peer *p)
 {
-  if (!p->wanted)
+  if (!p->keep_connected)
     return "not_in_subset";
   if (!p->ready)
     return "away";
@@ -72,7 +72,8 @@
   return list;
 }
 
-/* Whether E may serve: the configuration and the instance list are known.  */
+/* Whether E is ready to serve: not stopping, and configuration and instance
+   list are known.  */
 bool
 wy_entry_ready (const struct wy_entry *e)
 {
@@ -99,13 +100,13 @@
   return list;
 }
 
-/* Answer EX with the status of E.  */
+/* Respond to EX with the status of E.  */
 void
 wy_status_http (struct wy_entry *e, struct wy_http_exchange *ex,
                 const char *tail)
 {
   int64_t list_age_ms
-      = e->list_known ? wy_clock_mono_ms (e->clock) - e->list_ms : -1;
+      = e->list_known ? wy_clock_mono_ms (e->clock) - e->list_received_ms : -1;
   json_t *j = json_pack (
       "{s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:i, s:o, s:o}", "name", e->s->name,
       "incarnation", wy_trace_incarnation (e->trace), "availability_zone",
@@ -120,8 +121,8 @@
   send_json (ex, STATUS_OK, j);
 }
 
-/* Answer EX with the newest events: those after number `after' of the query,
-   the next number in a header.  */
+/* Respond to EX with the events after number `after' of the query; the next
+   number is in a header.  */
 void
 wy_status_events (struct wy_entry *e, struct wy_http_exchange *ex,
                   const char *tail)
@@ -140,7 +141,7 @@
   g_string_free (out, TRUE);
 }
 
-/* Answer EX with the counters.  */
+/* Respond to EX with the metrics.  */
 void
 wy_status_metrics (struct wy_entry *e, struct wy_http_exchange *ex,
                    const char *tail)
@@ -149,19 +150,19 @@
   GHashTableIter i;
   gpointer value;
 
-  *e->n.peers_ready = 0;
+  *e->counters.peers_connected = 0;
   g_hash_table_iter_init (&i, e->peers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    *e->n.peers_ready += ((struct wy_peer *)value)->ready;
-  *e->n.config_revision = wy_config_feed_revision (e->feed);
-  *e->n.connections = wy_http_server_connections (e->http);
+    *e->counters.peers_connected += ((struct wy_peer *)value)->ready;
+  *e->counters.config_revision = wy_config_feed_revision (e->feed);
+  *e->counters.connections = wy_http_server_connections (e->http);
   wy_metrics_print (e->metrics, out);
   wy_http_respond (ex, STATUS_OK, "text/plain; version=0.0.4", out->str,
                    out->len);
   g_string_free (out, TRUE);
 }
 
-/* Answer EX that the process runs.  */
+/* Liveness probe.  */
 void
 wy_status_health (struct wy_entry *e, struct wy_http_exchange *ex,
                   const char *tail)
@@ -169,7 +170,7 @@
   wy_http_respond (ex, STATUS_OK, "text/plain", "ok\n", 3);
 }
 
-/* Answer EX whether the balancer may send callers here.  */
+/* Readiness probe: whether the load balancer may send callers here.  */
 void
 wy_status_ready (struct wy_entry *e, struct wy_http_exchange *ex,
                  const char *tail)
@@ -182,8 +183,7 @@
     wy_http_respond (ex, STATUS_NOT_READY, "text/plain", no, strlen (no));
 }
 
-/* Order a target to drain, or take it back: TAIL is ID/drain or
-   ID/undrain.  */
+/* Order a target to drain or undrain: TAIL is ID/drain or ID/undrain.  */
 void
 wy_status_target (struct wy_entry *e, struct wy_http_exchange *ex,
                   const char *tail)
--- a/src/entry/subset.c
+++ b/src/entry/subset.c
@@ -1,12 +1,12 @@
 /* Deterministic choice of the targets an entry is connected to.
 
-   Made for thousands of targets and tens of entries: were each entry
-   connected to each target, every target would answer the heartbeats of all
-   entries.  By rendezvous hashing each entry gets its own subset without any
-   talk, the subsets of all entries together load the targets evenly, and one
-   target that comes or goes changes one connection.  The best target of each
-   availability zone comes first, so that the loss of all other zones leaves
-   the entry a target.  */
+   For thousands of targets and tens of entries: if each entry were connected
+   to each target, every target would exchange heartbeats with all entries.  By
+   rendezvous hashing each entry gets its own subset without coordination, the
+   subsets of all entries together load the targets evenly, and adding or
+   removing one target changes one connection.  The best target of each
+   availability zone is always included, so that the entry still has a target
+   when all other zones fail.  */
 #include "entry/subset.h"
 
 #include <stdlib.h>
@@ -34,8 +34,9 @@
   return false;
 }
 
-/* Mark SIZE of the N ITEMS as chosen by ENTRY, one of each availability zone
-   at least, also when there are more zones than SIZE.  Sorts the items.  */
+/* Mark SIZE of the N ITEMS as chosen by ENTRY, at least one of each
+   availability zone even if there are more zones than SIZE.  Sorts the
+   items.  */
 void
 wy_subset_choose (const char *entry, struct wy_subset_item *items, size_t n,
                   size_t size)
--- a/src/entry/subset.h
+++ b/src/entry/subset.h
@@ -1,4 +1,4 @@
-/* Which targets an entry keeps connections to.  */
+/* Choice of the targets an entry is connected to.  */
 #ifndef WY_ENTRY_SUBSET_H
 #define WY_ENTRY_SUBSET_H
 
--- a/src/entry/suspect_rows.c
+++ b/src/entry/suspect_rows.c
@@ -1,11 +1,11 @@
-/* Suspects of all entries, kept in the table service.
-
-   Row "suspects/FINGERPRINT/ENTRY" holds the targets that ENTRY saw crash.
-   Each entry writes only its own rows, so that two that see a crash at once
-   don't undo each other; readers take the union.  Whoever clears a
-   fingerprint deletes the rows of all entries, and those that had read them
-   drop it at their next read.  Four reads a second an entry; writes are as
-   rare as crashes.  */
+/* Suspect fingerprints of all entries, shared through the table service.
+
+   Row "suspects/FINGERPRINT/ENTRY" holds the targets whose crash ENTRY
+   observed.  Each entry writes only its own rows, so that two entries that
+   observe a crash at the same time don't overwrite each other; readers merge
+   the rows.  To clear a fingerprint an entry deletes the rows of all entries,
+   and the others discard it at their next read.  Each entry reads four times a
+   second; writes are as rare as crashes.  */
 #include "entry/suspect_rows.h"
 
 #include <inttypes.h>
@@ -21,12 +21,12 @@
 
 enum
 {
-  /* A caller whose request was blocked at one entry sends it to another at
-     once; that one must have read the rows by then, or it costs a third
-     target.  */
+  /* A caller whose request was blocked at one entry retries at another at
+     once; that one must have read the rows by then, or a third target
+     crashes.  */
   READ_MS = 250,
   HEX = 16,
-  /* Entries whose rows of one fingerprint are deleted at once.  */
+  /* Entries whose rows of one fingerprint are deleted in one transaction.  */
   WRITES_MAX = 64,
   FINGERPRINT_CHARS = 16
 };
@@ -34,13 +34,13 @@
 struct wy_suspect_rows
 {
   struct wy_entry *entry;
-  GHashTable *keys; /* rows read last: key of the row -> itself */
-  int64_t read_ms;
+  GHashTable *keys; /* rows at the last read: key of the row -> itself */
+  int64_t next_read_ms;
   bool reading;
   bool closing;
 };
 
-/* What S needs to know of the rows of E.  */
+/* Create the shared suspects of E.  */
 struct wy_suspect_rows *
 wy_suspect_rows_new (struct wy_entry *e)
 {
@@ -76,7 +76,7 @@
 }
 
 static void
-take_row (struct wy_suspect_rows *s, const struct wy_store_row *row)
+merge_row (struct wy_suspect_rows *s, const struct wy_store_row *row)
 {
   const json_t *targets = json_object_get (row->value, "targets");
   struct wy_suspect x = { .fingerprint = fingerprint_of (row->key) };
@@ -107,10 +107,10 @@
   return false;
 }
 
-/* Drop the fingerprints whose rows were there at the last read and are gone:
-   someone lifted them.  */
+/* Clear the fingerprints whose rows were there at the last read and are gone:
+   another entry cleared them.  */
 static void
-drop_lifted (struct wy_suspect_rows *s, GHashTable *now)
+clear_deleted (struct wy_suspect_rows *s, GHashTable *now)
 {
   GHashTableIter i;
   gpointer key;
@@ -139,15 +139,15 @@
   for (size_t i = 0; i < r->n_rows; i++)
     if (r->rows[i].value)
       g_hash_table_add (now, g_strdup (r->rows[i].key));
-  drop_lifted (s, now);
+  clear_deleted (s, now);
   for (size_t i = 0; i < r->n_rows; i++)
     if (r->rows[i].value)
-      take_row (s, &r->rows[i]);
+      merge_row (s, &r->rows[i]);
   g_hash_table_destroy (s->keys);
   s->keys = now;
 }
 
-/* Read the rows now.  */
+/* Read the rows now, unless a read is in progress.  */
 void
 wy_suspect_rows_read (struct wy_suspect_rows *s)
 {
@@ -159,23 +159,23 @@
   wy_store_read (s->entry->store, &read, on_read, s);
 }
 
-/* A target went away: what it ran may have been written by another entry;
-   read at the next sweep.  */
+/* A target went down: another entry may have written rows about its requests.
+   Read at the next sweep.  */
 void
-wy_suspect_rows_hurry (struct wy_suspect_rows *s)
+wy_suspect_rows_read_soon (struct wy_suspect_rows *s)
 {
-  s->read_ms = 0;
+  s->next_read_ms = 0;
 }
 
-/* Read the rows when that is due.  */
+/* Periodic check: read the rows when that is due.  */
 void
 wy_suspect_rows_sweep (struct wy_suspect_rows *s, int64_t now_ms)
 {
   uint32_t half = READ_MS / 2;
 
-  if (now_ms < s->read_ms)
+  if (now_ms < s->next_read_ms)
     return;
-  s->read_ms = now_ms + half + wy_rng_below (&s->entry->rng, READ_MS);
+  s->next_read_ms = now_ms + half + wy_rng_below (&s->entry->rng, READ_MS);
   wy_suspect_rows_read (s);
 }
 
@@ -237,7 +237,8 @@
     write_rows (s, w, n, op);
 }
 
-/* What this entry knows of FINGERPRINT has changed: tell the others.  */
+/* This entry's record of FINGERPRINT has changed: write it, or delete the rows
+   if it was cleared.  */
 void
 wy_suspect_rows_changed (struct wy_suspect_rows *s, uint64_t fingerprint)
 {
--- a/src/entry/suspect_rows.h
+++ b/src/entry/suspect_rows.h
@@ -1,4 +1,4 @@
-/* Suspects of all entries, kept in the table service.  */
+/* Suspect fingerprints of all entries, shared through the table service.  */
 #ifndef WY_ENTRY_SUSPECT_ROWS_H
 #define WY_ENTRY_SUSPECT_ROWS_H
 
@@ -10,7 +10,7 @@
 void wy_suspect_rows_free (struct wy_suspect_rows *s);
 void wy_suspect_rows_changed (struct wy_suspect_rows *s, uint64_t fingerprint);
 void wy_suspect_rows_read (struct wy_suspect_rows *s);
-void wy_suspect_rows_hurry (struct wy_suspect_rows *s);
+void wy_suspect_rows_read_soon (struct wy_suspect_rows *s);
 void wy_suspect_rows_sweep (struct wy_suspect_rows *s, int64_t now_ms);
 
 #endif
--- a/src/entry/suspects.c
+++ b/src/entry/suspects.c
@@ -1,10 +1,9 @@
-/* Requests that crash the targets that run them, over all entries.
+/* Detection of requests that crash targets, shared by all entries.
 
-   The caller of such a request sends it again, to any entry.  What one entry
-   saw crash is therefore written to the table service, one row a fingerprint,
-   and read by the others with their configuration poll; the writes are as
-   rare as crashes.  While the store is down each entry still holds back what
-   it saw itself.  */
+   The caller of such a request retries it, at any entry.  Crashes that one
+   entry observes are therefore written to the table service, one row per
+   fingerprint and entry, and read by the others.  While the store is down each
+   entry still blocks by its own observations.  */
 #include "entry/suspects.h"
 
 #include <inttypes.h>
@@ -23,13 +22,13 @@
 #define FINGERPRINT_SIZE_BYTES 17
 
 static void
-hex (uint64_t fingerprint, char out[FINGERPRINT_SIZE_BYTES])
+format_fingerprint (uint64_t fingerprint, char out[FINGERPRINT_SIZE_BYTES])
 {
   g_snprintf (out, FINGERPRINT_SIZE_BYTES, "%016" PRIx64, fingerprint);
 }
 
 static enum wy_suspicion
-check (struct wy_entry *e, uint64_t fingerprint)
+check_suspicion (struct wy_entry *e, uint64_t fingerprint)
 {
   if (fingerprint == 0)
     return WY_SUSPICION_NONE;
@@ -37,12 +36,12 @@
                             wy_clock_mono_ms (e->clock));
 }
 
-/* Whether R is to be refused because targets crashed under it.  Sets whether
-   it has to run alone.  */
+/* Whether R must be rejected because it crashed targets.  Sets whether R has
+   to run isolated.  */
 bool
-wy_suspect_refused (struct wy_request *r)
+wy_suspect_must_reject (struct wy_request *r)
 {
-  switch (check (r->entry, r->fingerprint))
+  switch (check_suspicion (r->entry, r->fingerprint))
     {
     case WY_SUSPICION_NONE:
       r->suspect = false;
@@ -57,7 +56,7 @@
 }
 
 static void
-tell_changed (struct wy_entry *e, uint64_t fingerprint)
+publish_change (struct wy_entry *e, uint64_t fingerprint)
 {
   if (e->suspect_rows)
     wy_suspect_rows_changed (e->suspect_rows, fingerprint);
@@ -65,11 +64,11 @@
 
 /* Target P crashed while R ran on it.  */
 void
-wy_suspect_crashed (struct wy_request *r, struct wy_peer *p)
+wy_suspect_record_crash (struct wy_request *r, struct wy_peer *p)
 {
   struct wy_entry *e = r->entry;
   char text[FINGERPRINT_SIZE_BYTES];
-  enum wy_suspicion before = check (e, r->fingerprint);
+  enum wy_suspicion before = check_suspicion (e, r->fingerprint);
   enum wy_suspicion after;
 
   if (r->fingerprint == 0)
@@ -77,30 +76,30 @@
   wy_suspects_record_crash (
       &e->suspects, r->fingerprint, wy_hash64 (p->id, strlen (p->id), 0),
       p->has_load ? p->load.running : 0, wy_clock_mono_ms (e->clock));
-  after = check (e, r->fingerprint);
-  hex (r->fingerprint, text);
+  after = check_suspicion (e, r->fingerprint);
+  format_fingerprint (r->fingerprint, text);
   if (before == WY_SUSPICION_NONE)
     wy_trace_event (e->trace, "suspect.marked", "{s:s}", "fingerprint", text);
   if (before != WY_SUSPICION_REFUSE && after == WY_SUSPICION_REFUSE)
     wy_trace_event (e->trace, "suspect.blocked", "{s:s}", "fingerprint", text);
   wy_log (WY_LOG_WARN, "suspect", "fingerprint=%s target=%s req=%s", text,
           p->id, r->id);
-  tell_changed (e, r->fingerprint);
+  publish_change (e, r->fingerprint);
 }
 
-/* R ended in good order.  */
+/* R completed: clear it if it was suspect.  */
 void
-wy_suspect_cleared (struct wy_request *r)
+wy_suspect_clear (struct wy_request *r)
 {
   if (!r->suspect)
     return;
   wy_suspects_clear (&r->entry->suspects, r->fingerprint);
-  tell_changed (r->entry, r->fingerprint);
+  publish_change (r->entry, r->fingerprint);
 }
 
-/* Answer EX with the blocked and the suspect fingerprints.  */
+/* Respond to EX with the blocked and the suspect fingerprints.  */
 void
-wy_suspect_list (struct wy_entry *e, struct wy_http_exchange *ex)
+wy_suspect_list_http (struct wy_entry *e, struct wy_http_exchange *ex)
 {
   json_t *list = json_array ();
   json_t *j = json_pack ("{s:o}", "blocks", list);
@@ -110,11 +109,11 @@
   for (uint32_t i = 0; i < WY_SUSPECTS_MAX; i++)
     {
       const struct wy_suspect *s = &e->suspects.slot[i];
-      enum wy_suspicion what = check (e, s->fingerprint);
+      enum wy_suspicion what = check_suspicion (e, s->fingerprint);
 
       if (what == WY_SUSPICION_NONE)
         continue;
-      hex (s->fingerprint, text);
+      format_fingerprint (s->fingerprint, text);
       json_array_append_new (list,
                              json_pack ("{s:s, s:b, s:i}", "fingerprint", text,
                                         "blocked", what == WY_SUSPICION_REFUSE,
@@ -144,24 +143,24 @@
     }
 }
 
-/* An operator lifts the block of FINGERPRINT; answer EX.  */
+/* An operator unblocks FINGERPRINT (hexadecimal); respond to EX.  */
 void
-wy_suspect_lift (struct wy_entry *e, struct wy_http_exchange *ex,
-                 const char *fingerprint)
+wy_suspect_lift_http (struct wy_entry *e, struct wy_http_exchange *ex,
+                      const char *fingerprint)
 {
   char text[FINGERPRINT_SIZE_BYTES];
   uint64_t f = strtoull (fingerprint, NULL, 16);
   struct wy_problem missing = { .reason = WY_REASON_NOT_FOUND };
 
-  if (check (e, f) == WY_SUSPICION_NONE)
+  if (check_suspicion (e, f) == WY_SUSPICION_NONE)
     {
       wy_problem_send (ex, &missing);
       return;
     }
-  hex (f, text);
+  format_fingerprint (f, text);
   wy_suspects_clear (&e->suspects, f);
   wy_trace_event (e->trace, "suspect.lifted", "{s:s}", "fingerprint", text);
   unblock_at_agents (e, f);
-  tell_changed (e, f);
+  publish_change (e, f);
   wy_http_respond (ex, 204, NULL, "", 0);
 }
--- a/tests/test_entry_at_most_once.c
+++ b/tests/test_entry_at_most_once.c
@@ -12,7 +12,7 @@
     = { { "waxwing-idempotent", "no" } };
 
 static void
-file (struct caller *c, struct fixture *w)
+send_filing (struct caller *c, struct fixture *w)
 {
   call_start (c, w, "POST", "/services/portal/filings", filing,
               G_N_ELEMENTS (filing), "{}");
@@ -59,9 +59,9 @@
   cr_assert_not_null (c->retry_after);
 }
 
-/* The same filing sent again and again reaches the same target each time, the
-   only one that can know whether it ran.  */
-Test (entry_once, resends_meet_the_same_target)
+/* Retries of a request go to the same target each time, the only one that can
+   know whether it ran.  */
+Test (entry_at_most_once, retries_reach_the_same_target)
 {
   struct fixture w;
   struct caller c;
@@ -69,7 +69,7 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 5; i++)
     {
-      file (&c, &w);
+      send_filing (&c, &w);
       call_wait (&c);
       cr_assert_eq (c.status, 200);
       call_free (&c);
@@ -82,10 +82,11 @@
   fixture_stop (&w);
 }
 
-/* The target dies after it took the filing and before it answered.  Whether
-   the filing ran can't be known; saying `not run' would make the caller file
-   it twice, and so would another target.  */
-Test (entry_once, home_lost_after_it_took_the_request)
+/* The target fails after it accepted the request and before it responded.
+   Whether the request ran can't be known; guards against reporting `not run'
+   and against a retry at another target, which would both lead to a second
+   execution.  */
+Test (entry_at_most_once, home_fails_after_accepting_the_request)
 {
   struct fixture w;
   struct caller c;
@@ -93,7 +94,7 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
-  file (&c, &w);
+  send_filing (&c, &w);
   fixture_run_until (&w, submitted, &w);
   fake_agent_stop (home (&w));
   expect_unknown (&c);
@@ -102,9 +103,9 @@
   fixture_stop (&w);
 }
 
-/* The same, but the target's agent is back at once as a new incarnation that
-   remembers nothing.  It must not be given the filing anew.  */
-Test (entry_once, home_back_as_a_new_incarnation)
+/* The same, but the agent is back at once as a new incarnation without
+   records.  Guards against submitting the request to it again.  */
+Test (entry_at_most_once, home_restarted_as_new_incarnation)
 {
   struct fixture w;
   struct caller c;
@@ -114,7 +115,7 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
-  file (&c, &w);
+  send_filing (&c, &w);
   fixture_run_until (&w, submitted, &w);
   first = home (&w);
   fake_agent_stop (first);
@@ -128,23 +129,24 @@
   fake_agent_free (&again);
 }
 
-/* The only target for a key is away when the filing comes.  The key may have
-   been sent through another entry before, so this one can't say `not run';
-   a filing without a key can't have been, and goes to another member.  */
-Test (entry_once, home_away)
+/* The home of a key is disconnected when the request arrives.  The key may
+   have been sent through another entry before, so this entry can't report `not
+   run'.  A request without a key can't have been, and goes to another
+   member.  */
+Test (entry_at_most_once, home_disconnected)
 {
   struct fixture w;
   struct caller c;
   struct fake_agent *lost;
 
   fixture_start (&w, 3, true);
-  file (&c, &w);
+  send_filing (&c, &w);
   call_wait (&c);
   call_free (&c);
   lost = home (&w);
   fake_agent_stop (lost);
   fixture_run_ms (&w, 100);
-  file (&c, &w);
+  send_filing (&c, &w);
   expect_unknown (&c);
   call_free (&c);
   for (int i = 0; i < 10; i++)
@@ -159,9 +161,9 @@
   fixture_stop (&w);
 }
 
-/* The connection to the home goes silent after it took the filing.  The
-   answer is learnt on the next connection, and the filing runs once.  */
-Test (entry_once, answer_learnt_after_silence)
+/* The connection to the home goes silent after the request was accepted.  The
+   response must arrive on the next connection, after a single run.  */
+Test (entry_at_most_once, response_resumed_after_silence)
 {
   struct fixture w;
   struct caller c;
@@ -169,7 +171,7 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
-  file (&c, &w);
+  send_filing (&c, &w);
   fixture_run_until (&w, submitted, &w);
   for (int i = 0; i < 3; i++)
     relay_discard (w.relay[i], true, true);
@@ -181,10 +183,10 @@
   fixture_stop (&w);
 }
 
-/* The connection swallows the filing itself on its way to the home.  The home,
-   asked on the next connection by the same incarnation, knows nothing of it,
-   so it may be given to it again; it runs once.  */
-Test (entry_once, request_swallowed_on_the_way)
+/* The request itself is lost on the connection to the home.  The same
+   incarnation of the home, asked on the next connection, has no record of it,
+   so it may be sent again; it must run once.  */
+Test (entry_at_most_once, request_lost_in_transit)
 {
   struct fixture w;
   struct caller c;
@@ -192,7 +194,7 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     relay_discard (w.relay[i], true, false);
-  file (&c, &w);
+  send_filing (&c, &w);
   call_wait (&c);
   cr_assert_eq (c.status, 200, "%s", c.body->str);
   cr_assert_eq (submits (&w), 1);
@@ -200,16 +202,17 @@
   fixture_stop (&w);
 }
 
-/* The answer of a filing may be lost between entry and caller.  Until the
-   caller has had time to send it again the home must keep the answer; that of
-   a request without a key can't be asked for and is let go at once.  */
-Test (entry_once, answer_is_kept_for_a_resend)
+/* The response may be lost between entry and caller.  Guards against an
+   acknowledgement before the caller had time to retry, which would discard the
+   response.  Without a key it can't be asked for and is acknowledged at
+   once.  */
+Test (entry_at_most_once, response_kept_for_a_retry)
 {
   struct fixture w;
   struct caller c;
 
   fixture_start (&w, 3, true);
-  file (&c, &w);
+  send_filing (&c, &w);
   call_wait (&c);
   call_free (&c);
   fixture_run_ms (&w, 50);
@@ -231,9 +234,9 @@
   g_free (id);
 }
 
-/* The home refuses and vouches that the filing did not run.  That is passed
-   on, and no other target is asked.  */
-Test (entry_once, refusal_of_the_home)
+/* The home refuses and proves that the request did not run.  The caller must
+   be told so, and no other target asked.  */
+Test (entry_at_most_once, home_refuses)
 {
   struct fixture w;
   struct caller c;
@@ -241,7 +244,7 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = refuse;
-  file (&c, &w);
+  send_filing (&c, &w);
   call_wait (&c);
   cr_assert_eq (c.status, 503);
   cr_assert (call_body_contains (&c, "\"ran\":\"no\""), "%s", c.body->str);
@@ -252,10 +255,9 @@
   fixture_stop (&w);
 }
 
-/* An impatient caller sends the filing again while it still runs.  Both
-   sendings get the answer of the one run; another filing under the same key
-   is told that the key is taken.  */
-Test (entry_once, sent_again_while_it_runs)
+/* A caller retries while the request still runs.  Both must get the response
+   of the one run; a different request under the same key must be rejected.  */
+Test (entry_at_most_once, retry_while_running)
 {
   struct fixture w;
   struct caller first;
@@ -266,9 +268,9 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
-  file (&first, &w);
+  send_filing (&first, &w);
   fixture_run_until (&w, submitted, &w);
-  file (&second, &w);
+  send_filing (&second, &w);
   call_start (&other, &w, "POST", "/services/portal/filings", filing,
               G_N_ELEMENTS (filing), "{\"other\":1}");
   call_wait (&other);
@@ -288,9 +290,9 @@
   fixture_stop (&w);
 }
 
-/* The caller of a filing goes away while it runs.  Cancelling it halfway would
-   leave nobody knowing how far it got, so it goes on.  */
-Test (entry_once, caller_gone)
+/* The caller disconnects while a non-idempotent request runs.  It must not be
+   cancelled, since nobody would know how far it got.  */
+Test (entry_at_most_once, caller_disconnects)
 {
   struct fixture w;
   struct caller c;
@@ -298,7 +300,7 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
-  file (&c, &w);
+  send_filing (&c, &w);
   fixture_run_until (&w, submitted, &w);
   wy_http_call_cancel (c.call);
   fixture_run_ms (&w, 800);
@@ -308,9 +310,9 @@
   fixture_stop (&w);
 }
 
-/* The caller of a filing loses its connection while the answer arrives, and
-   sends the filing again.  It must get the whole answer of the one run.  */
-Test (entry_once, caller_gone_and_back)
+/* The caller loses its connection while the response arrives, and retries.  It
+   must get the complete response of the one run.  */
+Test (entry_at_most_once, caller_disconnects_and_retries)
 {
   struct fixture w;
   struct caller first;
@@ -320,7 +322,7 @@
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
     w.agent[i].on_submit = accept_only;
-  file (&first, &w);
+  send_filing (&first, &w);
   fixture_run_until (&w, submitted, &w);
   wy_http_call_cancel (first.call);
   fixture_run_ms (&w, 700);
@@ -328,7 +330,7 @@
   fake_send_head (home (&w), r, 200, "text/plain");
   fake_send_chunk (home (&w), r, 0, 2);
   fixture_run_ms (&w, 50);
-  file (&again, &w);
+  send_filing (&again, &w);
   fixture_run_ms (&w, 50);
   fake_send_chunk (home (&w), r, 2, 4);
   fake_send_end (home (&w), r, WY_RUN_DONE);
@@ -342,7 +344,7 @@
 }
 
 static void
-tell_done (struct fake_agent *a, const struct wy_frame *f)
+send_outcome_done (struct fake_agent *a, const struct wy_frame *f)
 {
   struct wy_frame out = { .kind = WY_FRAME_OUTCOME };
 
@@ -353,16 +355,16 @@
   wy_conn_send (a->conn, &out);
 }
 
-/* A caller that was told `unknown' asks later, through any entry, what became
-   of its filing.  The home knows.  */
-Test (entry_once, outcome_by_identifier)
+/* A caller that was told `unknown' queries the outcome later, through any
+   entry; the home knows it.  */
+Test (entry_at_most_once, outcome_by_identifier)
 {
   struct fixture w;
   struct caller c;
 
   fixture_start (&w, 3, true);
   for (int i = 0; i < 3; i++)
-    w.agent[i].on_query = tell_done;
+    w.agent[i].on_query = send_outcome_done;
   call_start (&c, &w, "GET", "/v1/requests/portal:f-17", NULL, 0, "");
   call_wait (&c);
   cr_assert_eq (c.status, 200);
--- a/tests/test_entry_issue_times.c
+++ b/tests/test_entry_issue_times.c
@@ -1,4 +1,5 @@
-/* Filings under keys that tell no issue time, with real programs.  */
+/* Non-idempotent requests whose key encodes no issue time, with real
+   processes.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -8,7 +9,8 @@
 
 enum
 {
-  /* Past the time for which new agents can't vouch.  */
+  /* A new agent rejects requests issued up to twice the clock skew after its
+     start.  */
   SETTLE_MS = 1500
 };
 
@@ -18,7 +20,7 @@
         { NULL, NULL } };
 
 static char *
-file (const struct test_deployment *y, uint32_t entry, int *status)
+send_filing (const struct test_deployment *y, uint32_t entry, int *status)
 {
   return deployment_post (y, entry, FILINGS, "{\"key\":\"f\",\"value\":1}",
                           headers, status);
@@ -35,10 +37,10 @@
   return n;
 }
 
-/* A caller that knows nothing of issue times files under a key of its own
-   making, on a yard that has just been started, and again through the other
-   entry.  It expects to be served, once.  */
-Test (entry_keys, plain_key_on_a_fresh_yard, .timeout = 120)
+/* On a cluster that has just been started a caller sends a request under a key
+   of its own making, and again through the other entry.  Guards against a
+   rejection of such keys or a second execution.  */
+Test (entry_issue_times, plain_key_after_start, .timeout = 120)
 {
   struct test_deployment y;
   int status;
@@ -48,7 +50,7 @@
   wy_sleep_ms (SETTLE_MS);
   for (uint32_t i = 0; i < DEPLOYMENT_ENTRIES; i++)
     {
-      text = file (&y, i, &status);
+      text = send_filing (&y, i, &status);
       cr_expect_eq (status, 200, "entry %u: %s", i, text);
       cr_expect (strstr (text, "\"executions\":1"), "%s", text);
       g_free (text);
@@ -57,11 +59,11 @@
   deployment_stop_and_check (&y);
 }
 
-/* The agent that ran the filing dies with its memory and is started again.
-   The caller, who lost the answer, files again under the same key.  The new
-   agent can't know, so the caller is told `unknown'; a second execution would
-   record the filing twice.  */
-Test (entry_keys, plain_key_after_its_target_was_restarted, .timeout = 120)
+/* The agent that ran the request is killed and restarted without its records.
+   The caller, who lost the response, retries under the same key.  The new
+   agent can't know whether it ran, so the caller is told `unknown'; guards
+   against a second execution.  */
+Test (entry_issue_times, plain_key_after_target_restart, .timeout = 120)
 {
   struct test_deployment y;
   int status;
@@ -69,7 +71,7 @@
 
   deployment_start (&y);
   wy_sleep_ms (SETTLE_MS);
-  text = file (&y, 0, &status);
+  text = send_filing (&y, 0, &status);
   cr_assert_eq (status, 200, "%s", text);
   g_free (text);
   for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
@@ -81,7 +83,7 @@
       }
   deployment_wait_ready (&y, 1);
   wy_sleep_ms (SETTLE_MS);
-  text = file (&y, 1, &status);
+  text = send_filing (&y, 1, &status);
   cr_expect_eq (status, 409, "%s", text);
   cr_expect (strstr (text, "\"ran\":\"unknown\""), "%s", text);
   g_free (text);
@@ -89,10 +91,11 @@
   deployment_stop_and_check (&y);
 }
 
-/* The table service is down, so the key gets no issue time.  The filing must
-   go through all the same where its target has been up for long, and must not
-   be called `not run' where it has not.  */
-Test (entry_keys, plain_key_while_the_store_is_down, .timeout = 120)
+/* The table service is down, so the key gets no issue time, and the target is
+   still in its cold window.  Guards against reporting `not run', which can't
+   be proven here.  A target that has been up for longer serves such
+   requests.  */
+Test (entry_issue_times, plain_key_during_store_outage, .timeout = 120)
 {
   struct test_deployment y;
   int status;
@@ -102,7 +105,7 @@
   wy_sleep_ms (SETTLE_MS);
   deployment_inject_fault (&y, DEPLOYMENT_TABLE,
                            "{\"fault\":\"down\",\"for_ms\":600000}");
-  text = file (&y, 0, &status);
+  text = send_filing (&y, 0, &status);
   cr_expect_eq (status, 409, "%s", text);
   cr_expect (strstr (text, "\"ran\":\"unknown\""), "%s", text);
   cr_expect_eq (executions (&y), 0);
--- a/tests/test_entry_path.c
+++ b/tests/test_entry_path.c
@@ -1,4 +1,4 @@
-/* The whole path of an entry: callers' HTTP to agents and back.  */
+/* The request path of an entry: from callers' HTTP to agents and back.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "entry/state.h"
 #include "support/entry_fixture.h"
 
-#define PROMPT "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":2}"
+#define UNSTREAMED "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":2}"
 #define STREAM                                                                \
   "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":2,\"stream\":true}"
 
@@ -17,7 +17,7 @@
   return ((struct fixture *)ctx)->agent[0].acks == 1;
 }
 
-Test (entry_path, whole_completion)
+Test (entry_path, unstreamed_completion)
 {
   struct fixture w;
   struct caller c;
@@ -25,7 +25,7 @@
   const char *text;
 
   fixture_start (&w, 1, false);
-  call_start (&c, &w, "POST", "/v1/completions", NULL, 0, PROMPT);
+  call_start (&c, &w, "POST", "/v1/completions", NULL, 0, UNSTREAMED);
   call_wait (&c);
   cr_assert_eq (c.status, 200, "%s", c.body->str);
   j = json_loads (c.body->str, 0, NULL);
@@ -40,10 +40,10 @@
   fixture_stop (&w);
 }
 
-/* An entry has just started and does not know its targets or configuration
-   yet. Guards against requests that are served, or refused for good, on what
-   it happens to know.  */
-Test (entry_path, not_ready_is_told)
+/* An entry has just started and knows neither its targets nor the
+   configuration yet.  Guards against serving requests, or rejecting them
+   permanently, on incomplete knowledge.  */
+Test (entry_path, not_ready)
 {
   struct fixture w;
   struct caller c;
@@ -51,7 +51,7 @@
   fixture_start (&w, 1, false);
   w.list_unavailable = true;
   w.entry->list_known = false;
-  call_start (&c, &w, "POST", "/v1/completions", NULL, 0, PROMPT);
+  call_start (&c, &w, "POST", "/v1/completions", NULL, 0, UNSTREAMED);
   call_wait (&c);
   cr_expect_eq (c.status, 503, "%s", c.body->str);
   cr_expect_not_null (c.retry_after);
@@ -79,7 +79,7 @@
   fixture_stop (&w);
 }
 
-Test (entry_path, service_call_is_passed_through)
+Test (entry_path, service_request_is_forwarded)
 {
   struct fixture w;
   struct caller c;
--- a/tests/test_entry_processes.c
+++ b/tests/test_entry_processes.c
@@ -1,5 +1,5 @@
-/* Entries, agents and stand-ins as real programs: what callers get when
-   programs die, and that every promise holds by the timelines.  */
+/* Entries, agents and stand-ins as real processes: what callers get when
+   processes are killed, and that the timelines pass all checks.  */
 #include <arpa/inet.h>
 #include <criterion/criterion.h>
 #include <signal.h>
@@ -26,20 +26,20 @@
 }
 
 static size_t
-engines_lost (const struct test_deployment *y)
+engines_down (const struct test_deployment *y)
 {
-  size_t lost = 0;
+  size_t down = 0;
 
   for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
-    lost += deployment_count_events (y, DEPLOYMENT_MODEL_AGENT + i,
+    down += deployment_count_events (y, DEPLOYMENT_MODEL_AGENT + i,
                                      "target.down");
-  return lost;
+  return down;
 }
 
-/* One request crashes each engine that runs it.  Its caller sends it again,
-   to one entry and then to the other.  Two engines may be lost, not the
-   third, and other callers are still answered.  */
-Test (entry_procs, request_that_crashes_engines, .timeout = 120)
+/* One request crashes each engine that runs it, and its caller retries it
+   through both entries.  At most two engines may crash, and other callers must
+   still be served.  */
+Test (entry_processes, request_that_crashes_engines, .timeout = 120)
 {
   struct test_deployment y;
   int status;
@@ -57,16 +57,16 @@
       g_free (text);
       wy_sleep_ms (1000);
     }
-  cr_expect_eq (engines_lost (&y), 2);
+  cr_expect_eq (engines_down (&y), 2);
   text = complete (&y, 1, "harmless", &status);
   cr_expect_eq (status, 200, "%s", text);
   g_free (text);
   deployment_stop_and_check (&y);
 }
 
-/* The table service is down.  Callers must notice nothing, and an entry that
-   is started meanwhile learns the configuration from the agents.  */
-Test (entry_procs, store_outage, .timeout = 120)
+/* The table service is down.  Callers must not notice, and an entry started
+   meanwhile gets the configuration from the agents.  */
+Test (entry_processes, store_outage, .timeout = 120)
 {
   struct test_deployment y;
   int status;
@@ -87,10 +87,10 @@
   deployment_stop_and_check (&y);
 }
 
-/* A filing was carried out and its answer lost with the entry that passed it
-   on.  The caller sends it again through the other entry and must get the
-   answer of the one execution.  */
-Test (entry_procs, entry_killed_after_a_filing, .timeout = 120)
+/* A request was executed and its response lost with the entry that forwarded
+   it.  The caller retries through the other entry and must get the response of
+   the one execution.  */
+Test (entry_processes, entry_killed_after_execution, .timeout = 120)
 {
   struct test_deployment y;
   char issued[24];
@@ -104,7 +104,8 @@
   char *text;
 
   deployment_start (&y);
-  /* Past the time for which new agents can't vouch.  */
+  /* A new agent rejects requests issued up to twice the clock skew after its
+     start.  */
   wy_sleep_ms (1500);
   g_snprintf (issued, sizeof issued, "%lld",
               (long long)wy_clock_wall_ms (wy_clock_system ()));
@@ -126,7 +127,7 @@
 }
 
 static void
-send_and_hang_up (uint16_t port, const char *request, uint32_t wait_ms)
+send_and_disconnect (uint16_t port, const char *request, uint32_t wait_ms)
 {
   struct sockaddr_in a = { .sin_family = AF_INET, .sin_port = htons (port) };
   int fd = socket (AF_INET, SOCK_STREAM, 0);
@@ -139,9 +140,9 @@
   close (fd);
 }
 
-/* Callers hang up at any moment: before, while and after they are written to.
-   Only their own requests may end by it.  */
-Test (entry_procs, callers_that_hang_up, .timeout = 120)
+/* Callers disconnect before, while and after they are written to.  Only their
+   own requests may end by it.  */
+Test (entry_processes, callers_that_disconnect, .timeout = 120)
 {
   static const char body[] = "{\"model\":\"m\",\"prompt\":\"hello\","
                              "\"max_tokens\":30,\"stream\":true}";
@@ -154,7 +155,7 @@
 
   deployment_start (&y);
   for (uint32_t i = 0; i < 60; i++)
-    send_and_hang_up (y.entry[0], request, i);
+    send_and_disconnect (y.entry[0], request, i);
   text = complete (&y, 0, "hello", &status);
   cr_expect_eq (status, 200, "%s", text);
   g_free (text);
--- a/tests/test_entry_streams.c
+++ b/tests/test_entry_streams.c
@@ -1,4 +1,4 @@
-/* Answers over connections that fail: what the caller gets in the end.  */
+/* Responses over failing connections: what the caller gets in the end.  */
 #include <criterion/criterion.h>
 #include <string.h>
 
@@ -6,15 +6,15 @@
 
 #define STREAM                                                                \
   "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":4,\"stream\":true}"
-#define WHOLE "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":4}"
+#define UNSTREAMED "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":4}"
 #define TOKENS 4
 
-/* How much of the answer the agent sends by itself.  */
+/* How much of the response the agent sends by itself.  */
 enum moment
 {
-  BEFORE, /* accepts, no more */
+  BEFORE, /* only accepts the request */
   DURING, /* half of the bytes */
-  AFTER   /* all bytes, but not the end */
+  AFTER   /* all bytes, but not END */
 };
 
 static enum moment moment;
@@ -40,7 +40,7 @@
 }
 
 static bool
-part_is_there (void *ctx)
+part_received (void *ctx)
 {
   struct caller *c = ctx;
   char *events = fake_event_stream ("run-1", TOKENS);
@@ -65,10 +65,10 @@
   { AFTER, true, false },  { AFTER, false, true },  { AFTER, true, true },
 };
 
-/* A box between entry and agent loses track of their connection.  Both ends
-   believe it open and nothing arrives any more, in one direction or both,
-   before, during or after the stream.  The caller must get the whole answer
-   of the one run, and nobody may run it again.  */
+/* A middlebox between entry and agent drops their connection state.  Both ends
+   believe the connection open and nothing arrives any more, in one direction
+   or both, before, during or after the stream.  The caller must get the
+   complete response of the one run, and no second run may start.  */
 Test (entry_streams, connection_gone_silent)
 {
   struct fixture w;
@@ -81,7 +81,7 @@
       fixture_start (&w, 1, false);
       w.agent[0].on_submit = send_part;
       call_start (&c, &w, "POST", "/v1/completions", NULL, 0, STREAM);
-      fixture_run_until (&w, part_is_there, &c);
+      fixture_run_until (&w, part_received, &c);
       relay_discard (w.relay[0], silences[i].from_entry,
                      silences[i].from_agent);
       call_wait (&c);
@@ -96,7 +96,7 @@
 }
 
 static void
-send_in_disorder (struct fake_agent *a, const struct wy_frame *f)
+send_out_of_order (struct fake_agent *a, const struct wy_frame *f)
 {
   char *events = fake_event_stream ("run-1", TOKENS);
   struct fake_run *r = fake_accept (a, f, "run-1", events);
@@ -114,17 +114,17 @@
   g_free (events);
 }
 
-/* After a resume, frames sent before and after it meet: some come twice, some
-   too early, some from a run that was given up.  The caller must see each
-   byte of its run once and in order.  */
-Test (entry_streams, chunks_twice_early_and_of_another_run)
+/* After a resume, frames sent before and after it may be duplicates, out of
+   order, or from a run that was given up.  The caller must get each byte of
+   its run once and in order.  */
+Test (entry_streams, duplicate_early_and_foreign_chunks)
 {
   struct fixture w;
   struct caller c;
   char *events = fake_event_stream ("run-1", TOKENS);
 
   fixture_start (&w, 1, false);
-  w.agent[0].on_submit = send_in_disorder;
+  w.agent[0].on_submit = send_out_of_order;
   call_start (&c, &w, "POST", "/v1/completions", NULL, 0, STREAM);
   call_wait (&c);
   cr_assert_eq (c.err, 0);
@@ -152,15 +152,15 @@
 }
 
 static uint32_t
-holder (const struct fixture *w)
+assigned_agent (const struct fixture *w)
 {
   return w->agent[0].submits ? 0 : 1;
 }
 
-/* Two agents; the one that got the request sends half of the answer and dies
-   for good.  */
+/* Two agents; the one that got the request sends half of the response and then
+   fails for good.  */
 static void
-lose_the_target (struct fixture *w, struct caller *c, const char *body)
+fail_assigned_target (struct fixture *w, struct caller *c, const char *body)
 {
   uint32_t i;
 
@@ -171,21 +171,21 @@
   call_start (c, w, "POST", "/v1/completions", NULL, 0, body);
   fixture_run_until (w, submitted, w);
   fixture_run_ms (w, 50);
-  i = holder (w);
+  i = assigned_agent (w);
   w->agent[1 - i].on_submit = NULL;
   fake_agent_stop (&w->agent[i]);
   call_wait (c);
 }
 
-/* An agent dies with its instance in the middle of a whole answer.  The
-   caller has seen nothing yet and must get one answer, made by one run of
-   another target.  */
-Test (entry_streams, target_lost_in_a_whole_answer)
+/* An agent fails with its instance in the middle of a response that is not
+   streamed.  The caller has received nothing yet and must get one response,
+   made by one run of another target.  */
+Test (entry_streams, target_fails_during_unstreamed_response)
 {
   struct fixture w;
   struct caller c;
 
-  lose_the_target (&w, &c, WHOLE);
+  fail_assigned_target (&w, &c, UNSTREAMED);
   cr_assert_eq (c.status, 200, "%s", c.body->str);
   cr_assert_eq (submits (&w), 2);
   cr_assert (call_body_contains (&c, "\"text\":\"t0 t1 \""), "%s",
@@ -195,14 +195,15 @@
   fixture_stop (&w);
 }
 
-/* The same while a stream is under way.  What the caller has seen can't be
-   gone on with by another run; it must see that the answer is not whole.  */
-Test (entry_streams, target_lost_in_a_stream)
+/* The same during a stream.  Another run can't continue what the caller has
+   received; the caller must be able to see that the response is
+   incomplete.  */
+Test (entry_streams, target_fails_during_stream)
 {
   struct fixture w;
   struct caller c;
 
-  lose_the_target (&w, &c, STREAM);
+  fail_assigned_target (&w, &c, STREAM);
   cr_assert_neq (c.err, 0);
   cr_assert (call_body_contains (&c, "event: error"), "%s", c.body->str);
   cr_assert (call_body_contains (&c, "\"ran\":\"unknown\""));
@@ -220,7 +221,7 @@
 
 /* A caller closes its connection in the middle of a stream.  The target must
    be told, or it would go on generating for nobody.  */
-Test (entry_streams, caller_gone)
+Test (entry_streams, caller_disconnects)
 {
   struct fixture w;
   struct caller c;
@@ -229,7 +230,7 @@
   fixture_start (&w, 1, false);
   w.agent[0].on_submit = send_part;
   call_start (&c, &w, "POST", "/v1/completions", NULL, 0, STREAM);
-  fixture_run_until (&w, part_is_there, &c);
+  fixture_run_until (&w, part_received, &c);
   wy_http_call_cancel (c.call);
   fixture_run_until (&w, cancelled, &w);
   cr_assert_eq (fixture_count_events (&w, "request.abandoned"), 1);
@@ -260,7 +261,7 @@
 }
 
 static bool
-nobody_served (void *ctx)
+no_request_open (void *ctx)
 {
   struct fixture *w = ctx;
   GString *metrics = g_string_new (NULL);
@@ -272,8 +273,9 @@
   return none;
 }
 
-/* A caller asks for a long stream and does not read it.  It must be given up
-   before its answer fills the entry's memory, and its target be told.  */
+/* A caller requests a long stream and doesn't read it.  It must be cancelled,
+   also at its target, before the pending response fills the entry's
+   memory.  */
 Test (entry_streams, caller_that_does_not_read)
 {
   struct fixture w;
@@ -304,7 +306,7 @@
     }
   cr_assert_eq (w.agent[0].cancels, 1);
   cr_assert_lt (sent, FLOOD_MAX);
-  fixture_run_until (&w, nobody_served, &w);
+  fixture_run_until (&w, no_request_open, &w);
   uv_close ((uv_handle_t *)&tcp, NULL);
   fixture_stop (&w);
   g_free (request);
