--- a/tests/test_entry_subset.c
+++ b/tests/test_entry_subset.c
@@ -1,4 +1,4 @@
-/* The choice of targets an entry is connected to, and the reading of a
+/* Choice of the targets an entry is connected to, and parsing of a
    completion's events.  */
 #include <criterion/criterion.h>
 #include <string.h>
@@ -36,9 +36,10 @@
   return false;
 }
 
-/* Were the choices of all entries alike, a few targets would get the work of
-   all; were a zone missing, its loss or that of the others would matter.  */
-Test (entry_subset, even_and_over_all_zones)
+/* If all entries chose alike, a few targets would get all the work; if a zone
+   were missing from a subset, the loss of the other zones would leave the
+   entry without targets.  */
+Test (entry_subset, even_load_and_all_zones)
 {
   struct wy_subset_item items[TARGETS];
   uint32_t load[TARGETS] = { 0 };
@@ -65,13 +66,13 @@
     }
   for (int i = 0; i < TARGETS; i++)
     most = load[i] > most ? load[i] : most;
-  /* Four on average.  */
+  /* 4 on average */
   cr_assert_leq (most, 12);
 }
 
-/* A target goes.  Entries that were not connected to it must not change their
-   connections, and the others only that one.  */
-Test (entry_subset, one_target_less_changes_one_connection)
+/* A target is removed.  Entries that were not connected to it must not change
+   their connections, and the others only that one.  */
+Test (entry_subset, removed_target_changes_one_connection)
 {
   struct wy_subset_item before[TARGETS];
   struct wy_subset_item after[TARGETS];
@@ -87,7 +88,7 @@
   cr_assert_leq (changed, 2);
 }
 
-Test (entry_subset, more_zones_than_places)
+Test (entry_subset, more_zones_than_subset_size)
 {
   struct wy_subset_item items[3];
   uint32_t n = 0;
@@ -102,7 +103,7 @@
 struct events
 {
   const char *text;
-  bool whole;
+  bool is_complete;
 };
 
 #define ONE "data: {\"run\":\"r\",\"i\":0,\"text\":\"a\",\"version\":1}\n\n"
@@ -127,18 +128,18 @@
   { ONE "data: {\"run\":\"r\",\"i\":1,\"text\":\"b\n\n" DONE, false },
 };
 
-/* The events of two runs, or with a token missing, twice or in the wrong
-   place, must never pass as a completion.  */
-Test (entry_subset, only_whole_completions_pass)
+/* Events of two runs, or with a token missing, duplicated or out of order,
+   must never pass as a completion.  */
+Test (entry_subset, only_complete_event_streams_pass)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (events); i++)
     {
       GString *in = g_string_new (events[i].text);
       GString *out = g_string_new (NULL);
 
-      cr_assert_eq (wy_completion_text (in, out) == 0, events[i].whole,
+      cr_assert_eq (wy_completion_text (in, out) == 0, events[i].is_complete,
                     "case %zu", i);
-      if (events[i].whole)
+      if (events[i].is_complete)
         cr_assert_str_eq (out->str, "ab");
       g_string_free (in, TRUE);
       g_string_free (out, TRUE);
--- a/tests/test_entry_targets.c
+++ b/tests/test_entry_targets.c
@@ -4,7 +4,7 @@
 
 #include "support/entry_fixture.h"
 
-#define WHOLE "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":2}"
+#define UNSTREAMED "{\"model\":\"m\",\"prompt\":\"hello\",\"max_tokens\":2}"
 
 static const struct wy_http_header_field operator[] = { { "authorization",
                                                           "Bearer op" } };
@@ -14,7 +14,7 @@
 static void
 complete (struct caller *c, struct fixture *w)
 {
-  call_start (c, w, "POST", "/v1/completions", NULL, 0, WHOLE);
+  call_start (c, w, "POST", "/v1/completions", NULL, 0, UNSTREAMED);
 }
 
 static uint32_t
@@ -45,9 +45,9 @@
     fake_send_response (a, f);
 }
 
-/* A target is full and refuses early.  The caller must not notice while
-   another has room.  */
-Test (entry_targets, refused_then_taken_elsewhere)
+/* A target at capacity refuses a request.  The caller must not notice while
+   another target has capacity.  */
+Test (entry_targets, refused_then_retried_elsewhere)
 {
   struct fixture w;
   struct caller c;
@@ -64,9 +64,9 @@
   fixture_stop (&w);
 }
 
-/* All targets are full.  The caller gets the refusal, proven `not run', with
-   the time to come back; no target is asked twice.  */
-Test (entry_targets, all_refuse)
+/* All targets are at capacity.  The caller gets the rejection, proven `not
+   run', with Retry-After; no target is asked twice.  */
+Test (entry_targets, all_targets_refuse)
 {
   struct fixture w;
   struct caller c;
@@ -86,10 +86,10 @@
   fixture_stop (&w);
 }
 
-/* Every request meets full targets for a while.  Retrying each at each target
-   would multiply the load that made them full, so the retries of all requests
-   together are bounded.  */
-Test (entry_targets, retries_are_bounded_together)
+/* All targets are at capacity for a while.  Retrying each request at each
+   target would multiply the overload, so the retries of all requests together
+   are bounded.  */
+Test (entry_targets, retries_share_a_budget)
 {
   enum
   {
@@ -149,9 +149,9 @@
     }
 }
 
-/* A target is leaving and says so itself, or only the lagging list does, or
-   the list just names it no more.  It gets nothing new and callers notice
-   nothing.  */
+/* A target reports that it is leaving, or only the lagging list shows it, or
+   the list no longer names it.  It must get no new work, and callers must not
+   notice.  */
 Test (entry_targets, leaving)
 {
   struct fixture w;
@@ -176,7 +176,8 @@
     }
 }
 
-/* The list is down for long.  The targets known go on being used.  */
+/* The instance list is unavailable for long.  The known targets stay in
+   use.  */
 Test (entry_targets, list_outage)
 {
   struct fixture w;
@@ -198,8 +199,8 @@
   return ((struct fixture *)ctx)->agent[0].config_revision == 1;
 }
 
-/* An agent that slept through changes of the configuration tells an old
-   revision in its heartbeat and is sent the one in force.  */
+/* An agent that missed changes of the configuration reports an old revision in
+   its heartbeat and must be sent the one in force.  */
 Test (entry_targets, configuration_is_pushed)
 {
   struct fixture w;
@@ -217,15 +218,15 @@
 {
   struct fake_run *r = fake_accept (a, f, "run-1", "");
 
-  /* The second target has to run it alone.  */
+  /* The second target has to run it isolated.  */
   cr_assert_eq (f->u.submit.suspect, submits (a->test) == 2);
   fake_send_end (a, r, WY_RUN_CRASHED);
 }
 
-/* One request crashes each target that runs it, and its caller sends it again
-   and again.  It must cost two targets at most, also when other requests keep
-   working; an operator sees the block and can lift it.  */
-Test (entry_targets, request_that_crashes_targets)
+/* One request crashes each target that runs it, and its caller keeps retrying.
+   At most two targets may crash, also while other requests succeed; an
+   operator can list the block and lift it.  */
+Test (entry_targets, crashing_request_is_blocked)
 {
   struct fixture w;
   struct caller c;
@@ -272,7 +273,7 @@
 };
 
 static void
-begin_slowly (struct fake_agent *a, const struct wy_frame *f)
+begin_slow_response (struct fake_agent *a, const struct wy_frame *f)
 {
   char *events = fake_event_stream ("slow", SLOW_TOKENS);
   struct fake_run *r = fake_accept (a, f, "slow", events);
@@ -281,9 +282,9 @@
   g_free (events);
 }
 
-/* Send the answer of the request that A holds, one event at a time.  */
+/* Send the response of A's last request one event at a time.  */
 static void
-trickle (struct fixture *w, struct fake_agent *a)
+send_slowly (struct fixture *w, struct fake_agent *a)
 {
   struct fake_run *r = g_hash_table_lookup (a->runs, a->last_id);
   const char *text = r->body->str;
@@ -297,9 +298,10 @@
     }
 }
 
-/* One target generates far more slowly than the others, but answers its
-   heartbeats and reports little load, so that by load it looks the best.  Its
-   streams give it away while they run, and new callers are kept off it.  */
+/* One target generates far more slowly than the others, but sends its
+   heartbeats and reports little load, so that it looks best by load.  Its
+   token latency must reveal it while its streams still run, and new callers
+   must go elsewhere.  */
 Test (entry_targets, one_slow_target)
 {
   struct fixture w;
@@ -308,14 +310,14 @@
   uint32_t n = 0;
 
   fixture_start (&w, 3, false);
-  w.agent[0].on_submit = begin_slowly;
+  w.agent[0].on_submit = begin_slow_response;
   while (w.agent[0].submits == 0)
     {
       cr_assert_lt (n, G_N_ELEMENTS (c));
       complete (&c[n++], &w);
       fixture_run_ms (&w, 20);
     }
-  trickle (&w, &w.agent[0]);
+  send_slowly (&w, &w.agent[0]);
   for (uint32_t i = 0; i + 1 < n; i++)
     call_free (&c[i]);
   for (int i = 0; i < 10; i++)
@@ -370,8 +372,8 @@
   fake_send_rest (a, &f);
 }
 
-/* The platform stops the entry while a request is in progress.  It must end
-   after the answer, not before.  */
+/* The platform stops the entry while a request is in progress.  The entry must
+   exit after the response, not before.  */
 Test (entry_targets, stop_waits_for_requests)
 {
   struct fixture w;
@@ -393,9 +395,9 @@
   fixture_stop (&w);
 }
 
-/* The same with a target that never answers: the second signal ends the entry
-   and it says what it cut off.  */
-Test (entry_targets, stop_now_says_what_it_cut)
+/* The same with a target that never responds: a second signal ends the entry,
+   which reports how many requests it cut off.  */
+Test (entry_targets, stop_now_reports_cut_requests)
 {
   struct fixture w;
   struct caller c;
@@ -441,7 +443,8 @@
           { "GET", "/services/none/x", NULL, 404 },
     };
 
-/* Callers, trainers and operators get at what is theirs and no more.  */
+/* Callers, trainers and operators can use the routes of their role and no
+   others.  */
 Test (entry_targets, roles)
 {
   struct fixture w;
@@ -461,8 +464,8 @@
   fixture_stop (&w);
 }
 
-/* A caller sends far too many headers.  It is told so, nothing is run, and
-   others notice nothing.  */
+/* A caller sends too many headers.  It must get a rejection without a run, and
+   other callers must not notice.  */
 Test (entry_targets, too_many_headers)
 {
   struct wy_http_header_field headers[20];
@@ -473,7 +476,7 @@
     headers[i] = (struct wy_http_header_field){ "x-filler", "1" };
   fixture_start_with (&w, 1, false, "header_limit: 10\n");
   call_start (&c, &w, "POST", "/v1/completions", headers,
-              G_N_ELEMENTS (headers), WHOLE);
+              G_N_ELEMENTS (headers), UNSTREAMED);
   call_wait (&c);
   cr_assert_eq (c.status, 431);
   cr_assert_eq (submits (&w), 0);
