--- a/bench/agent_load.c
+++ b/bench/agent_load.c
@@ -1,10 +1,12 @@
-/* Load on one agent over its inner port, as an entry gives it.
+/* Load generator for one agent, which it connects to as an entry does.
 
    Usage: agent_load PORT KEY NAME model|service SECONDS STREAMS
-   Keeps STREAMS requests open for SECONDS and prints one line per figure:
-   case, size, policy, figure, value.  With STREAMS 0 it only watches, and
-   prints the time of what it sees.  The agent's own processor time is for
-   the caller to read.  */
+
+   PORT is the agent's port for entries.  Keeps STREAMS requests open for
+   SECONDS and prints one line per figure: case, size, policy, figure, value.
+   With STREAMS 0 it only observes the connection and prints each event with
+   its wall-clock time.  The agent's own processor time is not measured
+   here.  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -42,7 +44,7 @@
   uint64_t tokens;
   uint64_t bytes;
   struct wy_hist latency_us;
-  GHashTable *open; /* id -> start */
+  GHashTable *open; /* id -> start in us */
 };
 
 static int64_t
@@ -52,7 +54,7 @@
 }
 
 static void
-say (const char *what, int64_t number)
+print_event (const char *what, int64_t number)
 {
   printf ("%lld %s %lld\n", (long long)wy_clock_wall_ms (wy_clock_system ()),
           what, (long long)number);
@@ -86,7 +88,7 @@
 }
 
 static void
-take_end (struct load *l, const struct wy_frame_end *e)
+handle_end (struct load *l, const struct wy_frame_end *e)
 {
   char *id = wy_bytes_dup (e->id);
   const int64_t *start = g_hash_table_lookup (l->open, id);
@@ -105,7 +107,7 @@
   else
     l->other++;
   if (e->result != WY_RUN_DONE)
-    say ("end", e->result);
+    print_event ("end", e->result);
 }
 
 static void
@@ -115,18 +117,18 @@
 
   if (f->kind == WY_FRAME_END)
     {
-      take_end (l, &f->u.end);
+      handle_end (l, &f->u.end);
       submit (l);
     }
   else if (f->kind == WY_FRAME_REFUSED)
     {
       l->refused++;
-      say ("refused", f->u.refused.reason);
+      print_event ("refused", f->u.refused.reason);
     }
   else if (f->kind == WY_FRAME_CHUNK)
     l->bytes += f->u.chunk.data.n;
   else if (f->kind == WY_FRAME_LEAVING)
-    say ("leaving", 0);
+    print_event ("leaving", 0);
 }
 
 static void
@@ -135,7 +137,7 @@
 {
   struct load *l = ctx;
 
-  say ("ready", 0);
+  print_event ("ready", 0);
   l->from_us = now_us ();
   for (uint32_t i = 0; i < l->streams; i++)
     submit (l);
@@ -144,7 +146,7 @@
 static void
 on_closed (void *ctx, struct wy_conn *c, int err)
 {
-  say ("closed", err);
+  print_event ("closed", err);
   uv_stop (&((struct load *)ctx)->loop);
 }
 
@@ -155,7 +157,7 @@
 }
 
 static void
-line (const struct load *l, const char *figure, double value)
+print_figure (const struct load *l, const char *figure, double value)
 {
   printf ("agent\t%u\t%s\t%s\t%.6g\n", l->streams,
           l->is_model ? "model" : "service", figure, value);
@@ -166,15 +168,15 @@
 {
   double s = (double)(now_us () - l->from_us) / (WY_US_PER_MS * WY_MS_PER_S);
 
-  line (l, "seconds", s);
-  line (l, "requests", (double)l->done);
-  line (l, "requests_per_s", (double)l->done / s);
-  line (l, "tokens_per_s", (double)l->tokens / s);
-  line (l, "bytes_per_s", (double)l->bytes / s);
-  line (l, "p50_us", (double)wy_hist_quantile (&l->latency_us, 0.5));
-  line (l, "p99_us", (double)wy_hist_quantile (&l->latency_us, 0.99));
-  line (l, "refused", (double)l->refused);
-  line (l, "not_done", (double)l->other);
+  print_figure (l, "seconds", s);
+  print_figure (l, "requests", (double)l->done);
+  print_figure (l, "requests_per_s", (double)l->done / s);
+  print_figure (l, "tokens_per_s", (double)l->tokens / s);
+  print_figure (l, "bytes_per_s", (double)l->bytes / s);
+  print_figure (l, "p50_us", (double)wy_hist_quantile (&l->latency_us, 0.5));
+  print_figure (l, "p99_us", (double)wy_hist_quantile (&l->latency_us, 0.99));
+  print_figure (l, "refused", (double)l->refused);
+  print_figure (l, "not_done", (double)l->other);
 }
 
 int
--- a/bench/entry_path.c
+++ b/bench/entry_path.c
@@ -1,6 +1,6 @@
-/* Cost of one entry: requests per second of its one core, added latency,
-   memory of an idle entry.  The entry runs in a child process; callers, the
-   instance list and agents that answer at once run in this one.  Prints one
+/* Cost of one entry: requests per second on one core, added latency, and
+   memory when idle.  The entry runs in a child process; the callers, the
+   instance list and agents that respond at once run in this one.  Prints one
    line per figure: case, size, policy, figure, value.  */
 #include <signal.h>
 #include <stdio.h>
@@ -20,7 +20,7 @@
 {
   AGENTS = 3,
   CONNECTIONS_MAX = 64,
-  WARM_MS = 500,
+  WARMUP_MS = 500,
   RUN_MS = 4000,
   START_LIMIT_MS = 5000,
   BUFFER_SIZE_BYTES = 65536,
@@ -49,13 +49,13 @@
 static const struct wy_inner_key key = { 1, "secret" };
 static uv_loop_t *loop;
 static struct agent agents[AGENTS];
-static struct wy_http_server *list;
+static struct wy_http_server *instance_list;
 static struct caller callers[CONNECTIONS_MAX];
 static char buffer[BUFFER_SIZE_BYTES];
 static GString *request;
 static GString *events;
 static bool counting;
-static uint64_t answered;
+static uint64_t n_responses;
 static struct wy_hist latency_us;
 
 static int64_t
@@ -65,7 +65,7 @@
 }
 
 static void
-answer (struct agent *a, const struct wy_frame_submit *s)
+respond (struct agent *a, const struct wy_frame_submit *s)
 {
   char run[32];
   struct wy_header_pair type
@@ -112,7 +112,7 @@
 on_frame (void *ctx, struct wy_conn *c, const struct wy_frame *f)
 {
   if (f->kind == WY_FRAME_SUBMIT)
-    answer (ctx, &f->u.submit);
+    respond (ctx, &f->u.submit);
 }
 
 static void
@@ -182,7 +182,8 @@
   g_string_free (s, TRUE);
 }
 
-/* The child: an entry that runs until it is killed.  Its port goes to FD.  */
+/* The child process: run an entry until it is killed.  Its port is written to
+   FD.  */
 static void
 run_entry (int fd, uint16_t list_port)
 {
@@ -248,7 +249,7 @@
 }
 
 static bool
-is_whole (const GString *in)
+is_complete (const GString *in)
 {
   const char *head = strstr (in->str, "\r\n\r\n");
   const char *length;
@@ -279,7 +280,7 @@
       exit (1);
     }
   g_string_append_len (c->in, buf->base, n);
-  if (!is_whole (c->in))
+  if (!is_complete (c->in))
     return;
   if (strncmp (c->in->str, "HTTP/1.1 200", strlen ("HTTP/1.1 200")) != 0)
     {
@@ -289,7 +290,7 @@
   g_string_truncate (c->in, 0);
   if (c->counted && counting)
     {
-      answered++;
+      n_responses++;
       wy_hist_add (&latency_us, (uint64_t)(now_us () - c->sent_us));
     }
   send_next (c);
@@ -362,7 +363,7 @@
 }
 
 static void
-figure (const char *what, const char *name, double value)
+print_figure (const char *what, const char *name, double value)
 {
   printf ("entry\t%s\twaxwing\t%s\t%.4g\n", what, name, value);
 }
@@ -372,18 +373,19 @@
 {
   double cpu;
 
-  run_for_ms (WARM_MS);
+  run_for_ms (WARMUP_MS);
   memset (&latency_us, 0, sizeof latency_us);
-  answered = 0;
+  n_responses = 0;
   counting = true;
   cpu = cpu_s (pid);
   run_for_ms (RUN_MS);
   cpu = cpu_s (pid) - cpu;
   counting = false;
-  figure (what, "requests_per_s", (double)answered * WY_MS_PER_S / RUN_MS);
-  figure (what, "requests_per_cpu_s", (double)answered / cpu);
-  figure (what, "p50_us", (double)wy_hist_quantile (&latency_us, 0.5));
-  figure (what, "p99_us", (double)wy_hist_quantile (&latency_us, 0.99));
+  print_figure (what, "requests_per_s",
+                (double)n_responses * WY_MS_PER_S / RUN_MS);
+  print_figure (what, "requests_per_cpu_s", (double)n_responses / cpu);
+  print_figure (what, "p50_us", (double)wy_hist_quantile (&latency_us, 0.5));
+  print_figure (what, "p99_us", (double)wy_hist_quantile (&latency_us, 0.99));
 }
 
 static void
@@ -403,7 +405,7 @@
 }
 
 static bool
-connected (void)
+agents_connected (void)
 {
   for (int i = 0; i < AGENTS; i++)
     if (!agents[i].conn)
@@ -434,12 +436,12 @@
         i, i);
   g_string_append (events, "data: {\"run\":\"r\",\"done\":true,\"finish\":"
                            "\"stop\",\"tokens\":20}\n\n");
-  if (pipe (fds) || wy_http_server_new (&list, &o))
+  if (pipe (fds) || wy_http_server_new (&instance_list, &o))
     abort ();
   pid = fork ();
   if (pid == 0)
     {
-      run_entry (fds[1], wy_http_server_port (list));
+      run_entry (fds[1], wy_http_server_port (instance_list));
       return 0;
     }
   for (int i = 0; i < AGENTS; i++)
@@ -447,10 +449,10 @@
   if (read (fds[0], &port, sizeof port) != sizeof port)
     abort ();
   limit_us = now_us () + (int64_t)START_LIMIT_MS * WY_US_PER_MS;
-  while (!connected () && now_us () < limit_us)
+  while (!agents_connected () && now_us () < limit_us)
     uv_run (loop, UV_RUN_NOWAIT);
-  run_for_ms (WARM_MS);
-  figure ("idle", "resident_mib", (double)resident_kib (pid) / 1024);
+  run_for_ms (WARMUP_MS);
+  print_figure ("idle", "resident_mib", (double)resident_kib (pid) / 1024);
   set_request (false);
   connect_callers (0, 1, port);
   measure ("whole-1", pid);
@@ -458,7 +460,7 @@
   measure ("whole-64", pid);
   set_request (true);
   measure ("stream-64", pid);
-  figure ("loaded", "resident_mib", (double)resident_kib (pid) / 1024);
+  print_figure ("loaded", "resident_mib", (double)resident_kib (pid) / 1024);
   kill (pid, SIGKILL);
   waitpid (pid, NULL, 0);
   return 0;
--- a/bench/membership.c
+++ b/bench/membership.c
@@ -2,8 +2,9 @@
    the load on the store, and the time until a failure is known to all.
 
    Usage: membership [ours]
-   Prints a line for each figure: case, size, policy, figure, value.  With
-   `ours' only the policy in use is simulated, and not at the largest size.  */
+
+   Prints one line per figure: case, size, policy, figure, value.  With `ours'
+   only the policy in use is simulated, and not at the largest size.  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,26 +18,26 @@
 enum
 {
   TICK_MS = 10,
-  BEAT_MS = 500,
+  HEARTBEAT_MS = 500,
   POLL_MS = 250,
-  END_MS = 14000,
+  DURATION_MS = 14000,
   SEEDS = 2,
   FAULT_MS = 4000,
   SUCCESSORS = 16,
-  MONITORED = 4, /* successors that are not late */
+  MONITORED = 4, /* successors with timely heartbeats */
   GROUP_SIZE = 16,
   /* Readers simulated with policy ALL; totals are scaled to the fleet.  */
   READERS = 12,
   MEMBERS_MAX = 2000,
-  /* Duration of a transaction, and until watchers receive the change.  */
+  /* Duration of a transaction, and time until watchers receive the change.  */
   PROPAGATION_MS = 8 + 4,
   /* Encoded sizes.  */
-  ROW_BYTES = 260,
+  HEARTBEAT_ROW_BYTES = 260,
   DIRECTORY_ROW_BYTES = 420,
   CALL_BYTES = 340,
-  PART_SHIFT = 58,
+  PARTITION_SHIFT = 58,
   PERCENT = 100,
-  /* Calls that succeed through a relay while the store refuses the entry.  */
+  /* Calls that succeed through a peer while the store rejects the entry.  */
   RELAYED_PERCENT = 90
 };
 
@@ -53,10 +54,10 @@
 enum fault
 {
   NONE,
-  KILLED,      /* 8% of the entries, permanently */
-  HALF_KILLED, /* 50% at once, permanently */
-  FROZEN,      /* 5% for three seconds */
-  REFUSED,     /* the store refuses 35% for nine seconds */
+  KILLED,        /* 8% of the entries, permanently */
+  HALF_KILLED,   /* 50% at once, permanently */
+  FROZEN,        /* 5% for three seconds */
+  STORE_REJECTS, /* the store rejects 35% for nine seconds */
   FAULTS
 };
 
@@ -67,13 +68,13 @@
 {
   uint64_t position;
   int64_t version;
-  uint32_t beat_at_ms; /* offset within the interval */
-  uint32_t poll_at_ms; /* likewise */
+  uint32_t heartbeat_offset_ms; /* within the interval */
+  uint32_t poll_offset_ms;      /* likewise */
   bool killed;
   int64_t frozen_until_ms;
-  int64_t refused_until_ms;
-  bool marked;
-  int64_t known_ms; /* when the mark is known to all; 0: never */
+  int64_t store_rejects_until_ms;
+  bool marked_failed;
+  int64_t known_to_all_ms; /* when all know of the failure; 0: never */
   struct wy_liveness *liveness;
   uint32_t *monitored;
   uint32_t n_monitored;
@@ -151,7 +152,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < w->n; i++)
-    if (!w->m[i].marked)
+    if (!w->m[i].marked_failed)
       {
         positions[n] = w->m[i].position;
         live[n++] = i;
@@ -191,7 +192,7 @@
 static bool
 reaches_store (struct simulation *w, const struct member *m, int64_t now_ms)
 {
-  return now_ms >= m->refused_until_ms
+  return now_ms >= m->store_rejects_until_ms
          || wy_rng_below (&w->rng, PERCENT) < RELAYED_PERCENT;
 }
 
@@ -218,54 +219,57 @@
           if (draw < 5)
             m->frozen_until_ms = FAULT_MS + 3000;
           break;
-        case REFUSED:
+        case STORE_REJECTS:
           if (draw < 35)
-            m->refused_until_ms = FAULT_MS + 9000;
+            m->store_rejects_until_ms = FAULT_MS + 9000;
           break;
         }
     }
 }
 
-/* An entry that was marked while alive also rewrites its row.  */
+/* An entry that was marked as failed while alive also rewrites its row.  */
 static void
-write_beat (struct simulation *w, struct member *m, int64_t now_ms)
+write_heartbeat (struct simulation *w, struct member *m, int64_t now_ms)
 {
   w->calls++;
   if (!reaches_store (w, m, now_ms))
     return;
   m->version++;
-  if (!m->marked)
+  if (!m->marked_failed)
     return;
-  m->marked = false;
-  m->known_ms = 0;
+  m->marked_failed = false;
+  m->known_to_all_ms = 0;
   w->directory_rows += w->n;
   w->changed = true;
 }
 
 static uint32_t
-parts_read (const struct simulation *w, const struct member *m, uint32_t n)
+partitions_read (const struct simulation *w, const struct member *m,
+                 uint32_t n)
 {
-  uint32_t parts = 0;
+  uint32_t partitions = 0;
 
   if (w->policy != RING)
     return 1;
   for (uint32_t k = 0; k < n; k++)
     {
-      uint64_t part = w->m[m->monitored[k]].position >> PART_SHIFT;
+      uint64_t partition = w->m[m->monitored[k]].position >> PARTITION_SHIFT;
 
-      parts += k == 0
-               || part != w->m[m->monitored[k - 1]].position >> PART_SHIFT;
+      partitions
+          += k == 0
+             || partition
+                    != w->m[m->monitored[k - 1]].position >> PARTITION_SHIFT;
     }
-  return parts;
+  return partitions;
 }
 
 static void
-mark (struct simulation *w, struct member *m, int64_t now_ms)
+mark_failed (struct simulation *w, struct member *m, int64_t now_ms)
 {
-  if (m->marked)
+  if (m->marked_failed)
     return;
-  m->marked = true;
-  m->known_ms = now_ms + PROPAGATION_MS;
+  m->marked_failed = true;
+  m->known_to_all_ms = now_ms + PROPAGATION_MS;
   w->false_positives += is_running (m, now_ms);
   w->directory_rows += w->policy == ALL ? 0 : w->n;
   w->calls += w->policy != ALL;
@@ -273,13 +277,13 @@
 }
 
 static void
-read_beats (struct simulation *w, struct member *m, int64_t now_ms)
+read_heartbeats (struct simulation *w, struct member *m, int64_t now_ms)
 {
   uint32_t n = m->n_monitored;
 
   if (w->policy == RING)
     n = (uint32_t)wy_ring_monitored (m->liveness, n, MONITORED);
-  w->calls += parts_read (w, m, n);
+  w->calls += partitions_read (w, m, n);
   if (!reaches_store (w, m, now_ms))
     return;
   for (uint32_t k = 0; k < n; k++)
@@ -289,14 +293,14 @@
       w->rows++;
       wy_liveness_observe (&m->liveness[k], now_ms, other->version);
       if (wy_liveness_has_failed (&m->liveness[k]))
-        mark (w, other, now_ms);
+        mark_failed (w, other, now_ms);
     }
 }
 
 static void
 simulate (struct simulation *w)
 {
-  for (int64_t now_ms = 0; now_ms < END_MS; now_ms += TICK_MS)
+  for (int64_t now_ms = 0; now_ms < DURATION_MS; now_ms += TICK_MS)
     {
       if (now_ms == FAULT_MS)
         inject_fault (w);
@@ -308,10 +312,10 @@
 
           if (!is_running (m, now_ms))
             continue;
-          if (now_ms % BEAT_MS == m->beat_at_ms)
-            write_beat (w, m, now_ms);
-          if (now_ms % POLL_MS == m->poll_at_ms && is_reader (w, i))
-            read_beats (w, m, now_ms);
+          if (now_ms % HEARTBEAT_MS == m->heartbeat_offset_ms)
+            write_heartbeat (w, m, now_ms);
+          if (now_ms % POLL_MS == m->poll_offset_ms && is_reader (w, i))
+            read_heartbeats (w, m, now_ms);
         }
     }
 }
@@ -332,8 +336,9 @@
 
       m->position = wy_rng_u64 (&w->rng);
       m->version = 1;
-      m->beat_at_ms = wy_rng_below (&w->rng, BEAT_MS / TICK_MS) * TICK_MS;
-      m->poll_at_ms = wy_rng_below (&w->rng, POLL_MS / TICK_MS) * TICK_MS;
+      m->heartbeat_offset_ms
+          = wy_rng_below (&w->rng, HEARTBEAT_MS / TICK_MS) * TICK_MS;
+      m->poll_offset_ms = wy_rng_below (&w->rng, POLL_MS / TICK_MS) * TICK_MS;
     }
   qsort (w->m, n, sizeof *w->m, by_position);
 }
@@ -361,7 +366,7 @@
 static void
 add_totals (const struct simulation *w, struct totals *s)
 {
-  double seconds = END_MS / 1000.0;
+  double seconds = DURATION_MS / 1000.0;
   double rows = (double)w->rows;
   double calls = (double)w->calls;
 
@@ -372,12 +377,12 @@
       for (uint32_t i = 0; i < w->n; i++)
         readers += is_reader (w, i);
       /* A watch delivers each heartbeat once, not at each poll.  */
-      rows *= (double)w->n / readers * POLL_MS / BEAT_MS;
+      rows *= (double)w->n / readers * POLL_MS / HEARTBEAT_MS;
     }
   rows += (double)w->directory_rows;
   s->rows += rows / w->n / seconds;
   s->calls += calls / w->n / seconds;
-  s->bytes += ((rows - (double)w->directory_rows) * ROW_BYTES
+  s->bytes += ((rows - (double)w->directory_rows) * HEARTBEAT_ROW_BYTES
                + (double)w->directory_rows * DIRECTORY_ROW_BYTES
                + calls * CALL_BYTES)
               / w->n / seconds;
@@ -388,9 +393,10 @@
 
       if (!m->killed)
         continue;
-      s->undetected += !m->marked;
-      if (m->marked && (double)(m->known_ms - FAULT_MS) > s->slowest_ms)
-        s->slowest_ms = (double)(m->known_ms - FAULT_MS);
+      s->undetected += !m->marked_failed;
+      if (m->marked_failed
+          && (double)(m->known_to_all_ms - FAULT_MS) > s->slowest_ms)
+        s->slowest_ms = (double)(m->known_to_all_ms - FAULT_MS);
     }
 }
 
--- a/bench/micro.c
+++ b/bench/micro.c
@@ -15,7 +15,7 @@
 #include "trace/json_log.h"
 
 #define SEED 20261202
-/* Within what is written in a second.  */
+/* Below the rate at which log lines are dropped (2000 per second).  */
 #define LOG_LINES 1500
 #define PICKS 2000000
 #define OFFERS 1000000
@@ -28,7 +28,7 @@
 static const uint32_t sizes[] = { 12, 120, 1200, 3200 };
 
 static void
-line (const char *figure, uint32_t size, double ns)
+print_figure (const char *figure, uint32_t size, double ns)
 {
   printf ("decision\t%u\twaxwing\t%s\t%.4g\n", size, figure, ns);
 }
@@ -42,7 +42,7 @@
 }
 
 static struct wy_placement *
-table (uint32_t targets)
+new_placement (uint32_t targets)
 {
   struct wy_placement_options o = { .targets_max = targets };
   struct wy_placement *p = wy_placement_new (&o);
@@ -60,11 +60,12 @@
   return p;
 }
 
-/* Pick, start and end, with every second request on a known prefix.  */
+/* Time to pick a target, start a request and end it.  Every second request has
+   a known prefix.  */
 static double
 pick_ns (uint32_t targets)
 {
-  struct wy_placement *p = table (targets);
+  struct wy_placement *p = new_placement (targets);
   struct wy_placement_request req
       = { .prompt_tokens = 300, .predicted_tokens = 64 };
   struct wy_rng rng;
@@ -87,7 +88,7 @@
 }
 
 static double
-home_ns (uint32_t targets)
+rendezvous_ns (uint32_t targets)
 {
   uint64_t *ids = calloc (targets, sizeof *ids);
   uint64_t sum = 0;
@@ -106,7 +107,8 @@
   return ns_since (from_us, KEYS);
 }
 
-/* A caller's way through the queue: offer, give way, next, done.  */
+/* Time for a caller to pass the queue while ROLLOUTS rollouts are in it:
+   offer, preempt, next, done.  */
 static double
 queue_ns (uint32_t rollouts)
 {
@@ -143,18 +145,18 @@
   return ns_since (from_us, OFFERS);
 }
 
-/* A log line of a request, formatted and written where nobody reads.  */
+/* Time to format the log line of a request and to write it to /dev/null.  */
 static double
 log_line_ns (void)
 {
   uv_loop_t loop;
-  int out = dup (STDOUT_FILENO);
-  int nowhere = open ("/dev/null", O_WRONLY);
+  int saved_stdout = dup (STDOUT_FILENO);
+  int null_fd = open ("/dev/null", O_WRONLY);
   int64_t from_us;
   double ns;
 
   fflush (stdout);
-  if (out < 0 || nowhere < 0 || dup2 (nowhere, STDOUT_FILENO) < 0)
+  if (saved_stdout < 0 || null_fd < 0 || dup2 (null_fd, STDOUT_FILENO) < 0)
     abort ();
   uv_loop_init (&loop);
   wy_json_log_open (&loop, "bench", "1");
@@ -169,14 +171,14 @@
   wy_json_log_close ();
   uv_run (&loop, UV_RUN_NOWAIT);
   uv_loop_close (&loop);
-  if (dup2 (out, STDOUT_FILENO) < 0)
+  if (dup2 (saved_stdout, STDOUT_FILENO) < 0)
     abort ();
-  close (out);
-  close (nowhere);
+  close (saved_stdout);
+  close (null_fd);
   return ns;
 }
 
-/* Authorization of a request, each key in turn.  */
+/* Time to authorize a request, with each of KEYS keys in turn.  */
 static double
 access_ns (uint32_t keys)
 {
@@ -225,13 +227,13 @@
 
       if (i == 0)
         first = ns;
-      line ("pick_ns", sizes[i], ns);
-      line ("pick_growth", sizes[i], ns / first);
-      line ("home_ns", sizes[i], home_ns (sizes[i]));
+      print_figure ("pick_ns", sizes[i], ns);
+      print_figure ("pick_growth", sizes[i], ns / first);
+      print_figure ("home_ns", sizes[i], rendezvous_ns (sizes[i]));
     }
-  line ("queue_ns", 64, queue_ns (64));
-  line ("queue_ns", 4000, queue_ns (4000));
-  line ("access_ns", ACCESS_KEYS, access_ns (ACCESS_KEYS));
-  line ("log_line_ns", 1, log_line_ns ());
+  print_figure ("queue_ns", 64, queue_ns (64));
+  print_figure ("queue_ns", 4000, queue_ns (4000));
+  print_figure ("access_ns", ACCESS_KEYS, access_ns (ACCESS_KEYS));
+  print_figure ("log_line_ns", 1, log_line_ns ());
   return 0;
 }
--- a/bench/steps.c
+++ b/bench/steps.c
@@ -1,6 +1,12 @@
-/* Load cases felt by trainers: idle time against what total work over total
-   capacity allows, staleness, and shares by worth.  Prints one line per
-   figure: case, size, policy, figure, value.  */
+/* Load as trainers experience it, in virtual time: idle time compared with the
+   bound given by total work and total capacity, staleness, and shares by
+   worth.
+
+   Usage: steps [ours]
+
+   Prints one line per figure: case, size, policy, figure, value.  With `ours'
+   only the decisions of src/decide are simulated, and not at the largest
+   size.  */
 #include <stdio.h>
 #include <string.h>
 
@@ -8,7 +14,8 @@
 
 #define SEED 20261202
 #define N(a) (sizeof (a) / sizeof ((a)[0]))
-/* Median; with 200 of prompt a full batch of them fits into KV memory.  */
+/* Median tokens.  With a prompt of 200, a full batch of such rollouts fits
+   into KV memory.  */
 #define ROLLOUT_TOKENS 400
 
 static const struct wb_policy policies[] = {
@@ -19,9 +26,9 @@
   { "restart", WB_QUEUE_PRIORITY, WB_PLACE_TABLE, WB_STRAGGLER_RESTART },
 };
 
-/* Staleness weighs more for the Claims Office, idle time for the Chamber.
+/* The claims deployment gives more weight to staleness, carde to idle time.
    TRAIN_MS is below what the engines need for a batch, so that the trainer
-   waits for samples however they are issued.  */
+   waits for samples whatever the order in which they are issued.  */
 static const struct wb_trainer_case claims[]
     = { { 1, 256, 8, 1, 20000, 3, 1 } };
 static const struct wb_trainer_case carde[]
@@ -36,7 +43,7 @@
 {
   const char *name;
   uint32_t engines;
-  uint32_t scale; /* of the batch */
+  uint32_t scale; /* factor for the batch size */
   const struct wb_trainer_case *trainer;
 };
 
@@ -59,15 +66,15 @@
     = { .name = "unequal-worth", .trainers = 3, .trainer = unequal };
 
 static void
-line (const char *c, const char *size, const char *policy, const char *figure,
-      double v)
+print_figure (const char *c, const char *size, const char *policy,
+              const char *figure, double v)
 {
   printf ("%s\t%s\t%s\t%s\t%.4g\n", c, size, policy, figure, v);
 }
 
 /* Idle milliseconds per batch that no policy can avoid: the work of the
-   batches taken over the capacity of all engines, less the training that goes
-   on meanwhile.  */
+   batches divided by the capacity of all engines, minus the concurrent
+   training time.  */
 static double
 idle_bound_ms (const struct wb_simulation *w, const struct wb_trainer *t)
 {
@@ -87,27 +94,28 @@
   double idle = n > 0 ? t->idle_ms / n : 0;
   double period = idle + t->c->train_ms;
 
-  line (c, size, p, "batches", n);
-  line (c, size, p, "idle_share", n > 0 ? idle / period : 1);
-  line (c, size, p, "idle_above_bound",
-        n > 0 ? (idle - idle_bound_ms (w, t)) / period : 1);
-  line (c, size, p, "staleness_mean", t->staleness_sum / (double)t->samples);
-  line (c, size, p, "staleness_max", (double)t->staleness_max);
-  line (c, size, p, "beyond_bound", (double)t->beyond_bound);
-  line (c, size, p, "engine_share",
-        (t->wasted_tokens + t->tokens)
-            / ((w->c->duration_ms - w->c->count_from_ms) * w->c->engines
-               * wb_capacity_tokens_per_ms ()));
-  line (c, size, p, "wasted_share",
-        t->wasted_tokens / (t->wasted_tokens + t->tokens));
+  print_figure (c, size, p, "batches", n);
+  print_figure (c, size, p, "idle_share", n > 0 ? idle / period : 1);
+  print_figure (c, size, p, "idle_above_bound",
+                n > 0 ? (idle - idle_bound_ms (w, t)) / period : 1);
+  print_figure (c, size, p, "staleness_mean",
+                t->staleness_sum / (double)t->samples);
+  print_figure (c, size, p, "staleness_max", (double)t->staleness_max);
+  print_figure (c, size, p, "beyond_bound", (double)t->beyond_bound);
+  print_figure (c, size, p, "engine_share",
+                (t->wasted_tokens + t->tokens)
+                    / ((w->c->duration_ms - w->c->count_from_ms)
+                       * w->c->engines * wb_capacity_tokens_per_ms ()));
+  print_figure (c, size, p, "wasted_share",
+                t->wasted_tokens / (t->wasted_tokens + t->tokens));
 }
 
 static void
-run (const struct wb_case *proto, const struct size *s,
+run (const struct wb_case *template, const struct size *s,
      const struct wb_policy *p)
 {
   struct wb_trainer_case t = s->trainer[0];
-  struct wb_case c = *proto;
+  struct wb_case c = *template;
   struct wb_simulation *w;
 
   t.groups *= s->scale;
@@ -123,7 +131,8 @@
   wb_simulation_free (w);
 }
 
-/* Several trainers on the same engines: what each gets against its worth.  */
+/* Several trainers on the same engines: the share of each compared with its
+   worth.  */
 static void
 run_unequal (const struct wb_policy *p)
 {
@@ -156,8 +165,8 @@
 
       least = share < least ? share : least;
     }
-  line (c.name, "carde", p->name, "worth_weighted_batches", accepted);
-  line (c.name, "carde", p->name, "least_share_of_worth", least);
+  print_figure (c.name, "carde", p->name, "worth_weighted_batches", accepted);
+  print_figure (c.name, "carde", p->name, "least_share_of_worth", least);
   wb_simulation_free (w);
 }
 
@@ -168,8 +177,8 @@
 
   for (uint32_t p = 0; p < (ours ? 1 : N (policies)); p++)
     {
-      /* The largest takes too long for each change; it has its turn in the
-         whole run.  */
+      /* The largest size takes too long to run after each change; only a
+         complete run includes it.  */
       for (uint32_t s = 0; s < N (sizes) - (ours ? 1 : 0); s++)
         for (uint32_t c = 0; c < N (cases); c++)
           run (&cases[c], &sizes[s], &policies[p]);
--- a/bench/support/agent.c
+++ b/bench/support/agent.c
@@ -1,4 +1,5 @@
-/* An agent with its engine: the queue under test, or the engine's own.  */
+/* Simulated agent and its engine, with the queue of src/decide or the FIFO of
+   an engine.  */
 #include <math.h>
 #include <stddef.h>
 
@@ -9,8 +10,8 @@
 /* One cache event in this many is lost.  */
 #define CACHE_EVENT_LOSS 5
 
-static struct wb_req *
-req_of (struct wy_queue_item *it)
+static struct wb_request *
+request_of (struct wy_queue_item *it)
 {
   return it->data;
 }
@@ -26,7 +27,7 @@
 }
 
 static double
-prefill (struct wb_simulation *w, uint32_t i, struct wb_req *r)
+tokens_to_prefill (struct wb_simulation *w, uint32_t i, struct wb_request *r)
 {
   uint64_t evicted;
   uint32_t fresh = r->item.prompt_tokens;
@@ -47,9 +48,9 @@
 }
 
 static void
-run (struct wb_simulation *w, uint32_t i, struct wb_req *r)
+start_stream (struct wb_simulation *w, uint32_t i, struct wb_request *r)
 {
-  double fresh = prefill (w, i, r);
+  double fresh = tokens_to_prefill (w, i, r);
 
   r->item.evicted = false;
   r->item.started = true;
@@ -57,7 +58,7 @@
 }
 
 static void
-pause (struct wb_simulation *w, uint32_t i, struct wb_req *r)
+pause_stream (struct wb_simulation *w, uint32_t i, struct wb_request *r)
 {
   double done;
 
@@ -68,7 +69,7 @@
 }
 
 static void
-schedule (struct wb_simulation *w, uint32_t i)
+schedule_events (struct wb_simulation *w, uint32_t i)
 {
   struct wb_agent *a = &w->agent[i];
   struct wb_stream *s = NULL;
@@ -100,7 +101,7 @@
       wy_queue_item_unlink (&a->fifo, it);
       it->state = WY_QUEUE_ITEM_RUNNING;
       a->kv_tokens += it->kv_tokens;
-      run (w, i, req_of (it));
+      start_stream (w, i, request_of (it));
     }
 }
 
@@ -114,31 +115,31 @@
 
   while ((it = wy_queue_expire (q, now_ms)))
     {
-      wb_entry_ended (w, req_of (it), WY_OUTCOME_REFUSED);
-      wb_caller_refused (w, req_of (it));
+      wb_entry_request_ended (w, request_of (it), WY_OUTCOME_REFUSED);
+      wb_reject_caller (w, request_of (it));
     }
   while ((p = wy_queue_preempt (q, now_ms)).kind != WY_PREEMPT_NONE)
     if (p.kind == WY_PREEMPT_PAUSE)
-      pause (w, i, req_of (p.item));
+      pause_stream (w, i, request_of (p.item));
   while ((it = wy_queue_next (q, now_ms)))
-    run (w, i, req_of (it));
+    start_stream (w, i, request_of (it));
 }
 
-/* Let agent I do what its queue allows.  */
+/* Start, pause or reject requests of agent I as its queue decides.  */
 void
 wb_agent_poll (struct wb_simulation *w, uint32_t i)
 {
-  if (w->agent[i].dead)
+  if (w->agent[i].failed)
     return;
   wb_engine_advance (&w->agent[i].engine, w->now_ms);
   if (w->p->queue == WB_QUEUE_FIFO)
     poll_fifo (w, i);
   else
     poll_queue (w, i);
-  schedule (w, i);
+  schedule_events (w, i);
 }
 
-/* The agent asked to be called again, if STAMP is its last word.  */
+/* Handle a wakeup of agent I, unless a later one has replaced STAMP.  */
 void
 wb_agent_wake (struct wb_simulation *w, uint32_t i, uint64_t stamp)
 {
@@ -146,15 +147,15 @@
     wb_agent_poll (w, i);
 }
 
-/* Offer R to its target.  */
+/* Offer R to its target.  Returns the queue's decision.  */
 enum wy_admission_kind
-wb_agent_offer (struct wb_simulation *w, struct wb_req *r)
+wb_agent_offer (struct wb_simulation *w, struct wb_request *r)
 {
   struct wb_agent *a = &w->agent[r->target];
   struct wy_admission v;
 
   r->item.data = r;
-  if (a->dead) /* it looks accepted, nothing answers */
+  if (a->failed) /* appears accepted; no response ever comes */
     return WY_ADMISSION_QUEUED;
   if (w->p->queue == WB_QUEUE_FIFO)
     {
@@ -166,16 +167,16 @@
     }
   v = wy_queue_offer (&a->queue, &r->item, (int64_t)w->now_ms);
   if (v.kind == WY_ADMISSION_RUN)
-    run (w, r->target, r);
+    start_stream (w, r->target, r);
   if (v.kind != WY_ADMISSION_REFUSED)
     wb_agent_poll (w, r->target);
   return v.kind;
 }
 
-/* Take R from its agent, wherever it is; what it has got stays counted in
-   its stream.  */
+/* Remove R from its agent, whether it is running or waiting.  The tokens
+   generated so far stay accounted for in its stream.  */
 void
-wb_agent_take (struct wb_simulation *w, struct wb_req *r)
+wb_agent_remove (struct wb_simulation *w, struct wb_request *r)
 {
   struct wb_agent *a = &w->agent[r->target];
 
@@ -194,9 +195,9 @@
 }
 
 static void
-caller_answered (struct wb_simulation *w, struct wb_req *r)
+caller_done (struct wb_simulation *w, struct wb_request *r)
 {
-  double ms = w->now_ms - r->arrived_ms + 2 * WB_NET_MS;
+  double ms = w->now_ms - r->arrived_ms + 2 * WB_NETWORK_MS;
 
   if (r->arrived_ms < w->c->count_from_ms)
     return;
@@ -207,44 +208,45 @@
   w->f.in_time_tokens += r->tokens;
 }
 
-/* The first stream of agent I ends, if STAMP is still the valid one.  */
+/* End the first stream of agent I, unless a later event has replaced
+   STAMP.  */
 void
 wb_agent_finish (struct wb_simulation *w, uint32_t i, uint64_t stamp)
 {
   struct wb_agent *a = &w->agent[i];
   struct wb_stream *s = NULL;
-  struct wb_req *r;
+  struct wb_request *r;
 
-  if (a->dead || stamp != a->stamp)
+  if (a->failed || stamp != a->stamp)
     return;
   wb_engine_advance (&a->engine, w->now_ms);
   wb_engine_next_ms (&a->engine, &s);
-  r = (struct wb_req *)s;
+  r = (struct wb_request *)s;
   if (w->p->queue == WB_QUEUE_PRIORITY)
     {
       wb_engine_stop (&a->engine, s, w->now_ms);
       wy_queue_done (&a->queue, &r->item, r->tokens, (int64_t)w->now_ms);
     }
   else
-    wb_agent_take (w, r);
-  wb_entry_ended (w, r, WY_OUTCOME_OK);
+    wb_agent_remove (w, r);
+  wb_entry_request_ended (w, r, WY_OUTCOME_OK);
   if (r->trainer != WB_NO_TRAINER)
-    wb_trainer_done (w, r);
+    wb_trainer_sample_done (w, r);
   else if (r->place.work_class == WY_CLASS_ROLLOUT)
     {
       if (w->now_ms >= w->c->count_from_ms)
         w->f.rollout_tokens += r->tokens;
     }
   else
-    caller_answered (w, r);
-  wb_req_free (w, r);
+    caller_done (w, r);
+  wb_request_free (w, r);
   wb_agent_poll (w, i);
   wb_rollout_refill (w);
 }
 
-/* Stop or restart the engine of agent I.  */
+/* Stop the engine of agent I, or start it again.  */
 void
-wb_agent_stopped (struct wb_simulation *w, uint32_t i, bool stopped)
+wb_agent_set_stopped (struct wb_simulation *w, uint32_t i, bool stopped)
 {
   wb_engine_advance (&w->agent[i].engine, w->now_ms);
   w->agent[i].engine.stopped = stopped;
--- a/bench/support/engine.c
+++ b/bench/support/engine.c
@@ -1,28 +1,29 @@
 /* Batching-rate model of an engine.
 
-   A stream's progress is kept as the point of the engine's token count at
-   which it ends, so that a change of pace costs nothing per stream.  */
+   The progress of a stream is stored as the value of the engine's token
+   counter at which the stream ends, so that a change of rate needs no update
+   of each stream.  */
 #include "engine.h"
 
 #include <math.h>
 #include <stddef.h>
 #include <string.h>
 
-/* Milliseconds per token of each of STREAMS streams.  */
+/* Milliseconds per token of each stream when STREAMS are running.  */
 double
 wb_token_ms (uint32_t streams)
 {
-  return WB_TOKEN_BASE_MS + WB_TOKEN_STREAM_MS * streams;
+  return WB_TOKEN_BASE_MS + WB_TOKEN_PER_STREAM_MS * streams;
 }
 
-/* The most tokens an engine makes per millisecond.  */
+/* Maximum tokens per millisecond of an engine.  */
 double
 wb_capacity_tokens_per_ms (void)
 {
   return WB_STREAMS_MAX / wb_token_ms (WB_STREAMS_MAX);
 }
 
-/* Make E an idle engine at time 0.  */
+/* Initialize E as an idle engine at time 0.  */
 void
 wb_engine_init (struct wb_engine *e)
 {
@@ -30,7 +31,7 @@
   e->speed = 1;
 }
 
-/* Let E work until NOW_MS.  */
+/* Advance E to NOW_MS.  */
 void
 wb_engine_advance (struct wb_engine *e, double now_ms)
 {
@@ -39,7 +40,7 @@
   e->now_ms = now_ms;
 }
 
-/* Run S on E after a prefill of PREFILL_TOKENS.  */
+/* Start S on E, after a prefill of PREFILL_TOKENS.  */
 void
 wb_engine_start (struct wb_engine *e, struct wb_stream *s,
                  double prefill_tokens, double now_ms)
@@ -51,7 +52,7 @@
              + prefill_tokens * WB_PREFILL_TOKEN_MS / wb_token_ms (e->n);
 }
 
-/* Stop S on E and keep what is left of it.  */
+/* Stop S on E and save its remaining tokens.  */
 void
 wb_engine_stop (struct wb_engine *e, struct wb_stream *s, double now_ms)
 {
@@ -61,7 +62,8 @@
   e->stream[s->pos]->pos = s->pos;
 }
 
-/* When the next stream of E ends, and which; INFINITY for none.  */
+/* The time at which the next stream of E ends, and in OUT that stream.
+   INFINITY if none runs.  */
 double
 wb_engine_next_ms (const struct wb_engine *e, struct wb_stream **out)
 {
@@ -80,8 +82,8 @@
   return e->now_ms + left * wb_token_ms (e->n) / e->speed;
 }
 
-/* Use PREFIX on E: whether it was cached.  EVICTED is the prefix that gave
-   way for it, or 0.  */
+/* Use PREFIX on E.  Returns whether it was cached, and in EVICTED the prefix
+   that was evicted for it, or 0.  */
 bool
 wb_engine_prefix (struct wb_engine *e, uint64_t prefix, uint64_t *evicted)
 {
--- a/bench/support/engine.h
+++ b/bench/support/engine.h
@@ -1,14 +1,14 @@
-/* Batching-rate model of an engine in virtual time: all its streams get a
-   token in the same time, which grows with their number.  */
+/* Batching-rate model of an engine in virtual time: all streams get a token at
+   the same interval, which grows with their number.  */
 #ifndef WY_BENCH_ENGINE_H
 #define WY_BENCH_ENGINE_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* The stand-in engine's curve.  */
+/* Parameters of the stand-in engine.  */
 #define WB_TOKEN_BASE_MS 8.0
-#define WB_TOKEN_STREAM_MS 0.25
+#define WB_TOKEN_PER_STREAM_MS 0.25
 #define WB_STREAMS_MAX 64
 #define WB_KV_TOKENS_MAX 65536
 #define WB_PREFILL_TOKEN_MS 0.02
@@ -16,20 +16,20 @@
 
 struct wb_stream
 {
-  double left_tokens; /* while stopped */
-  double end_v;       /* while running */
+  double left_tokens; /* remaining; valid while stopped */
+  double end_v; /* value of wb_engine.v at the end; valid while running */
   uint32_t pos;
 };
 
 struct wb_engine
 {
-  double v; /* tokens a stream has had since the start */
+  double v; /* tokens per stream since the start */
   double now_ms;
-  double speed; /* 1, or less for a slow one */
-  bool stopped; /* swapping weights, or dead */
+  double speed; /* 1; less: slow */
+  bool stopped; /* swapping weights, or failed */
   uint32_t n;
   struct wb_stream *stream[WB_STREAMS_MAX];
-  uint64_t prefix[WB_CACHE_PREFIXES]; /* last used first */
+  uint64_t prefix[WB_CACHE_PREFIXES]; /* most recently used first */
 };
 
 double wb_token_ms (uint32_t streams);
--- a/bench/support/entry.c
+++ b/bench/support/entry.c
@@ -1,20 +1,20 @@
-/* An entry: the placement under test, or a baseline, and retries.  */
+/* Simulated entry: the placement of src/decide or a baseline, and retries.  */
 #include <stddef.h>
 
 #include "simulation_state.h"
 
-#define HOPS_MAX 2
+#define RETRIES_MAX 2
 
 static uint32_t
 known_load (const struct wb_entry *e, const struct wb_policy *p, uint32_t i)
 {
   if (p->place == WB_PLACE_LEAST_REPORTED)
     return e->reported[i];
-  return e->reported[i] + e->since[i];
+  return e->reported[i] + e->started_since_report[i];
 }
 
 static uint32_t
-least_of_all (struct wb_simulation *w, const struct wb_entry *e)
+least_loaded (struct wb_simulation *w, const struct wb_entry *e)
 {
   uint32_t first = wy_rng_below (&w->place_rng, w->c->engines);
   uint32_t best = first;
@@ -30,7 +30,7 @@
 }
 
 static uint32_t
-least_of_two (struct wb_simulation *w, const struct wb_entry *e)
+less_loaded_of_two (struct wb_simulation *w, const struct wb_entry *e)
 {
   uint32_t a = wy_rng_below (&w->place_rng, w->c->engines);
   uint32_t b = wy_rng_below (&w->place_rng, w->c->engines);
@@ -39,7 +39,7 @@
 }
 
 static int
-pick (struct wb_simulation *w, struct wb_req *r)
+pick (struct wb_simulation *w, struct wb_request *r)
 {
   struct wb_entry *e = &w->entry[r->entry];
 
@@ -49,17 +49,17 @@
       return wy_placement_pick (e->place, &r->place, (int64_t)w->now_ms,
                                 &w->place_rng);
     case WB_PLACE_ROUND_ROBIN:
-      return (int)(e->turn++ % w->c->engines);
+      return (int)(e->next_target++ % w->c->engines);
     case WB_PLACE_LEAST_REPORTED:
-      return (int)least_of_all (w, e);
+      return (int)least_loaded (w, e);
     case WB_PLACE_TWO_CHOICES:
-      return (int)least_of_two (w, e);
+      return (int)less_loaded_of_two (w, e);
     }
   return -1;
 }
 
 static bool
-attempt (struct wb_simulation *w, struct wb_req *r)
+attempt (struct wb_simulation *w, struct wb_request *r)
 {
   struct wb_entry *e = &w->entry[r->entry];
   int slot = pick (w, r);
@@ -67,27 +67,28 @@
   if (slot < 0)
     return false;
   r->target = (uint32_t)slot;
-  e->since[slot]++;
+  e->started_since_report[slot]++;
   wy_placement_request_started (e->place, r->target, &r->place,
                                 (int64_t)w->now_ms);
   if (wb_agent_offer (w, r) != WY_ADMISSION_REFUSED)
     return true;
-  wb_entry_ended (w, r, WY_OUTCOME_REFUSED);
+  wb_entry_request_ended (w, r, WY_OUTCOME_REFUSED);
   if (r->place.n_tried < WY_PLACEMENT_TRIED_MAX)
     r->place.tried[r->place.n_tried++] = r->target;
   return false;
 }
 
-/* Place R, hopping on after refusals as far as the budget goes.  */
+/* Place R, and retry on other targets after rejections as far as the retry
+   budget allows.  Returns whether R was accepted.  */
 bool
-wb_entry_place (struct wb_simulation *w, struct wb_req *r)
+wb_entry_place (struct wb_simulation *w, struct wb_request *r)
 {
   struct wb_entry *e = &w->entry[r->entry];
 
   wy_retry_request (&e->retry);
   if (attempt (w, r))
     return true;
-  for (uint32_t hop = 0; hop < HOPS_MAX; hop++)
+  for (uint32_t n = 0; n < RETRIES_MAX; n++)
     {
       if (wy_retry_take (&e->retry) < 0)
         return false;
@@ -100,22 +101,22 @@
   return false;
 }
 
-/* R is no longer at its target.  */
+/* Account for the end of R at its target with OUTCOME.  */
 void
-wb_entry_ended (struct wb_simulation *w, struct wb_req *r,
-                enum wy_outcome outcome)
+wb_entry_request_ended (struct wb_simulation *w, struct wb_request *r,
+                        enum wy_outcome outcome)
 {
   struct wb_entry *e = &w->entry[r->entry];
 
-  if (e->since[r->target] > 0)
-    e->since[r->target]--;
+  if (e->started_since_report[r->target] > 0)
+    e->started_since_report[r->target]--;
   wy_placement_request_ended (e->place, r->target, r->place.work_class,
                               outcome, (int64_t)w->now_ms);
 }
 
-/* The last snapshot of TARGET reaches all entries.  */
+/* Deliver the last load snapshot of TARGET to all entries.  */
 void
-wb_entry_report (struct wb_simulation *w, uint32_t target)
+wb_entry_load_reported (struct wb_simulation *w, uint32_t target)
 {
   struct wb_agent *a = &w->agent[target];
   const struct wy_queue_load *l = &a->snapshot;
@@ -128,7 +129,7 @@
           .us_per_token = l->us_per_token,
           .kv_free_tokens = l->kv_free_tokens };
 
-  if (a->dead)
+  if (a->failed)
     return;
   for (uint32_t i = 0; i < w->c->entries; i++)
     {
@@ -136,11 +137,11 @@
                                   (int64_t)w->now_ms);
       w->entry[i].reported[target]
           = r.callers + r.rollouts_running + r.rollouts_waiting;
-      w->entry[i].since[target] = 0;
+      w->entry[i].started_since_report[target] = 0;
     }
 }
 
-/* A cache event of TARGET reaches all entries.  */
+/* Deliver a cache event of TARGET to all entries.  */
 void
 wb_entry_cache_event (struct wb_simulation *w, uint32_t target,
                       uint64_t prefix, bool present)
--- a/bench/support/events.c
+++ b/bench/support/events.c
@@ -11,12 +11,12 @@
   return a->seq < b->seq;
 }
 
-/* Add an event of KIND for WHO at AT_MS.  */
+/* Add an event of KIND for the agent or trainer INDEX at AT_MS.  */
 void
-wb_events_add (struct wb_events *q, double at_ms, uint32_t kind, uint32_t who,
-               uint64_t arg)
+wb_events_add (struct wb_events *q, double at_ms, uint32_t kind,
+               uint32_t index, uint64_t arg)
 {
-  struct wb_event v = { at_ms, q->seq++, kind, who, arg };
+  struct wb_event v = { at_ms, q->seq++, kind, index, arg };
   uint32_t i = q->n++;
 
   if (q->n > q->cap)
@@ -34,7 +34,7 @@
   q->e[i] = v;
 }
 
-/* Take the earliest event into OUT; false when there is none.  */
+/* Remove the earliest event and return it in OUT; false if there is none.  */
 bool
 wb_events_next (struct wb_events *q, struct wb_event *out)
 {
@@ -62,7 +62,7 @@
   return true;
 }
 
-/* Free what Q holds.  */
+/* Free the memory of Q.  */
 void
 wb_events_free (struct wb_events *q)
 {
--- a/bench/support/events.h
+++ b/bench/support/events.h
@@ -1,4 +1,4 @@
-/* Events in virtual time.  */
+/* Queue of events in virtual time.  */
 #ifndef WY_BENCH_EVENTS_H
 #define WY_BENCH_EVENTS_H
 
@@ -8,9 +8,9 @@
 struct wb_event
 {
   double at_ms;
-  uint64_t seq; /* equal times in the order of their making */
+  uint64_t seq; /* orders events of the same time by insertion */
   uint32_t kind;
-  uint32_t who;
+  uint32_t index;
   uint64_t arg;
 };
 
@@ -23,7 +23,7 @@
 };
 
 void wb_events_add (struct wb_events *q, double at_ms, uint32_t kind,
-                    uint32_t who, uint64_t arg);
+                    uint32_t index, uint64_t arg);
 bool wb_events_next (struct wb_events *q, struct wb_event *out);
 void wb_events_free (struct wb_events *q);
 
--- a/bench/support/faults.c
+++ b/bench/support/faults.c
@@ -1,5 +1,5 @@
-/* Faults and changes during a case: a slow engine, a lost zone, a swap of
-   weights.  */
+/* Faults and changes during a case: a slow engine, a lost availability zone, a
+   swap of weights.  */
 #include <stddef.h>
 #include <stdlib.h>
 
@@ -7,14 +7,14 @@
 #include "simulation_state.h"
 
 #define SLOW_SPEED 0.1
-/* Heartbeats show a silent target after this time.  */
-#define NOTICE_MS 500
+/* Time until missing heartbeats reveal a failed target.  */
+#define DETECTION_MS 500
 #define SWAP_MS 500
 #define WAVE_TICK_MS 100
 
-/* Put the faults of the case on the event list.  */
+/* Schedule the faults of the case.  */
 void
-wb_faults_plan (struct wb_simulation *w)
+wb_faults_schedule (struct wb_simulation *w)
 {
   if (w->c->slow_at_ms > 0)
     wb_events_add (&w->events, w->c->slow_at_ms, WB_EV_SLOW, 0, 0);
@@ -31,45 +31,46 @@
     if (w->agent[i].az == 0)
       {
         wb_engine_advance (&w->agent[i].engine, w->now_ms);
-        w->agent[i].dead = true;
+        w->agent[i].failed = true;
       }
-  wb_events_add (&w->events, w->now_ms + NOTICE_MS, WB_EV_AZ_NOTICED, 0, 0);
+  wb_events_add (&w->events, w->now_ms + DETECTION_MS, WB_EV_AZ_LOSS_DETECTED,
+                 0, 0);
 }
 
 static void
-place_again (struct wb_simulation *w, struct wb_req *r)
+place_elsewhere (struct wb_simulation *w, struct wb_request *r)
 {
-  wb_entry_ended (w, r, WY_OUTCOME_FAILED);
+  wb_entry_request_ended (w, r, WY_OUTCOME_FAILED);
   r->item.evicted = true;
   r->item.started = false;
   if (wb_entry_place (w, r))
     return;
   if (r->place.work_class != WY_CLASS_ROLLOUT)
     {
-      wb_caller_refused (w, r);
+      wb_reject_caller (w, r);
       return;
     }
   if (r->trainer != WB_NO_TRAINER)
-    wb_trainer_lost (w, r);
-  wb_req_free (w, r);
+    wb_trainer_sample_failed (w, r);
+  wb_request_free (w, r);
 }
 
 static void
-az_noticed (struct wb_simulation *w)
+detect_az_loss (struct wb_simulation *w)
 {
-  /* As an entry does whose connections to the targets fall silent.  */
+  /* As an entry does when its connections to the targets time out.  */
   for (uint32_t i = 0; i < w->c->entries; i++)
     for (uint32_t k = 0; k < w->c->engines; k++)
-      if (w->agent[k].dead)
+      if (w->agent[k].failed)
         wy_placement_drain (w->entry[i].place, k);
   for (uint32_t i = 0; i < w->n_req; i++)
     {
-      struct wb_req *r = w->req[i];
+      struct wb_request *r = w->req[i];
 
-      if (!r->live || !w->agent[r->target].dead)
+      if (!r->live || !w->agent[r->target].failed)
         continue;
-      wb_agent_take (w, r);
-      place_again (w, r);
+      wb_agent_remove (w, r);
+      place_elsewhere (w, r);
     }
 }
 
@@ -78,7 +79,7 @@
 {
   w->agent[i].swapping = true;
   w->swapping++;
-  wb_agent_stopped (w, i, true);
+  wb_agent_set_stopped (w, i, true);
   wb_events_add (&w->events, w->now_ms + SWAP_MS, WB_EV_SWAPPED, i, 0);
 }
 
@@ -93,14 +94,14 @@
 }
 
 static void
-wave (struct wb_simulation *w)
+activate_wave (struct wb_simulation *w)
 {
   uint32_t n = w->c->engines;
   struct wy_wave_replica *r = calloc (n, sizeof *r);
   uint32_t *out = calloc (n, sizeof *out);
   struct wy_wave_options o
       = { .swap_ms = SWAP_MS, .load_share = caller_share (w) };
-  uint32_t got;
+  uint32_t n_chosen;
 
   if (!r || !out)
     abort ();
@@ -111,8 +112,8 @@
       r[i].staged = !w->agent[i].swapping;
       r[i].done = w->agent[i].swapped;
     }
-  got = wy_wave_next (&o, r, n, w->swapping, out, n);
-  for (uint32_t i = 0; i < got; i++)
+  n_chosen = wy_wave_next (&o, r, n, w->swapping, out, n);
+  for (uint32_t i = 0; i < n_chosen; i++)
     begin_swap (w, out[i]);
   free (r);
   free (out);
@@ -128,12 +129,12 @@
   w->swapping--;
   if (++w->swapped == w->c->engines)
     w->f.swap_ms = w->now_ms - w->c->swap_at_ms;
-  wb_agent_stopped (w, i, false);
+  wb_agent_set_stopped (w, i, false);
 }
 
-/* Carry out the fault event E.  */
+/* Handle the fault event E.  */
 void
-wb_fault (struct wb_simulation *w, const struct wb_event *e)
+wb_fault_inject (struct wb_simulation *w, const struct wb_event *e)
 {
   switch ((enum wb_event_kind)e->kind)
     {
@@ -145,14 +146,14 @@
     case WB_EV_AZ_LOST:
       az_lost (w);
       return;
-    case WB_EV_AZ_NOTICED:
-      az_noticed (w);
+    case WB_EV_AZ_LOSS_DETECTED:
+      detect_az_loss (w);
       return;
     case WB_EV_WAVE:
-      wave (w);
+      activate_wave (w);
       return;
     case WB_EV_SWAPPED:
-      swapped (w, e->who);
+      swapped (w, e->index);
       return;
     default:
       return;
--- a/bench/support/simulation.c
+++ b/bench/support/simulation.c
@@ -1,4 +1,5 @@
-/* The event loop of the modelled world, its callers and plain rollouts.  */
+/* Event loop of the simulation, its callers, and rollouts without a
+   trainer.  */
 #include <math.h>
 #include <stdlib.h>
 
@@ -14,7 +15,7 @@
 #define PREDICTION_SIGMA 0.2
 #define STRAGGLER_ONE_IN 100
 #define STRAGGLER_FACTOR 20
-/* A stream ends at the engine's longest context.  */
+/* Maximum context length of the engine.  */
 #define TOKENS_MAX 32000
 #define PREFIXES 200
 
@@ -26,7 +27,7 @@
   return sqrt (-2 * log (u)) * cos (2 * M_PI * wy_rng_unit (rng));
 }
 
-/* A log-normal number with the given MEDIAN, at least 1.  */
+/* A random number, log-normally distributed with MEDIAN, at least 1.  */
 uint32_t
 wb_lognormal (struct wy_rng *rng, double median, double sigma)
 {
@@ -35,8 +36,8 @@
   return v < 1 ? 1 : (uint32_t)v;
 }
 
-/* The length of a rollout; one in a hundred is a straggler when there are
-   any.  */
+/* A random length of a rollout in tokens.  With STRAGGLERS, one in a hundred
+   is 20 times as long.  */
 uint32_t
 wb_length (struct wy_rng *rng, double median, bool stragglers)
 {
@@ -47,30 +48,30 @@
   return n < TOKENS_MAX ? n : TOKENS_MAX;
 }
 
-/* A cleared request.  */
-struct wb_req *
-wb_req_new (struct wb_simulation *w)
+/* Return a new request that arrives now.  */
+struct wb_request *
+wb_request_new (struct wb_simulation *w)
 {
-  struct wb_req *r = w->free;
+  struct wb_request *r = w->free;
 
   if (r)
     w->free = r->next_free;
   else
     {
       r = malloc (sizeof *r);
-      w->req = realloc (w->req, (w->n_req + 1) * sizeof (struct wb_req *));
+      w->req = realloc (w->req, (w->n_req + 1) * sizeof (struct wb_request *));
       if (!r || !w->req)
         abort ();
       w->req[w->n_req++] = r;
     }
-  *r = (struct wb_req){ .trainer = WB_NO_TRAINER, .live = true };
+  *r = (struct wb_request){ .trainer = WB_NO_TRAINER, .live = true };
   r->arrived_ms = w->now_ms;
   return r;
 }
 
-/* R has ended.  */
+/* Free R, which has ended.  */
 void
-wb_req_free (struct wb_simulation *w, struct wb_req *r)
+wb_request_free (struct wb_simulation *w, struct wb_request *r)
 {
   if (r->place.work_class == WY_CLASS_ROLLOUT && r->trainer == WB_NO_TRAINER)
     w->rollouts--;
@@ -79,23 +80,23 @@
   w->free = r;
 }
 
-/* The caller of R is told that it has not run.  */
+/* Reject the request R, which was not executed.  */
 void
-wb_caller_refused (struct wb_simulation *w, struct wb_req *r)
+wb_reject_caller (struct wb_simulation *w, struct wb_request *r)
 {
   double ms
-      = w->now_ms - r->arrived_ms + 2 * WB_NET_MS * (1 + r->place.n_tried);
+      = w->now_ms - r->arrived_ms + 2 * WB_NETWORK_MS * (1 + r->place.n_tried);
 
   if (r->arrived_ms >= w->c->count_from_ms)
     {
       w->f.refused++;
       wb_values_add (&w->f.refusal_ms, ms);
     }
-  wb_req_free (w, r);
+  wb_request_free (w, r);
 }
 
 static void
-set_prefix (struct wb_simulation *w, struct wb_req *r)
+set_prefix (struct wb_simulation *w, struct wb_request *r)
 {
   bool hot = wy_rng_unit (&w->rng) < w->c->prefix_skew;
   uint32_t cold = wy_rng_below (&w->rng, PREFIXES);
@@ -108,7 +109,7 @@
 }
 
 static void
-finish_req (struct wb_req *r)
+copy_request_fields (struct wb_request *r)
 {
   r->stream.left_tokens = r->tokens;
   r->place.prompt_tokens = r->item.prompt_tokens;
@@ -119,24 +120,24 @@
 static void
 arrive (struct wb_simulation *w)
 {
-  struct wb_req *r = wb_req_new (w);
+  struct wb_request *r = wb_request_new (w);
   uint32_t n = wb_lognormal (&w->rng, CALLER_TOKENS, CALLER_SIGMA);
 
   r->tokens = n < CALLER_TOKENS_MAX ? n : CALLER_TOKENS_MAX;
   r->item.prompt_tokens = PROMPT_TOKENS;
   r->item.predicted_tokens
       = wb_lognormal (&w->rng, r->tokens, PREDICTION_SIGMA);
-  r->item.deadline_ms = (int64_t)w->now_ms + WB_ANSWER_MS;
+  r->item.deadline_ms = (int64_t)w->now_ms + WB_RESPONSE_DEADLINE_MS;
   r->entry = wy_rng_below (&w->rng, w->c->entries);
   set_prefix (w, r);
-  finish_req (r);
+  copy_request_fields (r);
   if (w->now_ms >= w->c->count_from_ms)
     {
       w->f.offered++;
       w->f.offered_tokens += r->tokens;
     }
   if (!wb_entry_place (w, r))
-    wb_caller_refused (w, r);
+    wb_reject_caller (w, r);
 }
 
 static void
@@ -156,7 +157,8 @@
     wb_events_add (&w->events, w->now_ms + gap, WB_EV_ARRIVE, 0, 0);
 }
 
-/* Keep the number of rollouts without a trainer up.  */
+/* Start rollouts without a trainer until the required number is in the
+   system.  */
 void
 wb_rollout_refill (struct wb_simulation *w)
 {
@@ -164,7 +166,7 @@
 
   while (w->rollouts < want)
     {
-      struct wb_req *r = wb_req_new (w);
+      struct wb_request *r = wb_request_new (w);
 
       w->rollouts++;
       r->place.work_class = WY_CLASS_ROLLOUT;
@@ -173,25 +175,25 @@
       r->item.prompt_tokens = PROMPT_TOKENS;
       r->item.predicted_tokens = (uint32_t)w->c->rollout_tokens;
       r->entry = wy_rng_below (&w->rollout_rng, w->c->entries);
-      finish_req (r);
+      copy_request_fields (r);
       if (!wb_entry_place (w, r))
         {
-          wb_req_free (w, r);
+          wb_request_free (w, r);
           return;
         }
     }
 }
 
-/* The agent of I has seen the tokens made so far.  */
+/* Report to the queue of agent I the tokens generated so far.  */
 static void
-progress (struct wb_simulation *w, uint32_t i)
+report_progress (struct wb_simulation *w, uint32_t i)
 {
   struct wb_agent *a = &w->agent[i];
 
   wb_engine_advance (&a->engine, w->now_ms);
-  for (uint32_t k = 0; k < a->engine.n && !a->dead; k++)
+  for (uint32_t k = 0; k < a->engine.n && !a->failed; k++)
     {
-      struct wb_req *r = (struct wb_req *)a->engine.stream[k];
+      struct wb_request *r = (struct wb_request *)a->engine.stream[k];
       double done = r->tokens - (r->stream.end_v - a->engine.v);
 
       if (done >= 1)
@@ -207,7 +209,7 @@
 
   if (w->p->queue == WB_QUEUE_PRIORITY)
     {
-      progress (w, i);
+      report_progress (w, i);
       wy_queue_load (&a->queue, (int64_t)w->now_ms, &a->snapshot);
     }
   else
@@ -228,28 +230,28 @@
       next_arrival (w);
       return;
     case WB_EV_FINISH:
-      wb_agent_finish (w, e->who, e->arg);
+      wb_agent_finish (w, e->index, e->arg);
       return;
     case WB_EV_WAKE:
-      wb_agent_wake (w, e->who, e->arg);
+      wb_agent_wake (w, e->index, e->arg);
       return;
     case WB_EV_SNAPSHOT:
-      snapshot (w, e->who);
+      snapshot (w, e->index);
       return;
     case WB_EV_REPORT:
-      wb_entry_report (w, e->who);
+      wb_entry_load_reported (w, e->index);
       return;
     case WB_EV_CACHE:
-      wb_entry_cache_event (w, e->who, e->arg >> 1, e->arg & 1);
+      wb_entry_cache_event (w, e->index, e->arg >> 1, e->arg & 1);
       return;
     case WB_EV_TRAINED:
-      wb_trainer_trained (w, e->who);
+      wb_trainer_trained (w, e->index);
       return;
     case WB_EV_TRAINER_TICK:
-      wb_trainer_tick (w, e->who);
+      wb_trainer_tick (w, e->index);
       return;
     default:
-      wb_fault (w, e);
+      wb_fault_inject (w, e);
       return;
     }
 }
@@ -288,10 +290,11 @@
 
   e->place = wy_placement_new (&o);
   e->reported = calloc (c->engines, sizeof *e->reported);
-  e->since = calloc (c->engines, sizeof *e->since);
-  if (!e->place || !e->reported || !e->since)
+  e->started_since_report
+      = calloc (c->engines, sizeof *e->started_since_report);
+  if (!e->place || !e->reported || !e->started_since_report)
     abort ();
-  e->turn = k;
+  e->next_target = k;
   wy_retry_init (&e->retry, &retry);
   for (uint32_t i = 0; i < c->engines; i++)
     {
@@ -302,7 +305,7 @@
     }
 }
 
-/* Run case C under policy P.  */
+/* Simulate case C under policy P.  The caller frees the result.  */
 struct wb_simulation *
 wb_simulate (const struct wb_case *c, const struct wb_policy *p, uint64_t seed)
 {
@@ -323,7 +326,7 @@
   init_agents (w);
   for (uint32_t i = 0; i < c->entries; i++)
     init_entry (w, i);
-  wb_faults_plan (w);
+  wb_faults_schedule (w);
   wb_trainers_start (w);
   wb_rollout_refill (w);
   next_arrival (w);
@@ -336,7 +339,7 @@
   return w;
 }
 
-/* What W measured.  */
+/* The measurements of W, owned by W.  */
 struct wb_figures *
 wb_simulation_figures (struct wb_simulation *w)
 {
@@ -351,7 +354,7 @@
     {
       wy_placement_free (w->entry[i].place);
       free (w->entry[i].reported);
-      free (w->entry[i].since);
+      free (w->entry[i].started_since_report);
     }
   for (uint32_t i = 0; i < w->n_req; i++)
     free (w->req[i]);
--- a/bench/support/simulation.h
+++ b/bench/support/simulation.h
@@ -1,5 +1,5 @@
-/* Callers, entries, agents and engines in virtual time.  It runs the policies
-   of src/decide, or a baseline in their place, under one load case.  */
+/* Simulation of callers, entries, agents and engines in virtual time, with the
+   policies of src/decide or baselines, for one load case.  */
 #ifndef WY_BENCH_SIMULATION_H
 #define WY_BENCH_SIMULATION_H
 
@@ -16,22 +16,22 @@
 
 enum wb_queue_policy
 {
-  WB_QUEUE_PRIORITY, /* the agent's, src/decide */
-  WB_QUEUE_FIFO,     /* the engine's own: no priorities, no refusals */
+  WB_QUEUE_PRIORITY, /* that of agents, src/decide */
+  WB_QUEUE_FIFO,     /* that of an engine: no priorities, nothing rejected */
 };
 
 enum wb_place_policy
 {
-  WB_PLACE_TABLE, /* the entry's, src/decide */
+  WB_PLACE_TABLE, /* that of entries, src/decide */
   WB_PLACE_ROUND_ROBIN,
   WB_PLACE_LEAST_REPORTED,
-  WB_PLACE_TWO_CHOICES, /* by reported load and own starts since */
+  WB_PLACE_TWO_CHOICES, /* by reported load and own requests started since */
 };
 
 enum wb_straggler_policy
 {
   WB_STRAGGLER_STEPS,   /* src/decide */
-  WB_STRAGGLER_RESTART, /* cancel past a limit, start again from nothing */
+  WB_STRAGGLER_RESTART, /* cancel beyond a length, then restart */
 };
 
 struct wb_policy
@@ -59,36 +59,36 @@
   uint32_t engines;
   uint32_t azs;
   uint32_t entries;
-  double callers_per_s; /* for each engine */
-  double rollouts;      /* streams kept up without trainers, per engine */
+  double callers_per_s; /* per engine */
+  double rollouts;      /* concurrent rollouts without a trainer, per engine */
   double duration_ms;
   double count_from_ms;
   double burst_at_ms;
   double burst_ms;
   double burst_factor;
   uint32_t prefix_tokens;
-  double prefix_skew; /* share of the callers on one prefix */
-  bool stragglers;    /* 1% of the rollouts 20 times as long */
-  double slow_at_ms;  /* engine 0 at a tenth of its speed; 0: never */
+  double prefix_skew; /* share of the callers that have the same prefix */
+  bool stragglers;    /* 1% of the rollouts are 20 times as long */
+  double slow_at_ms;  /* engine 0 drops to a tenth of its speed; 0: never */
   double az_lost_at_ms;
   double swap_at_ms;
   uint32_t trainers;
   const struct wb_trainer_case *trainer;
-  double rollout_tokens; /* median length */
+  double rollout_tokens; /* median */
 };
 
 struct wb_figures
 {
   struct wb_values latency_ms;
-  struct wb_values refusal_ms; /* from arrival to the refusal */
+  struct wb_values refusal_ms; /* from arrival to rejection */
   uint64_t offered;
   double offered_tokens;
   uint64_t in_time;
   double in_time_tokens;
   uint64_t refused;
-  uint64_t retries; /* attempts of the callers beyond the first */
+  uint64_t retries; /* of callers' requests */
   double rollout_tokens;
-  double swap_ms; /* until all replicas have the version */
+  double swap_ms; /* until all replicas have the new weights */
 };
 
 struct wb_simulation;
--- a/bench/support/stragglers.c
+++ b/bench/support/stragglers.c
@@ -1,25 +1,25 @@
-/* Samples that take much longer than others: what src/decide/steps says, or
-   the baseline that cancels and restarts them.  */
+/* Samples that take much longer than others: handled as src/decide/steps says,
+   or by the baseline that cancels and restarts them.  */
 #include "simulation_state.h"
 
-/* The restarting baseline gives up at this many times the median.  */
+/* The baseline restarts a sample at this multiple of the median length.  */
 #define RESTART_FACTOR 5
 
 static void
-move (struct wb_simulation *w, struct wb_open *s, uint32_t sample)
+move_sample (struct wb_simulation *w, struct wb_open_step *s, uint32_t sample)
 {
-  struct wb_req *r = s->sample[sample];
+  struct wb_request *r = s->sample[sample];
   uint32_t from = r->target;
   uint32_t best = from;
 
   for (uint32_t i = 0; i < w->c->engines; i++)
-    if (!w->agent[i].dead && w->agent[i].engine.n < w->agent[best].engine.n)
+    if (!w->agent[i].failed && w->agent[i].engine.n < w->agent[best].engine.n)
       best = i;
   wy_step_moved (s->step, sample);
   if (best == from || r->item.state != WY_QUEUE_ITEM_RUNNING)
     return;
-  wb_agent_take (w, r);
-  wb_entry_ended (w, r, WY_OUTCOME_CANCELLED);
+  wb_agent_remove (w, r);
+  wb_entry_request_ended (w, r, WY_OUTCOME_CANCELLED);
   r->target = best;
   wy_placement_request_started (w->entry[r->entry].place, best, &r->place,
                                 (int64_t)w->now_ms);
@@ -28,29 +28,29 @@
 }
 
 static void
-restart_stragglers (struct wb_simulation *w, struct wb_open *s)
+restart_stragglers (struct wb_simulation *w, struct wb_open_step *s)
 {
   double limit = RESTART_FACTOR * w->c->rollout_tokens;
 
   for (uint32_t k = 0; k < wy_step_samples_max (s->step); k++)
     {
-      const struct wb_req *r = s->sample[k];
+      const struct wb_request *r = s->sample[k];
 
       if (!r || r->item.state != WY_QUEUE_ITEM_RUNNING)
         continue;
       if (r->tokens - (r->stream.end_v - w->agent[r->target].engine.v) < limit)
         continue;
-      wb_trainer_abandon (w, s, k);
+      wb_trainer_cancel_sample (w, s, k);
       wy_step_failed (s->step, k);
     }
 }
 
 static void
-progress (struct wb_simulation *w, struct wb_open *s)
+report_progress (struct wb_simulation *w, struct wb_open_step *s)
 {
   for (uint32_t k = 0; k < wy_step_samples_max (s->step); k++)
     {
-      const struct wb_req *r = s->sample[k];
+      const struct wb_request *r = s->sample[k];
       const struct wb_engine *e;
       double left;
 
@@ -69,11 +69,12 @@
 }
 
 static void
-follow_steps (struct wb_simulation *w, struct wb_trainer *t, struct wb_open *s)
+handle_stragglers (struct wb_simulation *w, struct wb_trainer *t,
+                   struct wb_open_step *s)
 {
   for (;;)
     {
-      struct wy_step_inputs now = wb_trainer_state (w, t);
+      struct wy_step_inputs now = wb_trainer_step_inputs (w, t);
       struct wy_straggler what = wy_step_straggler (s->step, &now);
 
       switch (what.action)
@@ -81,24 +82,25 @@
         case WY_STRAGGLER_NONE:
           return;
         case WY_STRAGGLER_MOVE:
-          move (w, s, what.sample);
+          move_sample (w, s, what.sample);
           break;
         case WY_STRAGGLER_DROP:
         case WY_STRAGGLER_CANCEL:
-          wb_trainer_abandon (w, s, what.sample);
+          wb_trainer_cancel_sample (w, s, what.sample);
           break;
         }
     }
 }
 
-/* Tell the step of S how far its samples are, and do what is to be done.  */
+/* Report the progress of the samples of S to its step, and handle its
+   stragglers.  */
 void
-wb_stragglers (struct wb_simulation *w, struct wb_trainer *t,
-               struct wb_open *s)
+wb_stragglers_handle (struct wb_simulation *w, struct wb_trainer *t,
+                      struct wb_open_step *s)
 {
-  progress (w, s);
+  report_progress (w, s);
   if (w->p->straggler == WB_STRAGGLER_RESTART)
     restart_stragglers (w, s);
   else
-    follow_steps (w, t, s);
+    handle_stragglers (w, t, s);
 }
--- a/bench/support/trainers.c
+++ b/bench/support/trainers.c
@@ -1,6 +1,6 @@
-/* Trainers: each takes a batch when it is whole, trains, and gets the next
-   weights.  The next step's samples are issued meanwhile as far as
-   src/decide/steps allows.  */
+/* Simulated trainers.  Each takes a batch when it is complete, trains, and
+   publishes new weights.  Samples of later steps are issued meanwhile as far
+   as src/decide/steps allows.  */
 #include <stdlib.h>
 
 #include "simulation_state.h"
@@ -9,12 +9,13 @@
 #define GROUP_SIGMA 0.4
 #define PREDICTION_SIGMA 0.15
 #define PROMPT_TOKENS 200
-/* Queued beyond what runs, so that an engine never waits for an entry.  */
+/* Samples queued beyond the running ones, so that an engine never waits for an
+   entry.  */
 #define QUEUED_PER_ENGINE 4
 
 static struct wy_rng
-rng_of (const struct wb_simulation *w, uint32_t i, uint64_t step,
-        uint32_t what)
+sample_rng (const struct wb_simulation *w, uint32_t i, uint64_t step,
+            uint32_t what)
 {
   struct wy_rng r;
 
@@ -27,7 +28,7 @@
 group_median (const struct wb_simulation *w, uint32_t i, uint64_t step,
               uint32_t g)
 {
-  struct wy_rng rng = rng_of (w, i, step, g);
+  struct wy_rng rng = sample_rng (w, i, step, g);
 
   return wb_lognormal (&rng, w->c->rollout_tokens, GROUP_SIGMA);
 }
@@ -36,7 +37,7 @@
 open_step (struct wb_simulation *w, uint32_t i)
 {
   struct wb_trainer *t = &w->trainer[i];
-  struct wb_open *s = &t->open[t->n_open++];
+  struct wb_open_step *s = &t->open[t->n_open++];
   struct wy_step_options o
       = { .step = ++t->step_no,
           .version = t->step_no,
@@ -45,15 +46,16 @@
           .staleness_max = t->c->staleness_max,
           .weights = { t->c->weigh_staleness, t->c->weigh_idle } };
 
-  *s = (struct wb_open){ .step = wy_step_new (&o), .version = o.version };
+  *s = (struct wb_open_step){ .step = wy_step_new (&o), .version = o.version };
   if (!s->step)
     abort ();
-  s->sample = calloc (wy_step_samples_max (s->step), sizeof (struct wb_req *));
+  s->sample
+      = calloc (wy_step_samples_max (s->step), sizeof (struct wb_request *));
   if (!s->sample)
     abort ();
   for (uint32_t g = 0; g < o.groups; g++)
     {
-      struct wy_rng rng = rng_of (w, i, o.step, g + (1U << 20));
+      struct wy_rng rng = sample_rng (w, i, o.step, g + (1U << 20));
       uint32_t median = group_median (w, i, o.step, g);
 
       wy_step_predict (s->step, g,
@@ -71,8 +73,8 @@
     t->open[k] = t->open[k + 1];
 }
 
-/* The open step number STEP of T; NULL once it is closed.  */
-static struct wb_open *
+/* The open step STEP of T; NULL if it is closed.  */
+static struct wb_open_step *
 find_open (struct wb_trainer *t, uint64_t step)
 {
   for (uint32_t k = 0; k < t->n_open; k++)
@@ -89,9 +91,10 @@
   return t->running < all ? all - t->running : 0;
 }
 
-/* What a decision about a step of T is told.  */
+/* The inputs to a decision about a step of T.  */
 struct wy_step_inputs
-wb_trainer_state (const struct wb_simulation *w, const struct wb_trainer *t)
+wb_trainer_step_inputs (const struct wb_simulation *w,
+                        const struct wb_trainer *t)
 {
   uint32_t least = WB_STREAMS_MAX;
   struct wy_step_inputs now = { .now_ms = (int64_t)w->now_ms,
@@ -107,12 +110,12 @@
 }
 
 static bool
-start_sample (struct wb_simulation *w, uint32_t i, struct wb_open *s,
+start_sample (struct wb_simulation *w, uint32_t i, struct wb_open_step *s,
               const struct wy_step_issuance *what)
 {
   struct wb_trainer *t = &w->trainer[i];
-  struct wb_req *r = wb_req_new (w);
-  struct wy_rng rng = rng_of (w, i, s->version, what->sample + (1U << 21));
+  struct wb_request *r = wb_request_new (w);
+  struct wy_rng rng = sample_rng (w, i, s->version, what->sample + (1U << 21));
 
   r->trainer = i;
   r->sample = what->sample;
@@ -133,8 +136,8 @@
   t->running++;
   if (wb_entry_place (w, r))
     return true;
-  wb_trainer_lost (w, r);
-  wb_req_free (w, r);
+  wb_trainer_sample_failed (w, r);
+  wb_request_free (w, r);
   return false;
 }
 
@@ -146,7 +149,7 @@
   for (uint32_t k = 0; k < t->n_open; k++)
     for (;;)
       {
-        struct wy_step_inputs now = wb_trainer_state (w, t);
+        struct wy_step_inputs now = wb_trainer_step_inputs (w, t);
         struct wy_step_issuance s;
 
         now.may_over_issue = spare;
@@ -156,8 +159,8 @@
       }
 }
 
-/* Issue what may be issued, the step due first first, and what the streams
-   that stay free allow beyond.  */
+/* Issue the samples that may be issued, those of the step that is due first
+   before others, then use streams that are still free.  */
 static void
 issue (struct wb_simulation *w, uint32_t i)
 {
@@ -166,27 +169,27 @@
     issue_open (w, i, true);
 }
 
-/* Stop SAMPLE of S for good.  */
+/* Cancel SAMPLE of S for good.  */
 void
-wb_trainer_abandon (struct wb_simulation *w, struct wb_open *s,
-                    uint32_t sample)
+wb_trainer_cancel_sample (struct wb_simulation *w, struct wb_open_step *s,
+                          uint32_t sample)
 {
-  struct wb_req *r = s->sample[sample];
+  struct wb_request *r = s->sample[sample];
   struct wb_trainer *t = &w->trainer[r->trainer];
 
-  wb_agent_take (w, r);
-  wb_entry_ended (w, r, WY_OUTCOME_CANCELLED);
+  wb_agent_remove (w, r);
+  wb_entry_request_ended (w, r, WY_OUTCOME_CANCELLED);
   if (w->now_ms >= w->c->count_from_ms)
     t->wasted_tokens += r->tokens - r->stream.left_tokens;
   t->running--;
   s->sample[sample] = NULL;
   wb_agent_poll (w, r->target);
-  wb_req_free (w, r);
+  wb_request_free (w, r);
 }
 
 static void
 count_batch (struct wb_simulation *w, struct wb_trainer *t,
-             const struct wb_open *s)
+             const struct wb_open_step *s)
 {
   double from_ms = w->c->count_from_ms;
 
@@ -209,13 +212,13 @@
 take_batch (struct wb_simulation *w, uint32_t i)
 {
   struct wb_trainer *t = &w->trainer[i];
-  struct wb_open *s = &t->open[0];
+  struct wb_open_step *s = &t->open[0];
 
   if (t->training || !wy_step_is_complete (s->step))
     return;
   for (uint32_t k = 0; k < wy_step_samples_max (s->step); k++)
     if (s->sample[k])
-      wb_trainer_abandon (w, s, k);
+      wb_trainer_cancel_sample (w, s, k);
   count_batch (w, t, s);
   t->training = true;
   wb_events_add (&w->events, w->now_ms + t->c->train_ms, WB_EV_TRAINED, i, 0);
@@ -224,7 +227,7 @@
   issue (w, i);
 }
 
-/* Training ended; the new weights are in force.  */
+/* End the training of a batch; the new weights take effect.  */
 void
 wb_trainer_trained (struct wb_simulation *w, uint32_t i)
 {
@@ -237,12 +240,12 @@
   take_batch (w, i);
 }
 
-/* The sample of R has ended.  */
+/* Handle the end of the sample R.  */
 void
-wb_trainer_done (struct wb_simulation *w, struct wb_req *r)
+wb_trainer_sample_done (struct wb_simulation *w, struct wb_request *r)
 {
   struct wb_trainer *t = &w->trainer[r->trainer];
-  struct wb_open *s = find_open (t, r->step);
+  struct wb_open_step *s = find_open (t, r->step);
   uint64_t staleness = s->version - r->version;
 
   s->sample[r->sample] = NULL;
@@ -262,19 +265,19 @@
   take_batch (w, r->trainer);
 }
 
-/* The sample of R could not be placed, or was lost.  */
+/* Handle the failure to place the sample R, or its loss.  */
 void
-wb_trainer_lost (struct wb_simulation *w, struct wb_req *r)
+wb_trainer_sample_failed (struct wb_simulation *w, struct wb_request *r)
 {
   struct wb_trainer *t = &w->trainer[r->trainer];
-  struct wb_open *s = find_open (t, r->step);
+  struct wb_open_step *s = find_open (t, r->step);
 
   s->sample[r->sample] = NULL;
   t->running--;
   wy_step_failed (s->step, r->sample);
 }
 
-/* Look after the samples of trainer I.  */
+/* Handle stragglers of trainer I and issue samples, periodically.  */
 void
 wb_trainer_tick (struct wb_simulation *w, uint32_t i)
 {
@@ -283,7 +286,7 @@
   for (uint32_t k = 0; k < w->c->engines; k++)
     wb_engine_advance (&w->agent[k].engine, w->now_ms);
   for (uint32_t k = 0; k < t->n_open; k++)
-    wb_stragglers (w, t, &t->open[k]);
+    wb_stragglers_handle (w, t, &t->open[k]);
   issue (w, i);
   wb_events_add (&w->events, w->now_ms + TICK_MS, WB_EV_TRAINER_TICK, i, 0);
 }
@@ -308,7 +311,7 @@
     }
 }
 
-/* Free what the trainers hold.  */
+/* Free the memory of the trainers.  */
 void
 wb_trainers_free (struct wb_simulation *w)
 {
--- a/bench/support/values.c
+++ b/bench/support/values.c
@@ -3,7 +3,7 @@
 
 #include <stdlib.h>
 
-/* Add V.  */
+/* Add V to S.  */
 void
 wb_values_add (struct wb_values *s, double v)
 {
@@ -26,7 +26,7 @@
   return (x > y) - (x < y);
 }
 
-/* The value below which the share Q lies; 0 for none.  Sorts S.  */
+/* The quantile Q (0 to 1) of the values; 0 if there are none.  Sorts S.  */
 double
 wb_values_quantile (struct wb_values *s, double q)
 {
@@ -39,7 +39,7 @@
   return s->v[i < s->n ? i : s->n - 1];
 }
 
-/* Free what S holds.  */
+/* Free the memory of S.  */
 void
 wb_values_free (struct wb_values *s)
 {
--- a/fuzz/fuzz_frame.c
+++ b/fuzz/fuzz_frame.c
@@ -1,5 +1,5 @@
-/* Hostile bytes through the decoder; what decodes must survive a second
-   round.  */
+/* Frame decoder on arbitrary bytes.  A decoded frame must encode, and decode
+   again to the same length and kind.  */
 #include <stdlib.h>
 
 #include "inner/frame.h"
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -1,6 +1,6 @@
-/* Decoders of what the platform, its replicas and trainers send: any bytes
-   give a decoded value or a refusal, nothing else.  The first byte chooses
-   the decoder.  */
+/* Decoders of messages of the platform, its replicas and trainers.  Any bytes
+   must give a decoded value or an error.  The first byte selects the
+   decoder.  */
 #include <stddef.h>
 #include <stdint.h>
 #include <stdlib.h>
@@ -108,7 +108,7 @@
   g_free (target);
 }
 
-/* A key is as it stands behind its scheme, and never empty.  */
+/* An access key must be a non-empty part of the header's value.  */
 static void
 credential (const char *p, size_t n)
 {
--- a/fuzz/fuzz_settings.c
+++ b/fuzz/fuzz_settings.c
@@ -1,4 +1,4 @@
-/* Settings loader: any bytes give settings or named faults, nothing else.  */
+/* Settings loader: any bytes must give valid settings or an error message.  */
 #include <stddef.h>
 #include <stdint.h>
 #include <stdlib.h>
--- a/fuzz/fuzz_timeline.c
+++ b/fuzz/fuzz_timeline.c
@@ -1,5 +1,5 @@
-/* Timeline reader and checker: any bytes are refused or checked; what is
-   accepted is not empty.  */
+/* Timeline parser and checker: any bytes must be rejected or checked.  An
+   accepted timeline has events.  */
 #include <stddef.h>
 #include <stdint.h>
 #include <stdlib.h>
--- a/tests/support/agent_fixture.c
+++ b/tests/support/agent_fixture.c
@@ -1,5 +1,5 @@
-/* An agent in the loop of the test, with a target that the test plays and
-   entries that it speaks for.  */
+/* An agent in the event loop of the test, with a target and entries that the
+   test controls.  */
 #include "agent_fixture.h"
 #include <signal.h>
 #include <stdio.h>
@@ -19,7 +19,7 @@
 static void
 on_guard (uv_timer_t *t)
 {
-  cr_assert_fail ("nothing happened");
+  cr_assert_fail ("timed out");
 }
 
 static void
@@ -31,7 +31,7 @@
     uv_stop (&w->loop);
 }
 
-/* Run the loop until DONE holds.  */
+/* Run the loop until DONE returns true.  */
 void
 agent_fixture_run_until (struct fixture *w, bool (*done) (struct fixture *w))
 {
@@ -49,7 +49,7 @@
   uv_stop (t->loop);
 }
 
-/* Run the loop for MS.  */
+/* Run the loop for MS milliseconds.  */
 void
 agent_fixture_run_ms (struct fixture *w, uint32_t ms)
 {
@@ -59,7 +59,7 @@
 }
 
 static void
-take_end (struct peer *p, const struct wy_frame_end *e)
+record_end (struct peer *p, const struct wy_frame_end *e)
 {
   p->ends++;
   p->end = *e;
@@ -71,7 +71,7 @@
 }
 
 static void
-take_chunk (struct peer *p, const struct wy_frame_chunk *c)
+record_chunk (struct peer *p, const struct wy_frame_chunk *c)
 {
   if (c->offset_bytes != p->body->len)
     p->gap = true;
@@ -106,10 +106,10 @@
       p->status = f->u.head.status;
       return;
     case WY_FRAME_CHUNK:
-      take_chunk (p, &f->u.chunk);
+      record_chunk (p, &f->u.chunk);
       return;
     case WY_FRAME_END:
-      take_end (p, &f->u.end);
+      record_end (p, &f->u.end);
       return;
     case WY_FRAME_OUTCOME:
       p->outcomes++;
@@ -156,7 +156,7 @@
   ping->config_revision = ((struct peer *)ctx)->config_revision;
 }
 
-/* Connect entry I, anew or for the first time.  */
+/* Connect entry I, for the first time or again.  */
 void
 agent_fixture_connect (struct fixture *w, uint32_t i)
 {
@@ -181,7 +181,8 @@
   w->entry[i].ready = false;
 }
 
-/* All entries are connected and know the target's load.  */
+/* Whether all entries are connected and have received the load of a target
+   that is up.  */
 bool
 agent_fixture_entries_ready (struct fixture *w)
 {
@@ -192,7 +193,7 @@
   return true;
 }
 
-/* A request for a model.  */
+/* A request for a model, with the request id ID.  */
 struct wy_frame_submit
 agent_fixture_submit_model (const char *id)
 {
@@ -213,7 +214,7 @@
   return s;
 }
 
-/* A request for a service.  */
+/* A request for a service, with the request id ID.  */
 struct wy_frame_submit
 agent_fixture_submit_service (struct fixture *w, const char *id,
                               bool non_idempotent)
@@ -238,7 +239,7 @@
   return s;
 }
 
-/* Entry I sends S.  */
+/* Send the request S from entry I.  */
 void
 agent_fixture_send_submit (struct fixture *w, uint32_t i,
                            const struct wy_frame_submit *s)
@@ -249,7 +250,8 @@
   cr_assert_eq (wy_conn_send (w->entry[i].conn, &f), 0);
 }
 
-/* Entry I sends a frame of those that name a request.  */
+/* Send a frame that names a request (RESUME, CANCEL, ACK, ...) from entry
+   I.  */
 void
 agent_fixture_send_frame (struct fixture *w, uint32_t i,
                           enum wy_frame_kind kind, const char *id,
@@ -263,7 +265,7 @@
   cr_assert_eq (wy_conn_send (w->entry[i].conn, &f), 0);
 }
 
-/* Entry I gives an order under the lease "rollout".  */
+/* Send an order from entry I, under the lease "rollout" unless FENCE is 0.  */
 void
 agent_fixture_send_order (struct fixture *w, uint32_t i, const char *order,
                           enum wy_order_kind kind, int64_t fence,
@@ -280,7 +282,8 @@
   cr_assert_eq (wy_conn_send (w->entry[i].conn, &f), 0);
 }
 
-/* Entry I tells a configuration whose service has MEMBERS, as in JSON.  */
+/* Send from entry I a configuration whose service has MEMBERS, given as the
+   elements of a JSON array.  */
 void
 agent_fixture_send_config (struct fixture *w, uint32_t i, int64_t revision,
                            const char *members)
@@ -299,7 +302,7 @@
   g_free (json);
 }
 
-/* The events of the timeline named EVENT, as an array.  */
+/* The events of the agent's timeline that are named EVENT, as an array.  */
 json_t *
 agent_fixture_events (struct fixture *w, const char *event)
 {
@@ -324,12 +327,12 @@
 }
 
 static void
-on_stopped (void *ctx, uint32_t cut)
+on_stopped (void *ctx, uint32_t aborted)
 {
   struct fixture *w = ctx;
 
   w->stopped = true;
-  w->cut = cut;
+  w->cut = aborted;
 }
 
 static void
@@ -374,7 +377,8 @@
   g_free (text);
 }
 
-/* Prepare W with a target of KIND; its settings may still be changed.  */
+/* Initialize W with a target of KIND.  Settings may be changed until
+   agent_fixture_start.  */
 void
 agent_fixture_init (struct fixture *w, enum wy_target_kind kind)
 {
@@ -394,7 +398,7 @@
   init_peer (w, &w->entry[1], "entry-2");
 }
 
-/* Start the agent and connect the entries.  */
+/* Start the agent and wait until all entries are connected.  */
 void
 agent_fixture_start (struct fixture *w)
 {
--- a/tests/support/agent_fixture.h
+++ b/tests/support/agent_fixture.h
@@ -1,5 +1,5 @@
-/* An agent in the loop of the test, with a target that the test plays and
-   entries that it speaks for.  */
+/* An agent in the event loop of the test, with a target and entries that the
+   test controls.  */
 #ifndef WY_TESTS_AGENT_FIXTURE_H
 #define WY_TESTS_AGENT_FIXTURE_H
 
@@ -14,7 +14,7 @@
 
 struct fixture;
 
-/* An entry, as far as an agent sees it.  It follows one request.  */
+/* An entry as the agent sees it.  It records the frames of one request.  */
 struct peer
 {
   struct fixture *fixture;
@@ -31,7 +31,7 @@
   uint32_t heads;
   uint32_t status;
   GByteArray *body;
-  bool gap; /* a chunk came that doesn't follow the one before */
+  bool gap; /* a chunk did not continue the previous one */
   uint32_t ends;
   struct wy_frame_end end;
   char *end_run;
@@ -43,11 +43,11 @@
   uint32_t pongs;
   struct wy_target_load load;
   bool has_load;
-  int64_t config_revision; /* as the agent told last */
+  int64_t config_revision; /* as last reported by the agent */
   uint32_t configs;
 };
 
-/* One call that the target got and hasn't answered.  */
+/* A call that the target received and has not responded to.  */
 struct call
 {
   struct wy_http_exchange *ex;
@@ -56,10 +56,10 @@
   char *request; /* Waxwing-Request-Id */
   char *body;
   uint32_t tokens;
-  int64_t first_version; /* of the segment under way */
+  int64_t first_version; /* of the current segment */
   uint32_t segment_from;
   GString *segments;
-  bool gone; /* the agent hung up */
+  bool gone; /* the agent closed the connection */
 };
 
 struct fixture
@@ -71,24 +71,23 @@
   struct wy_agent *agent;
   struct peer entry[FIXTURE_ENTRIES];
   bool stopped;
-  uint32_t cut;
+  uint32_t cut; /* requests aborted by the stop */
   uv_timer_t guard;
   uv_check_t check;
   bool (*done) (struct fixture *w);
 
   /* The target.  */
   struct wy_http_server *target;
-  bool load_unavailable; /* its load can't be read */
+  bool load_unavailable; /* requests for its load fail */
   const char *incarnation;
   int64_t version;
   int64_t staged;
-  int64_t reported_version; /* in load reports that lag; 0: they don't */
-  int64_t highest_fence;    /* 0: takes every order */
+  int64_t reported_version; /* in outdated load reports; 0: none */
+  int64_t highest_fence;    /* of orders; 0: all are accepted */
   bool fail_order;
   struct call calls[FIXTURE_CALLS_MAX];
   uint32_t n_calls;
-  GString
-      *control_paths; /* paths of control calls, each followed by a blank */
+  GString *control_paths; /* of control calls, each followed by " " */
   char *last_order;
 };
 
--- a/tests/support/conn_fixture.c
+++ b/tests/support/conn_fixture.c
@@ -1,4 +1,4 @@
-/* Two ends of a connection in one loop.  */
+/* Both ends of a connection in one event loop.  */
 #include "conn_fixture.h"
 
 #include <criterion/criterion.h>
@@ -8,7 +8,7 @@
 
 static struct fixture *the_fixture;
 
-/* Stop the loop when what is waited for has come.  */
+/* Stop the loop if the awaited condition is true.  */
 void
 conn_check_done (void)
 {
@@ -20,7 +20,7 @@
 on_ready (void *ctx, struct wy_conn *c, const char *process,
           const char *incarnation, const char *availability_zone)
 {
-  struct end *e = ctx;
+  struct endpoint *e = ctx;
 
   e->ready++;
   e->peer
@@ -31,7 +31,7 @@
 static void
 on_frame (void *ctx, struct wy_conn *c, const struct wy_frame *f)
 {
-  struct end *e = ctx;
+  struct endpoint *e = ctx;
 
   if (f->kind == WY_FRAME_PING || f->kind == WY_FRAME_PONG)
     e->pings++;
@@ -45,7 +45,7 @@
 static void
 on_closed (void *ctx, struct wy_conn *c, int err)
 {
-  struct end *e = ctx;
+  struct endpoint *e = ctx;
 
   e->closed++;
   e->err = err;
@@ -56,12 +56,12 @@
 static bool
 is_busy (void *ctx, struct wy_conn *c)
 {
-  return !((struct end *)ctx)->idle;
+  return !((struct endpoint *)ctx)->idle;
 }
 
-/* The events of end E.  */
+/* The callbacks of end E.  */
 struct wy_conn_events
-conn_events_of (struct end *e)
+conn_events_of (struct endpoint *e)
 {
   struct wy_conn_events ev = { .on_ready = on_ready,
                                .is_busy = is_busy,
@@ -81,9 +81,9 @@
   return conn_events_of (&w->b);
 }
 
-/* End E of W is PROCESS with the N KEYS.  */
+/* Initialize end E of W as PROCESS with the N KEYS.  */
 void
-conn_end_init (struct fixture *w, struct end *e, const char *process,
+conn_end_init (struct fixture *w, struct endpoint *e, const char *process,
                const struct wy_inner_key *keys, size_t n)
 {
   e->identity
@@ -104,10 +104,10 @@
 static void
 on_guard (uv_timer_t *t)
 {
-  cr_assert_fail ("nothing happened");
+  cr_assert_fail ("timed out");
 }
 
-/* Both ends and a listener, not yet connected.  */
+/* Initialize both ends and the listener, without a connection.  */
 void
 conn_fixture_init (struct fixture *w)
 {
@@ -126,7 +126,7 @@
   uv_timer_start (&w->guard, on_guard, GUARD_MS, 0);
 }
 
-/* Have end A dial PORT, 0: the listener.  */
+/* Connect end A to PORT, or to the listener if PORT is 0.  */
 void
 conn_dial (struct fixture *w, uint16_t port)
 {
@@ -136,7 +136,7 @@
                             port ? port : wy_listener_port (w->listener), &ev);
 }
 
-/* Run the loop until DONE.  */
+/* Run the loop until DONE returns true.  */
 void
 conn_run_until (struct fixture *w, bool (*done) (struct fixture *w))
 {
@@ -204,7 +204,7 @@
     uv_write (&r->write, (uv_stream_t *)&r->tcp, &buf, 1, NULL);
 }
 
-/* Connect a raw peer that sends the N bytes at P.  */
+/* Connect a raw socket to the listener and send the N bytes at P.  */
 void
 conn_raw_dial (struct fixture *w, struct raw *r, const void *p, size_t n)
 {
@@ -236,7 +236,7 @@
 relay_copy (uv_stream_t *s, ssize_t n, const uv_buf_t *buf)
 {
   struct relay *r = s->data;
-  bool to_far = s == (uv_stream_t *)&r->near;
+  bool to_listener = s == (uv_stream_t *)&r->near;
   uv_buf_t out = uv_buf_init (buf->base, n > 0 ? (unsigned)n : 0);
 
   if (n < 0)
@@ -244,11 +244,11 @@
       uv_read_stop (s);
       return;
     }
-  if (to_far)
+  if (to_listener)
     g_byte_array_append (r->seen, (const guint8 *)buf->base, (guint)n);
-  if (to_far ? r->drop_to_listener : r->drop_to_dialer)
+  if (to_listener ? r->drop_to_listener : r->drop_to_dialer)
     return;
-  uv_try_write ((uv_stream_t *)(to_far ? &r->far : &r->near), &out, 1);
+  uv_try_write ((uv_stream_t *)(to_listener ? &r->far : &r->near), &out, 1);
 }
 
 static void
@@ -268,7 +268,7 @@
                   relay_connected);
 }
 
-/* Put a relay between the ends; dial its port.  */
+/* Start a relay to the listener; end A is to dial the relay's port.  */
 void
 conn_relay_init (struct fixture *w)
 {
--- a/tests/support/conn_fixture.h
+++ b/tests/support/conn_fixture.h
@@ -1,5 +1,5 @@
-/* Two ends of a connection in one loop, with a relay between them that can
-   lose one direction, or a raw socket in place of the peer.  */
+/* Both ends of a connection in one event loop, optionally with a relay between
+   them that can drop one direction, or with a raw socket as the peer.  */
 #ifndef WY_TESTS_CONN_FIXTURE_H
 #define WY_TESTS_CONN_FIXTURE_H
 
@@ -16,7 +16,7 @@
 
 extern const struct wy_inner_key conn_keys_old[1];
 
-struct end
+struct endpoint
 {
   struct wy_inner_identity identity;
   struct wy_conn *conn;
@@ -27,33 +27,33 @@
   uint32_t pings;
   uint64_t chunk_bytes;
   char *peer;
-  bool idle; /* says that nothing is awaited */
+  bool idle; /* is_busy returns false */
 };
 
 struct relay
 {
   uv_tcp_t listener;
-  uv_tcp_t near; /* dialer's side */
+  uv_tcp_t near; /* connection from the dialer */
   uv_tcp_t far;
   uv_connect_t connect;
   uint16_t port;
   bool drop_to_listener;
   bool drop_to_dialer;
-  GByteArray *seen; /* sent by the dialer */
+  GByteArray *seen; /* bytes sent by the dialer */
 };
 
 struct fixture
 {
   uv_loop_t loop;
   struct wy_listener *listener;
-  struct end a; /* dials */
-  struct end b; /* listens */
+  struct endpoint a; /* the dialer */
+  struct endpoint b; /* the listener */
   uv_timer_t guard;
   bool (*done) (struct fixture *w);
   struct relay relay;
 };
 
-/* Raw peer: writes given bytes and reads on.  */
+/* Raw socket that writes given bytes and records what it receives.  */
 struct raw
 {
   uv_tcp_t tcp;
@@ -64,8 +64,8 @@
 };
 
 void conn_check_done (void);
-struct wy_conn_events conn_events_of (struct end *e);
-void conn_end_init (struct fixture *w, struct end *e, const char *process,
+struct wy_conn_events conn_events_of (struct endpoint *e);
+void conn_end_init (struct fixture *w, struct endpoint *e, const char *process,
                     const struct wy_inner_key *keys, size_t n);
 void conn_fixture_init (struct fixture *w);
 void conn_dial (struct fixture *w, uint16_t port);
--- a/tests/support/deployment.c
+++ b/tests/support/deployment.c
@@ -1,5 +1,5 @@
-/* A small yard of real programs: table, list, three engines, three services,
-   their agents, two entries.  */
+/* A small deployment of real programs: table, instance list, three engines,
+   three services, their agents, and two entries.  */
 #include "deployment.h"
 
 #include <criterion/criterion.h>
@@ -17,71 +17,74 @@
 {
   READY_MAX_MS = 20000,
   POLL_MS = 20,
-  STAMP_COUNTER_BITS = 16
+  HLC_COUNTER_BITS = 16
 };
 
 static void
-driver_event (struct test_deployment *y, const char *event, const char *fields)
+driver_event (struct test_deployment *d, const char *event, const char *fields)
 {
   int64_t now_ms = wy_clock_wall_ms (wy_clock_system ());
 
   g_string_append_printf (
-      y->driver,
+      d->driver,
       "{\"hlc\":%lld,\"proc\":\"driver\",\"inc\":\"d\",\"seq\":%u,"
       "\"ev\":\"%s\"%s}\n",
-      (long long)now_ms << STAMP_COUNTER_BITS, ++y->driver_seq, event, fields);
+      (long long)now_ms << HLC_COUNTER_BITS, ++d->driver_seq, event, fields);
 }
 
-/* A second name keeps the timeline when the program's files are removed.  */
+/* Hard links keep the timelines when the files of a program are removed.  */
 static void
-keep_timeline (struct test_deployment *y, int program)
+keep_timeline (struct test_deployment *d, int program)
 {
-  char *path = g_strdup_printf ("%s/%u.jsonl", y->dir, y->n_timelines++);
+  char *path = g_strdup_printf ("%s/%u.jsonl", d->dir, d->n_timelines++);
 
-  cr_assert_eq (link (y->proc[program].timeline, path), 0);
+  cr_assert_eq (link (d->proc[program].timeline, path), 0);
   g_free (path);
 }
 
 static void
-run (struct test_deployment *y, int program, const char *name,
-     const char *kind, char *settings)
+start_program (struct test_deployment *d, int program, const char *name,
+               const char *kind, char *settings)
 {
-  cr_assert_eq (wy_proc_start (&y->proc[program], name, kind, settings), 0,
+  cr_assert_eq (wy_proc_start (&d->proc[program], name, kind, settings), 0,
                 "%s", settings);
-  y->running[program] = true;
+  d->running[program] = true;
   if (kind == NULL || strcmp (kind, "table") != 0)
-    keep_timeline (y, program);
+    keep_timeline (d, program);
   g_free (settings);
 }
 
 static void
-start_service_agent (struct test_deployment *y, int i)
+start_service_agent (struct test_deployment *d, int i)
 {
-  run (y, DEPLOYMENT_SERVICE_AGENT + i, "wyagentd", NULL,
-       g_strdup_printf (
-           "name: portal-%d\navailability_zone: z%d\nkey_1: 1:k\n"
-           "target_kind: service\ntarget_name: portal\ntarget_port: %u\n"
-           "orphan_grace_ms: 500\nlog_level: error\n",
-           i, i, wy_proc_port (&y->proc[DEPLOYMENT_SERVICE + i], "http")));
+  start_program (
+      d, DEPLOYMENT_SERVICE_AGENT + i, "wyagentd", NULL,
+      g_strdup_printf (
+          "name: portal-%d\navailability_zone: z%d\nkey_1: 1:k\n"
+          "target_kind: service\ntarget_name: portal\ntarget_port: %u\n"
+          "orphan_grace_ms: 500\nlog_level: error\n",
+          i, i, wy_proc_port (&d->proc[DEPLOYMENT_SERVICE + i], "http")));
 }
 
 static void
-start_targets (struct test_deployment *y)
+start_targets (struct test_deployment *d)
 {
   for (int i = 0; i < DEPLOYMENT_TARGETS; i++)
     {
-      run (y, DEPLOYMENT_ENGINE + i, "wystandin", "engine",
-           g_strdup_printf ("name: engine-%d\nmodel: m\ntoken_base_us: 2000\n",
-                            i));
-      run (y, DEPLOYMENT_SERVICE + i, "wystandin", "service",
-           g_strdup_printf ("name: service-%d\n", i));
-      run (y, DEPLOYMENT_MODEL_AGENT + i, "wyagentd", NULL,
-           g_strdup_printf (
-               "name: model-%d\navailability_zone: z%d\nkey_1: 1:k\n"
-               "target_kind: model\ntarget_name: m\ntarget_port: %u\n"
-               "orphan_grace_ms: 500\nlog_level: error\n",
-               i, i, wy_proc_port (&y->proc[DEPLOYMENT_ENGINE + i], "http")));
-      start_service_agent (y, i);
+      start_program (
+          d, DEPLOYMENT_ENGINE + i, "wystandin", "engine",
+          g_strdup_printf ("name: engine-%d\nmodel: m\ntoken_base_us: 2000\n",
+                           i));
+      start_program (d, DEPLOYMENT_SERVICE + i, "wystandin", "service",
+                     g_strdup_printf ("name: service-%d\n", i));
+      start_program (
+          d, DEPLOYMENT_MODEL_AGENT + i, "wyagentd", NULL,
+          g_strdup_printf (
+              "name: model-%d\navailability_zone: z%d\nkey_1: 1:k\n"
+              "target_kind: model\ntarget_name: m\ntarget_port: %u\n"
+              "orphan_grace_ms: 500\nlog_level: error\n",
+              i, i, wy_proc_port (&d->proc[DEPLOYMENT_ENGINE + i], "http")));
+      start_service_agent (d, i);
     }
 }
 
@@ -96,7 +99,7 @@
 }
 
 static void
-list_targets (struct test_deployment *y)
+publish_instances (struct test_deployment *d)
 {
   GString *s = g_string_new ("{\"instances\":[");
 
@@ -108,43 +111,44 @@
         "\"state\":\"live\",\"serves\":\"%s\",\"kind\":\"%s\"}",
         i ? "," : "", i < DEPLOYMENT_TARGETS ? "model" : "portal",
         i % DEPLOYMENT_TARGETS,
-        wy_proc_port (&y->proc[DEPLOYMENT_MODEL_AGENT + i], "inner"),
+        wy_proc_port (&d->proc[DEPLOYMENT_MODEL_AGENT + i], "inner"),
         i % DEPLOYMENT_TARGETS, i < DEPLOYMENT_TARGETS ? "m" : "portal",
         i < DEPLOYMENT_TARGETS ? "model" : "service");
   g_string_append (s, "]}");
-  post (y->list, "/control/instances", s->str);
+  post (d->list, "/control/instances", s->str);
   g_string_free (s, TRUE);
 }
 
-/* Start the agent of service I again, after it was killed.  */
+/* Restart the agent of service I after a kill.  */
 void
-deployment_restart_agent (struct test_deployment *y, int i)
+deployment_restart_agent (struct test_deployment *d, int i)
 {
-  start_service_agent (y, i);
-  list_targets (y);
+  start_service_agent (d, i);
+  publish_instances (d);
 }
 
-/* Start entry I, again if it was killed.  */
+/* Start entry I, also after a kill.  */
 void
-deployment_start_entry (struct test_deployment *y, uint32_t i)
+deployment_start_entry (struct test_deployment *d, uint32_t i)
 {
-  run (y, DEPLOYMENT_ENTRY + (int)i, "wyentryd", NULL,
-       g_strdup_printf (
-           "name: entry-%u\navailability_zone: z0\nkey_1: 1:k\n"
-           "table: 127.0.0.1:%u\nobjects: 127.0.0.1:%u\n"
-           "list: 127.0.0.1:%u\noperator_token: op\nlog_level: error\n",
-           i, y->table, y->table, y->list));
-  y->entry[i] = wy_proc_port (&y->proc[DEPLOYMENT_ENTRY + i], "http");
+  start_program (
+      d, DEPLOYMENT_ENTRY + (int)i, "wyentryd", NULL,
+      g_strdup_printf (
+          "name: entry-%u\navailability_zone: z0\nkey_1: 1:k\n"
+          "table: 127.0.0.1:%u\nobjects: 127.0.0.1:%u\n"
+          "list: 127.0.0.1:%u\noperator_token: op\nlog_level: error\n",
+          i, d->table, d->table, d->list));
+  d->entry[i] = wy_proc_port (&d->proc[DEPLOYMENT_ENTRY + i], "http");
 }
 
 static bool
-all_up (const struct test_deployment *y, uint32_t i)
+all_targets_up (const struct test_deployment *d, uint32_t i)
 {
   static const struct wy_http_header_field operator[] = {
     { "authorization", "Bearer op" }, { NULL, NULL }
   };
   int status;
-  char *text = wy_fetch_text (y->entry[i], "GET", "/v1/status",
+  char *text = wy_fetch_text (d->entry[i], "GET", "/v1/status",
                               "", operator, & status);
   int up = 0;
 
@@ -154,24 +158,24 @@
   return up == 2 * DEPLOYMENT_TARGETS;
 }
 
-/* Wait until entry I is ready and sees all targets that are up.  */
+/* Wait until entry I is ready and reports all targets as up.  */
 void
-deployment_wait_ready (struct test_deployment *y, uint32_t i)
+deployment_wait_ready (struct test_deployment *d, uint32_t i)
 {
   int status = 0;
 
-  for (int ms = 0; status != 200 || !all_up (y, i); ms += POLL_MS)
+  for (int ms = 0; status != 200 || !all_targets_up (d, i); ms += POLL_MS)
     {
       cr_assert_lt (ms, READY_MAX_MS, "entry %u is not ready: %d", i, status);
       wy_sleep_ms (POLL_MS);
       g_free (
-          wy_fetch_text (y->entry[i], "GET", "/readyz", "", NULL, &status));
+          wy_fetch_text (d->entry[i], "GET", "/readyz", "", NULL, &status));
     }
 }
 
-/* Start all and wait until both entries are ready.  */
+/* Start all programs and wait until both entries are ready.  */
 void
-deployment_start (struct test_deployment *y)
+deployment_start (struct test_deployment *d)
 {
   static const char document[]
       = "{\"conditions\":[],\"writes\":[{\"key\":\"config/current\","
@@ -181,28 +185,29 @@
         "\"portal-2\"],\"previous\":[],\"effective_ms\":0}],\"yards\":[],"
         "\"drained\":[],\"unblocked\":[]}}}]}";
 
-  memset (y, 0, sizeof *y);
-  y->dir = g_dir_make_tmp ("wy-yard-XXXXXX", NULL);
-  y->driver = g_string_new (NULL);
-  driver_event (y, "process.start",
+  memset (d, 0, sizeof *d);
+  d->dir = g_dir_make_tmp ("wy-yard-XXXXXX", NULL);
+  d->driver = g_string_new (NULL);
+  driver_event (d, "process.start",
                 ",\"role\":\"driver\",\"availability_zone\":\"z0\"");
-  run (y, DEPLOYMENT_TABLE, "wystandin", "table", g_strdup ("name: table"));
-  run (y, DEPLOYMENT_LIST, "wystandin", "list",
-       g_strdup ("name: list\nlag_ms: 50\n"));
-  y->table = wy_proc_port (&y->proc[DEPLOYMENT_TABLE], "http");
-  y->list = wy_proc_port (&y->proc[DEPLOYMENT_LIST], "http");
-  start_targets (y);
-  list_targets (y);
-  post (y->table, "/txn", document);
-  driver_event (y, "config.accepted", ",\"revision\":1,\"digest\":\"given\"");
+  start_program (d, DEPLOYMENT_TABLE, "wystandin", "table",
+                 g_strdup ("name: table"));
+  start_program (d, DEPLOYMENT_LIST, "wystandin", "list",
+                 g_strdup ("name: list\nlag_ms: 50\n"));
+  d->table = wy_proc_port (&d->proc[DEPLOYMENT_TABLE], "http");
+  d->list = wy_proc_port (&d->proc[DEPLOYMENT_LIST], "http");
+  start_targets (d);
+  publish_instances (d);
+  post (d->table, "/txn", document);
+  driver_event (d, "config.accepted", ",\"revision\":1,\"digest\":\"given\"");
   for (uint32_t i = 0; i < DEPLOYMENT_ENTRIES; i++)
-    deployment_start_entry (y, i);
+    deployment_start_entry (d, i);
   for (uint32_t i = 0; i < DEPLOYMENT_ENTRIES; i++)
-    deployment_wait_ready (y, i);
+    deployment_wait_ready (d, i);
 }
 
 static const char *
-name_of (int program, char *buf, size_t n)
+process_name (int program, char *buf, size_t n)
 {
   const char *kind = "engine";
   int first = DEPLOYMENT_ENGINE;
@@ -226,89 +231,90 @@
   return buf;
 }
 
-/* Note that PROGRAM dies unplanned.  */
+/* Record in the driver's timeline that PROGRAM ended unplanned.  */
 static void
-note_death (struct test_deployment *y, int program)
+record_crash (struct test_deployment *d, int program)
 {
   char name[16];
   char fields[64];
 
   g_snprintf (fields, sizeof fields, ",\"kind\":\"kill\",\"target\":\"%s\"",
-              name_of (program, name, sizeof name));
-  driver_event (y, "fault.injected", fields);
+              process_name (program, name, sizeof name));
+  driver_event (d, "fault.injected", fields);
 }
 
-/* Kill PROGRAM at once.  */
+/* Kill PROGRAM with SIGKILL.  */
 void
-deployment_kill (struct test_deployment *y, int program)
+deployment_kill (struct test_deployment *d, int program)
 {
-  note_death (y, program);
-  wy_proc_kill (&y->proc[program], SIGKILL);
-  wy_proc_wait (&y->proc[program]);
-  y->running[program] = false;
+  record_crash (d, program);
+  wy_proc_kill (&d->proc[program], SIGKILL);
+  wy_proc_wait (&d->proc[program]);
+  d->running[program] = false;
 }
 
-/* Give PROGRAM, a stand-in, the fault that the JSON text FAULT says.  */
+/* Inject into PROGRAM, a stand-in, the fault described by the JSON text
+   FAULT.  */
 void
-deployment_inject_fault (const struct test_deployment *y, int program,
+deployment_inject_fault (const struct test_deployment *d, int program,
                          const char *fault)
 {
-  post (wy_proc_port (&y->proc[program], "http"), "/fault", fault);
+  post (wy_proc_port (&d->proc[program], "http"), "/fault", fault);
 }
 
 static void
-end_program (struct test_deployment *y, int program)
+stop_program (struct test_deployment *d, int program)
 {
   int rc;
 
-  if (!y->running[program])
+  if (!d->running[program])
     return;
-  wy_proc_kill (&y->proc[program], SIGTERM);
-  rc = wy_proc_wait (&y->proc[program]);
-  /* The stand-in's code for a crash it was told to have.  */
+  wy_proc_kill (&d->proc[program], SIGTERM);
+  rc = wy_proc_wait (&d->proc[program]);
+  /* Exit code of a stand-in after an injected crash.  */
   if (rc == 86)
-    note_death (y, program);
+    record_crash (d, program);
   else
     cr_assert_eq (rc, 0, "program %d: %d", program, rc);
 }
 
-/* End all programs, entries first, and prove the promises from their
+/* Stop all programs, entries first, and check the invariants on their
    timelines.  */
 void
-deployment_stop_and_check (struct test_deployment *y)
+deployment_stop_and_check (struct test_deployment *d)
 {
   const char *bin = getenv ("WY_BIN");
   char *command;
-  char *path = g_build_filename (y->dir, "driver.jsonl", NULL);
+  char *path = g_build_filename (d->dir, "driver.jsonl", NULL);
 
   for (int i = DEPLOYMENT_PROGRAMS - 1; i >= 0; i--)
-    end_program (y, i);
-  driver_event (y, "process.stop", ",\"cut\":0");
-  g_file_set_contents (path, y->driver->str, (gssize)y->driver->len, NULL);
+    stop_program (d, i);
+  driver_event (d, "process.stop", ",\"cut\":0");
+  g_file_set_contents (path, d->driver->str, (gssize)d->driver->len, NULL);
   command = g_strdup_printf ("%s/wyctl check %s/*.jsonl && rm -r %s",
-                             bin ? bin : "build/bin", y->dir, y->dir);
+                             bin ? bin : "build/bin", d->dir, d->dir);
   cr_assert_eq (system (command), 0, "%s", command); /* NOLINT(cert-env33-c) */
   g_free (command);
   g_free (path);
-  g_free (y->dir);
-  g_string_free (y->driver, TRUE);
+  g_free (d->dir);
+  g_string_free (d->driver, TRUE);
 }
 
-/* POST BODY to PATH of ENTRY.  */
+/* POST BODY to PATH of ENTRY.  The caller frees the response.  */
 char *
-deployment_post (const struct test_deployment *y, uint32_t entry,
+deployment_post (const struct test_deployment *d, uint32_t entry,
                  const char *path, const char *body,
                  const struct wy_http_header_field *headers, int *status)
 {
-  return wy_fetch_text (y->entry[entry], "POST", path, body, headers, status);
+  return wy_fetch_text (d->entry[entry], "POST", path, body, headers, status);
 }
 
-/* How many EVENTs PROGRAM has written.  */
+/* The number of events EVENT in the timeline of PROGRAM.  */
 size_t
-deployment_count_events (const struct test_deployment *y, int program,
+deployment_count_events (const struct test_deployment *d, int program,
                          const char *event)
 {
-  json_t *list = wy_proc_events (&y->proc[program], event);
+  json_t *list = wy_proc_events (&d->proc[program], event);
   size_t n = json_array_size (list);
 
   json_decref (list);
--- a/tests/support/deployment.h
+++ b/tests/support/deployment.h
@@ -1,5 +1,5 @@
-/* A small yard of real programs: table, list, three engines, three services,
-   their agents, two entries.  */
+/* A small deployment of real programs: table, instance list, three engines,
+   three services, their agents, and two entries.  */
 #ifndef WY_TESTS_DEPLOYMENT_H
 #define WY_TESTS_DEPLOYMENT_H
 
@@ -16,8 +16,8 @@
 {
   DEPLOYMENT_TABLE,
   DEPLOYMENT_LIST,
-  DEPLOYMENT_ENGINE, /* three of them */
-  DEPLOYMENT_SERVICE = DEPLOYMENT_ENGINE + DEPLOYMENT_TARGETS, /* three */
+  DEPLOYMENT_ENGINE, /* one per target */
+  DEPLOYMENT_SERVICE = DEPLOYMENT_ENGINE + DEPLOYMENT_TARGETS, /* likewise */
   DEPLOYMENT_MODEL_AGENT = DEPLOYMENT_SERVICE + DEPLOYMENT_TARGETS,
   DEPLOYMENT_SERVICE_AGENT = DEPLOYMENT_MODEL_AGENT + DEPLOYMENT_TARGETS,
   DEPLOYMENT_ENTRY = DEPLOYMENT_SERVICE_AGENT + DEPLOYMENT_TARGETS,
@@ -31,27 +31,27 @@
   uint16_t table;
   uint16_t list;
   uint16_t entry[DEPLOYMENT_ENTRIES];
-  char *dir; /* of the timelines, kept until the check */
+  char *dir; /* of the timelines, until they are checked */
   uint32_t n_timelines;
-  GString *driver; /* its own timeline */
+  GString *driver; /* timeline of the test itself */
   uint32_t driver_seq;
 };
 
-void deployment_start (struct test_deployment *y);
-/* Start entry I, again if it was killed.  */
-void deployment_start_entry (struct test_deployment *y, uint32_t i);
-void deployment_restart_agent (struct test_deployment *y, int i);
-void deployment_wait_ready (struct test_deployment *y, uint32_t i);
-void deployment_kill (struct test_deployment *y, int program);
-void deployment_inject_fault (const struct test_deployment *y, int program,
+void deployment_start (struct test_deployment *d);
+/* Start entry I, also after a kill.  */
+void deployment_start_entry (struct test_deployment *d, uint32_t i);
+void deployment_restart_agent (struct test_deployment *d, int i);
+void deployment_wait_ready (struct test_deployment *d, uint32_t i);
+void deployment_kill (struct test_deployment *d, int program);
+void deployment_inject_fault (const struct test_deployment *d, int program,
                               const char *fault);
-/* End all programs and prove the promises from their timelines.  */
-void deployment_stop_and_check (struct test_deployment *y);
-char *deployment_post (const struct test_deployment *y, uint32_t entry,
+/* Stop all programs and check the invariants on their timelines.  */
+void deployment_stop_and_check (struct test_deployment *d);
+char *deployment_post (const struct test_deployment *d, uint32_t entry,
                        const char *path, const char *body,
                        const struct wy_http_header_field *headers,
                        int *status);
-size_t deployment_count_events (const struct test_deployment *y, int program,
+size_t deployment_count_events (const struct test_deployment *d, int program,
                                 const char *event);
 
 #endif
--- a/tests/support/duty_fixture.c
+++ b/tests/support/duty_fixture.c
@@ -1,4 +1,5 @@
-/* Entries that share the duties, against stand-ins of the platform.  */
+/* Entries that elect a leader for the duties, with stand-ins of the
+   platform.  */
 #include "duty_fixture.h"
 
 #include <criterion/criterion.h>
@@ -10,19 +11,19 @@
 struct wy_platform_duties *duty_platform;
 
 static void
-own_monotonic (const struct wy_clock *clock, struct timespec *out)
+entry_monotonic (const struct wy_clock *clock, struct timespec *out)
 {
   wy_clock_system ()->monotonic (clock, out);
 }
 
 static void
-own_wall (const struct wy_clock *clock, struct timespec *out)
+entry_wall (const struct wy_clock *clock, struct timespec *out)
 {
   wy_clock_system ()->wall (clock, out);
 }
 
 static void
-own_boottime (const struct wy_clock *clock, struct timespec *out)
+entry_boottime (const struct wy_clock *clock, struct timespec *out)
 {
   const struct duty_entry *e = (const struct duty_entry *)clock;
 
@@ -30,7 +31,7 @@
   *out = wy_timespec_from_ms (wy_timespec_ms (out) + e->suspended_ms);
 }
 
-/* A store and the platform, no entry.  */
+/* Start the store and the platform, without an entry.  */
 void
 duty_fixture_start (void)
 {
@@ -39,7 +40,7 @@
   cr_assert_not_null (duty_platform);
 }
 
-/* Close all.  */
+/* Free everything.  */
 void
 duty_fixture_stop (void)
 {
@@ -48,7 +49,7 @@
 }
 
 static bool
-may_hold (void *ctx)
+may_be_leader (void *ctx)
 {
   return ((struct duty_entry *)ctx)->is_candidate;
 }
@@ -72,7 +73,7 @@
 }
 
 static int64_t
-complete_everywhere (void *ctx)
+window_complete_on_all (void *ctx)
 {
   const struct duty_entry *e = ctx;
 
@@ -87,7 +88,7 @@
   ((struct duty_entry *)ctx)->newest_complete_window = window;
 }
 
-/* Start the entry NODE; E is zeroed but for its switches.  */
+/* Start the entry NODE.  E is zero except for the members that control it.  */
 void
 duty_entry_start (struct duty_entry *e, const char *node)
 {
@@ -106,7 +107,7 @@
                                    .holder = e->holder,
                                    .seed = (uint64_t)(uintptr_t)e,
                                    .ttl_ms = DUTY_LEASE_MS,
-                                   .is_candidate = may_hold,
+                                   .is_candidate = may_be_leader,
                                    .on_acquired = on_acquired,
                                    .on_lost = on_lost,
                                    .ctx = e };
@@ -114,20 +115,21 @@
                                      .clock = &e->clock,
                                      .address = e->platform,
                                      .node = node };
-  struct wy_usage_options u = { .loop = &duty_fixture.loop,
-                                .clock = &e->clock,
-                                .counts_row_key = e->holder,
-                                .window_ms = DUTY_WINDOW_MS,
-                                .report_deadline_ms = DUTY_REPORT_DEADLINE_MS,
-                                .epoch_ms = epoch_ms,
-                                .newest_complete_window = complete_everywhere,
-                                .on_complete = on_complete,
-                                .ctx = e };
+  struct wy_usage_options u
+      = { .loop = &duty_fixture.loop,
+          .clock = &e->clock,
+          .counts_row_key = e->holder,
+          .window_ms = DUTY_WINDOW_MS,
+          .report_deadline_ms = DUTY_REPORT_DEADLINE_MS,
+          .epoch_ms = epoch_ms,
+          .newest_complete_window = window_complete_on_all,
+          .on_complete = on_complete,
+          .ctx = e };
   static int starts;
 
-  e->clock.monotonic = own_monotonic;
-  e->clock.wall = own_wall;
-  e->clock.boottime = own_boottime;
+  e->clock.monotonic = entry_monotonic;
+  e->clock.wall = entry_wall;
+  e->clock.boottime = entry_boottime;
   e->alive = true;
   snprintf (e->holder, sizeof e->holder, "%s/%03d", node, starts++);
   snprintf (e->platform, sizeof e->platform, "127.0.0.1:%u",
@@ -146,7 +148,7 @@
   e->usage = wy_usage_new (&u);
 }
 
-/* The entry ends without a word.  */
+/* Stop the entry without releasing its lease.  */
 void
 duty_entry_kill (struct duty_entry *e)
 {
@@ -161,7 +163,7 @@
   wy_h1_client_free (e->http);
 }
 
-/* Whether the entry holds the duties.  */
+/* Whether the entry is the leader.  */
 bool
 duty_entry_is_leader (void *entry)
 {
--- a/tests/support/duty_fixture.h
+++ b/tests/support/duty_fixture.h
@@ -1,6 +1,7 @@
-/* Entries that share the duties, against stand-ins of the platform.  */
-#ifndef TESTS_DUTY_WORLD_H
-#define TESTS_DUTY_WORLD_H
+/* Entries that elect a leader for the duties, with stand-ins of the
+   platform.  */
+#ifndef WY_TESTS_DUTY_FIXTURE_H
+#define WY_TESTS_DUTY_FIXTURE_H
 
 #include "duties/usage.h"
 #include "standin/platform_duties.h"
@@ -13,20 +14,20 @@
   DUTY_REPORT_DEADLINE_MS = 4000
 };
 
-/* One entry: what it counts and whether it may act.  */
+/* One entry and the state that the test controls.  */
 struct duty_entry
 {
   struct wy_clock clock; /* must stay first */
-  int64_t suspended_ms;  /* that the monotonic time has not counted */
+  int64_t suspended_ms;  /* included in the boot time only */
   char holder[32];
-  char platform[32]; /* address */
+  char platform[32]; /* host:port */
   struct wy_election *election;
   struct wy_duty_calls *calls;
   struct wy_usage *usage;
   struct wy_h1_client *http;
   struct wy_rows *rows;
   bool is_candidate;
-  int64_t newest_complete_window; /* told by this entry */
+  int64_t newest_complete_window; /* as published by this entry */
   const struct duty_entry *peer;
   bool alive;
 };
--- a/tests/support/entry_fixture.c
+++ b/tests/support/entry_fixture.c
@@ -1,4 +1,5 @@
-/* An entry with fake agents, an instance list and callers on one loop.  */
+/* An entry with fake agents, an instance list and callers on one event
+   loop.  */
 #include "entry_fixture.h"
 
 #include <criterion/criterion.h>
@@ -12,11 +13,11 @@
 
 enum
 {
-  /* A hang shows as a failure, not as a test that never ends.  */
+  /* Makes a hang fail instead of blocking the test run.  */
   WAIT_LIMIT_MS = 10000
 };
 
-static bool logging;
+static bool log_is_open;
 
 static void
 on_list (struct wy_http_exchange *ex, void *ctx)
@@ -52,7 +53,7 @@
 }
 
 static void
-load_settings (struct fixture *w, const char *more)
+load_settings (struct fixture *w, const char *extra_settings)
 {
   char path[] = "/tmp/wy-entry-XXXXXX";
   int fd = mkstemp (path);
@@ -64,7 +65,7 @@
                    "list: 127.0.0.1:%u\noperator_token: op\n"
                    "trainer_token: tr\nheartbeat_ms: 50\n"
                    "silence_limit_ms: 300\nlist_poll_ms: 100\n%s",
-                   wy_http_server_port (w->list), more);
+                   wy_http_server_port (w->list), extra_settings);
   cr_assert_geq (fd, 0);
   cr_assert_eq (write (fd, text->str, text->len), (ssize_t)text->len);
   close (fd);
@@ -87,7 +88,7 @@
 }
 
 static void
-start_entry (struct fixture *w, const char *more)
+start_entry (struct fixture *w, const char *extra_settings)
 {
   static const char document[]
       = "{\"models\":[{\"name\":\"m\"}],\"services\":[{\"name\":\"portal\","
@@ -104,7 +105,7 @@
                                 .clock = wy_clock_system (),
                                 .settings = &w->settings };
 
-  load_settings (w, more);
+  load_settings (w, extra_settings);
   cr_assert_eq (wy_trace_new (&w->trace, &trace), 0);
   w->metrics = wy_metrics_new ();
   feed.trace = w->trace;
@@ -117,10 +118,10 @@
       wy_config_feed_offer (w->feed, 1, 1, document, strlen (document)), 0);
 }
 
-/* The same as world_start with MORE lines of settings.  */
+/* Like fixture_start, with lines of settings appended.  */
 void
 fixture_start_with (struct fixture *w, uint32_t n, bool service,
-                    const char *more)
+                    const char *extra_settings)
 {
   struct wy_http_server_options list
       = { .loop = &w->loop, .host = "127.0.0.1", .on_request = on_list };
@@ -130,9 +131,9 @@
   signal (SIGPIPE, SIG_IGN);
   memset (w, 0, sizeof *w);
   /* log4c can't be opened a second time.  */
-  if (!logging)
+  if (!log_is_open)
     wy_log_open ("entry-1", WY_LOG_ERROR);
-  logging = true;
+  log_is_open = true;
   uv_loop_init (&w->loop);
   list.ctx = w;
   list.body_limit_bytes = 1024;
@@ -147,11 +148,11 @@
       w->relay[i] = relay_start (&w->loop, w->agent[i].port);
     }
   w->client = wy_http_client_new (&w->loop, WAIT_LIMIT_MS);
-  start_entry (w, more);
+  start_entry (w, extra_settings);
   fixture_wait_ready (w);
 }
 
-/* Start a world of N agents that serve the service "portal" or the model
+/* Start an entry and N agents that serve the service "portal" or the model
    "m", and wait until all are connected.  */
 void
 fixture_start (struct fixture *w, uint32_t n, bool service)
@@ -159,7 +160,7 @@
   fixture_start_with (w, n, service, "");
 }
 
-/* Run the loop until UNTIL says so.  */
+/* Run the loop until UNTIL returns true.  */
 void
 fixture_run_until (struct fixture *w, bool (*until) (void *ctx), void *ctx)
 {
@@ -167,8 +168,7 @@
 
   while (!until (ctx))
     {
-      cr_assert_lt (wy_clock_mono_ms (wy_clock_system ()), limit,
-                    "nothing happens");
+      cr_assert_lt (wy_clock_mono_ms (wy_clock_system ()), limit, "timed out");
       uv_run (&w->loop, UV_RUN_ONCE);
     }
 }
@@ -179,7 +179,7 @@
   return wy_clock_mono_ms (wy_clock_system ()) >= *(int64_t *)limit_ms;
 }
 
-/* Run the loop for MS.  */
+/* Run the loop for MS milliseconds.  */
 void
 fixture_run_ms (struct fixture *w, uint32_t ms)
 {
@@ -199,7 +199,7 @@
   return true;
 }
 
-/* Wait until each agent has a connection that was proven.  */
+/* Wait until the entry has an authenticated connection to each agent.  */
 void
 fixture_wait_ready (struct fixture *w)
 {
@@ -208,11 +208,11 @@
 }
 
 static void
-on_stopped (void *ctx, uint32_t cut)
+on_stopped (void *ctx, uint32_t aborted)
 {
   struct fixture *w = ctx;
 
-  w->cut = cut;
+  w->cut = aborted;
   w->stopped = true;
 }
 
@@ -222,7 +222,7 @@
   return ((struct fixture *)ctx)->stopped;
 }
 
-/* Stop the entry and all else.  */
+/* Stop the entry, the agents and the instance list.  */
 void
 fixture_stop (struct fixture *w)
 {
@@ -254,7 +254,7 @@
                     &w->settings);
 }
 
-/* How many events of kind EVENT the entry has written.  */
+/* The number of events EVENT in the entry's timeline.  */
 uint64_t
 fixture_count_events (struct fixture *w, const char *event)
 {
@@ -327,21 +327,21 @@
   c->call = wy_http_call_start (w->client, &o);
 }
 
-/* Whether the answer of CALLER has ended.  */
+/* Whether the response to CALLER has ended.  */
 bool
 call_done (void *caller)
 {
   return ((struct caller *)caller)->done;
 }
 
-/* Wait for the end of C's answer.  */
+/* Wait for the end of the response to C.  */
 void
 call_wait (struct caller *c)
 {
   fixture_run_until (c->w, call_done, c);
 }
 
-/* Free what C holds.  */
+/* Free the memory of C.  */
 void
 call_free (struct caller *c)
 {
@@ -350,7 +350,7 @@
   g_free (c->retry_after);
 }
 
-/* Whether the answer of C holds TEXT.  */
+/* Whether the response body of C contains TEXT.  */
 bool
 call_body_contains (const struct caller *c, const char *text)
 {
--- a/tests/support/entry_fixture.h
+++ b/tests/support/entry_fixture.h
@@ -1,4 +1,5 @@
-/* An entry with fake agents, an instance list and callers on one loop.  */
+/* An entry with fake agents, an instance list and callers on one event
+   loop.  */
 #ifndef WY_TEST_ENTRY_FIXTURE_H
 #define WY_TEST_ENTRY_FIXTURE_H
 
@@ -26,11 +27,11 @@
   bool unlisted[FIXTURE_AGENTS];
   bool list_unavailable;
   uint32_t agents;
-  uint32_t cut;
+  uint32_t cut; /* requests aborted by the stop */
   bool stopped;
 };
 
-/* One caller's request and what it got.  */
+/* One caller's request and the response to it.  */
 struct caller
 {
   struct fixture *w;
@@ -43,9 +44,9 @@
   bool done;
 };
 
-/* Start a world of N agents.  */
+/* Start an entry and N agents.  */
 void fixture_start (struct fixture *w, uint32_t n, bool service);
-/* The same with a line of settings added.  */
+/* The same, with lines of SETTINGS appended.  */
 void fixture_start_with (struct fixture *w, uint32_t n, bool service,
                          const char *settings);
 void fixture_run_until (struct fixture *w, bool (*until) (void *ctx),
--- a/tests/support/fake_agent.c
+++ b/tests/support/fake_agent.c
@@ -1,4 +1,5 @@
-/* A small agent on the real inner protocol, scripted by the test.  */
+/* A small agent that speaks the protocol between entries and agents,
+   controlled by the test.  */
 #include "fake_agent.h"
 
 #include <criterion/criterion.h>
@@ -46,7 +47,7 @@
 }
 
 static void
-take_submit (struct fake_agent *a, const struct wy_frame *f)
+handle_submit (struct fake_agent *a, const struct wy_frame *f)
 {
   a->submits++;
   a->last = f->u.submit;
@@ -71,7 +72,7 @@
   switch (f->kind)
     {
     case WY_FRAME_SUBMIT:
-      take_submit (a, f);
+      handle_submit (a, f);
       return;
     case WY_FRAME_RESUME:
       a->resumes++;
@@ -121,7 +122,8 @@
                                   .ctx = ctx };
 }
 
-/* Start A, all zero but for its script, on LOOP; PORT 0: any.  */
+/* Start A on LOOP, on any port if PORT is 0.  A is zero except for the
+   callbacks of the test.  */
 void
 fake_agent_start (struct fake_agent *a, uv_loop_t *loop, const char *name,
                   const char *incarnation, uint16_t port)
@@ -151,7 +153,7 @@
   a->port = wy_listener_port (a->listener);
 }
 
-/* The process of A is gone: nobody listens, its connection is closed.  */
+/* Close the listener and the connection of A, as if its process had ended.  */
 void
 fake_agent_stop (struct fake_agent *a)
 {
@@ -162,7 +164,7 @@
     wy_conn_close (a->conn);
 }
 
-/* Free what A holds.  */
+/* Free the memory of A.  */
 void
 fake_agent_free (struct fake_agent *a)
 {
@@ -173,7 +175,7 @@
   g_free (a->last_body);
 }
 
-/* Take the SUBMIT F as RUN, whose answer will be BODY.  */
+/* Accept the SUBMIT F as RUN, whose response body will be BODY.  */
 struct fake_run *
 fake_accept (struct fake_agent *a, const struct wy_frame *f, const char *run,
              const char *body)
@@ -191,7 +193,7 @@
   return r;
 }
 
-/* Send the head of R's answer.  */
+/* Send the head of R's response.  */
 void
 fake_send_head (struct fake_agent *a, const struct fake_run *r, int status,
                 const char *type)
@@ -208,7 +210,7 @@
   send_frame (a, &f);
 }
 
-/* Send bytes FROM up to TO of R's answer.  */
+/* Send bytes FROM (inclusive) to TO (exclusive) of R's response body.  */
 void
 fake_send_chunk (struct fake_agent *a, const struct fake_run *r, size_t from,
                  size_t to)
@@ -223,7 +225,7 @@
   send_frame (a, &f);
 }
 
-/* Send the end of R.  */
+/* Send the END of R.  */
 void
 fake_send_end (struct fake_agent *a, const struct fake_run *r,
                enum wy_run_result result)
@@ -245,7 +247,7 @@
   send_frame (a, &f);
 }
 
-/* Refuse request ID.  */
+/* Send a REFUSED for request ID.  */
 void
 fake_send_refused (struct fake_agent *a, const char *id, enum wy_ran ran,
                    enum wy_refusal_reason reason, uint32_t retry_after_ms)
@@ -259,8 +261,8 @@
   send_frame (a, &f);
 }
 
-/* Answer the SUBMIT F whole: a completion of two tokens, or for a service a
-   text that names the agent.  */
+/* Send the complete response to the SUBMIT F: a completion of two tokens, or
+   for a service a text that names the agent.  */
 void
 fake_send_response (struct fake_agent *a, const struct wy_frame *f)
 {
@@ -278,7 +280,7 @@
   g_free (body);
 }
 
-/* Send what the RESUME F asks for, to the end.  */
+/* Send the rest of the response from the offset in the RESUME F on.  */
 void
 fake_send_rest (struct fake_agent *a, const struct wy_frame *f)
 {
@@ -296,7 +298,8 @@
   g_free (id);
 }
 
-/* Events of a completion of N tokens by RUN, as an engine sends them.  */
+/* The server-sent events of a completion of N tokens by RUN, as an engine
+   sends them.  The caller frees the text.  */
 char *
 fake_event_stream (const char *run, int n)
 {
--- a/tests/support/fake_agent.h
+++ b/tests/support/fake_agent.h
@@ -1,4 +1,5 @@
-/* A small agent on the real inner protocol, scripted by the test.  */
+/* A small agent that speaks the protocol between entries and agents,
+   controlled by the test.  */
 #ifndef WY_TEST_FAKE_AGENT_H
 #define WY_TEST_FAKE_AGENT_H
 
@@ -8,12 +9,12 @@
 
 struct fake_agent;
 
-/* What the agent holds of one request.  */
+/* One request at the agent.  */
 struct fake_run
 {
   char *id;
   char *run;
-  GString *body; /* whole answer, sent or not */
+  GString *body; /* complete response body, sent or not */
   bool finished;
 };
 
@@ -21,13 +22,13 @@
 {
   struct wy_inner_identity identity;
   struct wy_listener *listener;
-  struct wy_conn *conn; /* the newest */
+  struct wy_conn *conn; /* the latest */
   char *name;
   uint16_t port;
   GHashTable *runs; /* id -> struct fake_run */
   struct wy_target_load load;
   int64_t config_revision;
-  /* Called for each SUBMIT; NULL: answer whole at once.  */
+  /* Called for each SUBMIT; NULL: send the complete response at once.  */
   void (*on_submit) (struct fake_agent *a, const struct wy_frame *f);
   /* Called for each RESUME; NULL: send the rest at once.  */
   void (*on_resume) (struct fake_agent *a, const struct wy_frame *f);
@@ -39,7 +40,7 @@
   uint32_t acks;
   uint32_t orders;
   uint32_t ready;
-  struct wy_frame_submit last; /* numbers of the last SUBMIT only */
+  struct wy_frame_submit last; /* fixed-size members of the last SUBMIT only */
   char *last_id;
   char *last_path;
   char *last_body;
@@ -63,7 +64,8 @@
 void fake_send_response (struct fake_agent *a, const struct wy_frame *f);
 void fake_send_rest (struct fake_agent *a, const struct wy_frame *f);
 
-/* Events of a completion of N tokens by RUN, as an engine sends them.  */
+/* The server-sent events of a completion of N tokens by RUN, as an engine
+   sends them.  */
 char *fake_event_stream (const char *run, int n);
 
 #endif
--- a/tests/support/fake_runner.c
+++ b/tests/support/fake_runner.c
@@ -1,5 +1,5 @@
-/* A runner of samples that tells outcomes when the test says so, or a moment
-   after the start.  */
+/* A runner of samples that reports outcomes a few milliseconds after the
+   start, or when the test allows it.  */
 #include "fake_runner.h"
 
 #include <string.h>
@@ -67,7 +67,7 @@
 }
 
 static bool
-take (uint32_t *n)
+consume (uint32_t *n)
 {
   if (*n == 0)
     return false;
@@ -76,7 +76,7 @@
 }
 
 static void
-tell (struct fake_runner *r, struct fake_run *run)
+report_outcome (struct fake_runner *r, struct fake_run *run)
 {
   struct wy_segment segments[2] = { { r->version, 0, TOKENS }, { 0, 0, 0 } };
   struct wy_run_outcome o = { .result = WY_RUN_DONE,
@@ -89,18 +89,18 @@
 
   if (run->cancelled)
     o.result = WY_RUN_CANCELLED;
-  else if (take (&r->refuse_next))
+  else if (consume (&r->refuse_next))
     {
       o.result = WY_RUN_FAILED;
       o.ran = WY_RAN_NO;
       o.refusal = WY_REFUSED_BUSY;
       o.retry_after_ms = OUTCOME_EVERY_MS;
     }
-  else if (take (&r->crash_next))
+  else if (consume (&r->crash_next))
     o.result = WY_RUN_CRASHED;
-  else if (take (&r->gap_next))
+  else if (consume (&r->gap_next))
     segments[0].from = 1;
-  else if (take (&r->mixed_versions_next))
+  else if (consume (&r->mixed_versions_next))
     {
       segments[0].version = r->version - 1;
       segments[0].to = TOKENS / 2;
@@ -115,7 +115,7 @@
 }
 
 static void
-tell_all (struct fake_runner *r)
+report_outcomes (struct fake_runner *r)
 {
   GPtrArray *open = r->open;
 
@@ -127,7 +127,7 @@
       if (r->hold_outcomes && !run->cancelled)
         g_ptr_array_add (r->open, run);
       else
-        tell (r, run);
+        report_outcome (r, run);
     }
   g_ptr_array_free (open, TRUE);
 }
@@ -135,7 +135,7 @@
 static void
 on_timer (uv_timer_t *t)
 {
-  tell_all (t->data);
+  report_outcomes (t->data);
 }
 
 void
@@ -155,12 +155,12 @@
   uv_timer_start (&r->timer, on_timer, OUTCOME_EVERY_MS, OUTCOME_EVERY_MS);
 }
 
-/* Tell what is open to tell, and stop.  */
+/* Report the outcomes of all open samples and stop.  */
 void
 fake_runner_close (struct fake_runner *r)
 {
   r->hold_outcomes = false;
-  tell_all (r);
+  report_outcomes (r);
   g_ptr_array_free (r->open, TRUE);
   uv_close ((uv_handle_t *)&r->timer, NULL);
 }
--- a/tests/support/fake_runner.h
+++ b/tests/support/fake_runner.h
@@ -1,5 +1,5 @@
-/* A runner of samples that tells outcomes when the test says so, or a moment
-   after the start.  */
+/* A runner of samples that reports outcomes a few milliseconds after the
+   start, or when the test allows it.  */
 #ifndef WY_TESTS_FAKE_RUNNER_H
 #define WY_TESTS_FAKE_RUNNER_H
 
@@ -16,16 +16,15 @@
   uv_timer_t timer;
   bool running;
   GPtrArray *open;   /* struct fake_run */
-  int64_t version;   /* that engines make samples with */
+  int64_t version;   /* of the weights that generate samples */
   uint32_t capacity; /* streams */
   uint32_t started;
   uint32_t cancelled;
-  uint32_t gap_next; /* outcomes with a gap in their segments */
+  uint32_t gap_next; /* number of outcomes with a gap in their segments */
   uint32_t refuse_next;
   uint32_t crash_next;
-  uint32_t mixed_versions_next; /* outcomes half of this version, half of the
-                                   one before */
-  bool hold_outcomes;           /* no outcome until the test clears it */
+  uint32_t mixed_versions_next; /* number, half by the previous version */
+  bool hold_outcomes;           /* no outcomes while set */
   int64_t min_version;          /* of the last request */
 };
 
--- a/tests/support/fake_table.c
+++ b/tests/support/fake_table.c
@@ -1,4 +1,4 @@
-/* A small table service and object store inside the test's own loop.  */
+/* A small table service and object store in the event loop of the test.  */
 #include "fake_table.h"
 
 #include <stdlib.h>
@@ -12,7 +12,7 @@
   CLOSE_ROUNDS = 200
 };
 
-struct late
+struct delayed_response
 {
   uv_timer_t timer;
   struct fake_table *table;
@@ -47,7 +47,7 @@
   g_hash_table_insert (t->rows, g_strdup (key), r);
 }
 
-/* Set row KEY to VALUE, which is taken.  */
+/* Set row KEY to VALUE and take over the reference to it.  */
 void
 fake_table_set (struct fake_table *t, const char *key, json_t *value)
 {
@@ -56,7 +56,7 @@
   json_decref (value);
 }
 
-/* The value of row KEY, or NULL.  */
+/* The value of row KEY, or NULL.  Owned by T.  */
 const json_t *
 fake_table_get (struct fake_table *t, const char *key)
 {
@@ -65,7 +65,7 @@
   return r ? r->value : NULL;
 }
 
-/* The text MEMBER of row KEY, or "".  */
+/* The string MEMBER of row KEY, or "".  */
 const char *
 fake_table_text (struct fake_table *t, const char *key, const char *member)
 {
@@ -76,41 +76,41 @@
 }
 
 static void
-on_late_closed (uv_handle_t *h)
+on_delay_closed (uv_handle_t *h)
 {
   g_free (h->data);
 }
 
 static void
-on_late (uv_timer_t *timer)
+on_delay_over (uv_timer_t *timer)
 {
-  struct late *l = timer->data;
+  struct delayed_response *l = timer->data;
 
   l->table->open--;
   if (l->ex)
     wy_http_respond (l->ex, l->status, "application/json", l->text, l->n);
   g_free (l->text);
-  uv_close ((uv_handle_t *)timer, on_late_closed);
+  uv_close ((uv_handle_t *)timer, on_delay_closed);
 }
 
 static void
-on_late_abort (struct wy_http_exchange *ex, void *ctx)
+on_delayed_abort (struct wy_http_exchange *ex, void *ctx)
 {
-  ((struct late *)ctx)->ex = NULL;
+  ((struct delayed_response *)ctx)->ex = NULL;
 }
 
 static void
 respond (struct fake_table *t, struct wy_http_exchange *ex, int status,
          const char *text, size_t n)
 {
-  struct late *l;
+  struct delayed_response *l;
 
   if (!t->delay_ms)
     {
       wy_http_respond (ex, status, "application/json", text, n);
       return;
     }
-  l = g_new0 (struct late, 1);
+  l = g_new0 (struct delayed_response, 1);
   l->table = t;
   l->ex = ex;
   l->status = status;
@@ -118,10 +118,10 @@
   l->n = n;
   t->open++;
   t->open_max = MAX (t->open_max, t->open);
-  wy_http_on_abort (ex, on_late_abort, l);
+  wy_http_on_abort (ex, on_delayed_abort, l);
   uv_timer_init (t->loop, &l->timer);
   l->timer.data = l;
-  uv_timer_start (&l->timer, on_late, t->delay_ms, 0);
+  uv_timer_start (&l->timer, on_delay_over, t->delay_ms, 0);
 }
 
 static void
@@ -136,7 +136,7 @@
 }
 
 static void
-break_answer (struct wy_http_exchange *ex)
+break_response (struct wy_http_exchange *ex)
 {
   wy_http_stream_begin (ex, 200, "application/json");
   wy_http_stream_abort (ex);
@@ -168,7 +168,7 @@
 }
 
 static bool
-takes_answer (struct fake_table *t, const json_t *writes)
+should_lose_response (struct fake_table *t, const json_t *writes)
 {
   if (t->lose_responses > 0)
     {
@@ -197,7 +197,7 @@
   if (t->drop_requests > 0)
     {
       t->drop_requests--;
-      break_answer (ex);
+      break_response (ex);
       return;
     }
   failed = failed_conditions (t, json_object_get (body, "conditions"));
@@ -215,8 +215,8 @@
       write_row (t, json_string_value (json_object_get (w, "key")),
                  json_object_get (w, "value"));
     }
-  if (takes_answer (t, writes))
-    break_answer (ex);
+  if (should_lose_response (t, writes))
+    break_response (ex);
   else
     respond_json (
         t, ex, 200,
@@ -308,7 +308,7 @@
   json_decref (body);
 }
 
-/* An empty table that listens on a free port.  */
+/* A new empty table that listens on a free port.  */
 struct fake_table *
 fake_table_new (uv_loop_t *loop)
 {
@@ -331,7 +331,7 @@
   return t;
 }
 
-/* Free T; nobody may be connected.  */
+/* Free T, which must have no connections.  */
 void
 fake_table_free (struct fake_table *t)
 {
@@ -350,19 +350,19 @@
 bool
 run_until (uv_loop_t *loop, bool (*done) (void *ctx), void *ctx)
 {
-  uv_timer_t beat;
+  uv_timer_t wakeup;
   uint64_t until;
-  bool beaten = false;
+  bool woken = false;
   bool ok;
 
   uv_update_time (loop);
   until = uv_now (loop) + RUN_LIMIT_MS;
-  uv_timer_init (loop, &beat);
-  beat.data = &beaten;
-  uv_timer_start (&beat, on_alarm, RUN_STEP_MS, RUN_STEP_MS);
+  uv_timer_init (loop, &wakeup);
+  wakeup.data = &woken;
+  uv_timer_start (&wakeup, on_alarm, RUN_STEP_MS, RUN_STEP_MS);
   while (!(ok = done (ctx)) && uv_now (loop) < until)
     uv_run (loop, UV_RUN_ONCE);
-  uv_close ((uv_handle_t *)&beat, NULL);
+  uv_close ((uv_handle_t *)&wakeup, NULL);
   uv_run (loop, UV_RUN_NOWAIT);
   return ok;
 }
--- a/tests/support/fake_table.h
+++ b/tests/support/fake_table.h
@@ -1,4 +1,4 @@
-/* A small table service and object store inside the test's own loop.  */
+/* A small table service and object store in the event loop of the test.  */
 #ifndef WY_TESTS_FAKE_TABLE_H
 #define WY_TESTS_FAKE_TABLE_H
 
@@ -20,13 +20,13 @@
   GHashTable *rows;    /* key -> struct fake_row */
   GHashTable *objects; /* key -> GBytes */
   /* Faults.  */
-  bool down;                /* 503 */
-  uint32_t delay_ms;        /* each answer */
-  uint32_t lose_responses;  /* carry out this many transactions, no answer */
-  uint32_t drop_requests;   /* no answer and no effect, this many */
-  uint32_t calls_until_429; /* calls until 429; 0: none */
-  const char *lose_response_key_suffix; /* lose the answer when a key written
-                                           ends in it */
+  bool down;                /* respond 503 */
+  uint32_t delay_ms;        /* of each response */
+  uint32_t lose_responses;  /* transactions to execute without responding */
+  uint32_t drop_requests;   /* transactions to fail without execution */
+  uint32_t calls_until_429; /* the call that gets status 429; 0: none */
+  /* Lose one response to a write of a key with this suffix.  */
+  const char *lose_response_key_suffix;
   /* Counts.  */
   uint32_t reads;
   uint32_t txns;
@@ -49,10 +49,10 @@
                              const char *member);
 void fake_table_set (struct fake_table *t, const char *key, json_t *value);
 
-/* Run LOOP until DONE says so; false when it never did.  */
+/* Run LOOP until DONE returns true; false on timeout.  */
 bool run_until (uv_loop_t *loop, bool (*done) (void *ctx), void *ctx);
 void run_for (uv_loop_t *loop, uint32_t ms);
-/* Run what is left to run and close the loop.  */
+/* Run what is pending on LOOP.  */
 void drain_loop (uv_loop_t *loop);
 
 #endif
--- a/tests/support/job_fixture.c
+++ b/tests/support/job_fixture.c
@@ -1,4 +1,4 @@
-/* An entry that runs jobs, against stand-ins of the platform.  */
+/* An entry that runs jobs, with stand-ins of the platform.  */
 #include "job_fixture.h"
 
 #include <criterion/criterion.h>
@@ -29,7 +29,7 @@
          && wy_members_age_ms (job_entry.members) >= 0;
 }
 
-/* An entry on the store and the targets as they are.  */
+/* Start an entry on the present store and targets.  */
 void
 job_fixture_start_entry (void)
 {
@@ -52,7 +52,7 @@
   cr_assert (platform_fixture_run_until (&job_fixture, is_synced, NULL));
 }
 
-/* The entry ends without a word to the others.  */
+/* Stop the entry without a handoff of its jobs.  */
 void
 job_fixture_stop_entry (void)
 {
@@ -61,7 +61,7 @@
   wy_members_free (job_entry.members);
 }
 
-/* A store, REPLICAS replicas and an entry.  */
+/* Start a store, REPLICAS replicas and an entry.  */
 void
 job_fixture_start (int replicas)
 {
@@ -73,7 +73,7 @@
   job_fixture_start_entry ();
 }
 
-/* Close all.  */
+/* Free everything.  */
 void
 job_fixture_stop (void)
 {
@@ -110,22 +110,22 @@
   return g_string_free (s, FALSE);
 }
 
-/* A job of JOB_ITEMS items; the caller frees it.  */
+/* A job of JOB_ITEMS items.  The caller frees it.  */
 char *
 job_fixture_body (int64_t min_version)
 {
   return body_with (min_version, NULL, NULL);
 }
 
-/* The same, each item scored by the route "/s/" of HOST, asked with BODY in
-   base64.  */
+/* The same, with each item scored by a call to "/s/x" of HOST with BODY
+   (base64).  */
 char *
 job_fixture_scored_body (const char *host, const char *body)
 {
   return body_with (1, host, body);
 }
 
-/* Call the entry and wait for its answer.  */
+/* Call the entry and wait for the response.  */
 struct platform_response *
 job_fixture_call (const char *method, const char *target, const char *id,
                   const char *body)
@@ -142,7 +142,7 @@
   return a;
 }
 
-/* Submit BODY as the job ID; the status.  */
+/* Submit BODY as job ID.  Returns the HTTP status.  */
 int
 job_fixture_submit_body (const char *id, const char *body)
 {
@@ -153,7 +153,7 @@
   return status;
 }
 
-/* Submit a job; its status.  */
+/* Submit a job.  Returns the HTTP status.  */
 int
 job_fixture_submit (const char *id, int64_t min_version)
 {
@@ -164,7 +164,7 @@
   return status;
 }
 
-/* The status of a call without a body.  */
+/* The HTTP status of a call without a body.  */
 int
 job_fixture_status (const char *method, const char *target)
 {
@@ -175,7 +175,7 @@
   return status;
 }
 
-/* The result at position N of the job, as the reader gets it; NULL: none
+/* The result at position N of JOB as a reader gets it; NULL if there is none
    yet.  */
 json_t *
 job_fixture_result (const char *job, uint32_t n)
@@ -195,7 +195,7 @@
   return r;
 }
 
-/* The result at position N of JOB, waited for.  */
+/* Wait for the result at position N of JOB.  */
 json_t *
 job_fixture_await_result (const char *job, uint32_t n)
 {
@@ -210,7 +210,7 @@
   return NULL;
 }
 
-/* The text KEY of R; "": none.  */
+/* The string KEY of R, or "".  */
 const char *
 job_fixture_string (json_t *r, const char *key)
 {
@@ -220,7 +220,7 @@
 }
 
 static char *
-whole_text (void)
+expected_text (void)
 {
   GString *s = g_string_new (NULL);
   char piece[64];
@@ -232,13 +232,14 @@
   return g_string_free (s, FALSE);
 }
 
-/* Read all results and check that each item is listed once, whole.  */
+/* Read all results and check that each item is listed once, with its complete
+   text.  */
 void
 job_fixture_check_results (const char *job)
 {
   GHashTable *seen
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  char *want = whole_text ();
+  char *want = expected_text ();
 
   for (uint32_t i = 0; i < JOB_ITEMS; i++)
     {
@@ -255,7 +256,7 @@
   g_free (want);
 }
 
-/* Results of JOB in the store.  */
+/* The number of results of JOB in the store.  */
 uint32_t
 job_fixture_count_results (const char *job)
 {
--- a/tests/support/job_fixture.h
+++ b/tests/support/job_fixture.h
@@ -1,6 +1,6 @@
-/* An entry that runs jobs, against stand-ins of the platform.  */
-#ifndef TESTS_JOB_WORLD_H
-#define TESTS_JOB_WORLD_H
+/* An entry that runs jobs, with stand-ins of the platform.  */
+#ifndef WY_TESTS_JOB_FIXTURE_H
+#define WY_TESTS_JOB_FIXTURE_H
 
 #include <jansson.h>
 
@@ -12,7 +12,7 @@
   JOB_EVENTS = 6
 };
 
-/* One entry: its jobs and the door to them.  */
+/* One entry: its jobs and the server that callers use.  */
 struct job_entry
 {
   struct wy_members *members;
@@ -22,9 +22,9 @@
 
 extern struct platform_fixture job_fixture;
 extern struct job_entry job_entry;
-/* Of the entry that starts next; 0: no limit.  */
+/* Limit for the next entry that is started; 0: none.  */
 extern uint64_t job_memory_limit_bytes;
-extern const char *job_organisation; /* that callers act for; "": none */
+extern const char *job_organisation; /* of the callers; "": none */
 
 void job_fixture_start_entry (void);
 void job_fixture_stop_entry (void);
--- a/tests/support/platform_fixture.c
+++ b/tests/support/platform_fixture.c
@@ -1,4 +1,5 @@
-/* An entry's parts against stand-ins of the platform.  */
+/* The modules of an entry with stand-ins of the platform, on one event
+   loop.  */
 #include "platform_fixture.h"
 
 #include <string.h>
@@ -26,7 +27,7 @@
 }
 
 static void
-turn (struct platform_fixture *w)
+run_once (struct platform_fixture *w)
 {
   uv_timer_t step;
 
@@ -37,7 +38,7 @@
   uv_run (&w->loop, UV_RUN_NOWAIT);
 }
 
-/* Run the loop until COND holds; false: it did not in good time.  */
+/* Run the loop until COND returns true; false on timeout.  */
 bool
 platform_fixture_run_until (struct platform_fixture *w,
                             bool (*cond) (void *ctx), void *ctx)
@@ -48,19 +49,19 @@
     {
       if (now_ms () >= until_ms)
         return false;
-      turn (w);
+      run_once (w);
     }
   return true;
 }
 
-/* Run the loop for MS.  */
+/* Run the loop for MS milliseconds.  */
 void
 platform_fixture_run_ms (struct platform_fixture *w, int64_t ms)
 {
   uint64_t until_ms = now_ms () + (uint64_t)ms;
 
   while (now_ms () < until_ms)
-    turn (w);
+    run_once (w);
 }
 
 struct sockaddr_in
@@ -72,7 +73,7 @@
   return a;
 }
 
-/* A port that nobody listens on now.  */
+/* A port that is not in use at present.  */
 uint16_t
 platform_fixture_free_port (struct platform_fixture *w)
 {
@@ -88,7 +89,7 @@
   return ntohs (a.sin_port);
 }
 
-/* A store and a caller's client.  */
+/* Start a store, and create a client for callers.  */
 void
 platform_fixture_init (struct platform_fixture *w)
 {
@@ -130,7 +131,7 @@
       = wy_metrics_histogram_family (w->metrics, "latency_by", "", 16);
 }
 
-/* The shared parts of an entry named NODE.  */
+/* Create the modules that all parts of the entry NODE share.  */
 void
 platform_fixture_add_env (struct platform_fixture *w, const char *node)
 {
@@ -179,7 +180,8 @@
   return r;
 }
 
-/* A replica of the service "svc" that the entry knows of.  */
+/* Add a replica of the service "svc" to the store and to the entry's
+   targets.  */
 struct wy_platform_replica *
 platform_fixture_add_replica (struct platform_fixture *w, const char *model,
                               uint32_t events)
@@ -206,7 +208,8 @@
   return t;
 }
 
-/* A replica of the service "desk", which HOST's route "/s/" leads to.  */
+/* Add a replica of the service "desk", to which the route "/s/" of HOST
+   leads.  */
 struct wy_platform_replica *
 platform_fixture_add_scorer (struct platform_fixture *w, const char *host)
 {
@@ -215,7 +218,8 @@
   return add_replica (w, "desk", NULL, 0);
 }
 
-/* One route, host "h" and prefix "/p/", to the service "svc".  */
+/* Set the routing to one route, from host "h" and prefix "/p/" to the service
+   "svc".  */
 void
 platform_fixture_set_routing (struct platform_fixture *w,
                               enum wy_route_kind kind, uint32_t attempts)
@@ -234,7 +238,7 @@
   w->env.routing = r;
 }
 
-/* Close all.  */
+/* Free everything.  */
 void
 platform_fixture_free (struct platform_fixture *w)
 {
@@ -277,7 +281,7 @@
   a->call = NULL;
 }
 
-/* Call PORT on loopback as a caller does.  */
+/* Send a request to PORT on loopback as a caller does.  */
 struct platform_response *
 platform_fixture_call (struct platform_fixture *w, uint16_t port,
                        const char *method, const char *target,
@@ -303,9 +307,9 @@
 }
 
 bool
-platform_response_done (void *answer)
+platform_response_done (void *response)
 {
-  return ((struct platform_response *)answer)->done;
+  return ((struct platform_response *)response)->done;
 }
 
 void
--- a/tests/support/platform_fixture.h
+++ b/tests/support/platform_fixture.h
@@ -1,6 +1,7 @@
-/* An entry's parts against stand-ins of the platform, on one loop.  */
-#ifndef TESTS_PLATFORM_WORLD_H
-#define TESTS_PLATFORM_WORLD_H
+/* The modules of an entry with stand-ins of the platform, on one event
+   loop.  */
+#ifndef WY_TESTS_PLATFORM_FIXTURE_H
+#define WY_TESTS_PLATFORM_FIXTURE_H
 
 #include <stdbool.h>
 
@@ -25,11 +26,11 @@
   uint32_t n_replicas;
   struct wy_metrics *metrics;
   struct wy_gate_env env;
-  struct wy_h1_client *client; /* of callers */
+  struct wy_h1_client *client; /* used by callers */
   bool has_env;
 };
 
-/* The answer to a call made by a test.  */
+/* The response to a call made by a test.  */
 struct platform_response
 {
   bool done;
@@ -59,7 +60,7 @@
                        const char *method, const char *target,
                        const struct wy_h1_header *fields, size_t n_fields,
                        const char *body);
-bool platform_response_done (void *answer);
+bool platform_response_done (void *response);
 void platform_response_free (struct platform_response *a);
 struct sockaddr_in platform_loopback (uint16_t port);
 uint16_t platform_fixture_free_port (struct platform_fixture *w);
--- a/tests/support/proc.c
+++ b/tests/support/proc.c
@@ -1,4 +1,4 @@
-/* Programs started by tests, and blocking calls to them.  */
+/* Programs started by tests, and blocking HTTP calls to them.  */
 #include "support/proc.h"
 
 #include <sys/prctl.h>
@@ -17,14 +17,14 @@
 
 enum
 {
-  /* Far above what a start takes, also under a sanitizer on a busy
+  /* Far above the duration of a start, even under a sanitizer on a busy
      machine.  */
   START_MAX_MS = 20000,
   POLL_MS = 10,
   FETCH_TIMEOUT_MS = 20000
 };
 
-/* Sleep; only to poll for something that another process does.  */
+/* Sleep.  Only for polling what another process does.  */
 void
 wy_sleep_ms (uint32_t ms)
 {
@@ -39,9 +39,9 @@
   return g_build_filename (dir ? dir : "build/bin", program, NULL);
 }
 
-/* A test that crashes or is ended for its time leaves its programs behind;
-   they would go on for ever and keep the pipes of the test runner open, which
-   then waits as long.  So a program dies with the test that started it.  */
+/* Start a child process that is killed when the test ends.  The programs of a
+   test that crashes or times out would otherwise run on and keep the pipes of
+   the test runner open, for which it would wait.  */
 static pid_t
 run_child (const char *path, char **argv)
 {
@@ -58,9 +58,9 @@
   _exit (EXIT_FAILURE);
 }
 
-/* Start PROGRAM, with KIND as its first argument unless it is NULL, on the
-   YAML text SETTINGS; ports_file and timeline are added to it.  Returns 0
-   when it has written its ports, else -1.  */
+/* Start PROGRAM with the YAML text SETTINGS, to which ports_file and timeline
+   are added.  KIND is its first argument unless it is NULL.  Returns 0 when
+   the program has written its ports, or -1.  */
 int
 wy_proc_start (struct wy_proc *p, const char *program, const char *kind,
                const char *settings)
@@ -98,7 +98,7 @@
   return err ? -1 : 0;
 }
 
-/* The port that P has written under NAME, or 0.  */
+/* The port that P has reported under NAME, or 0.  */
 uint16_t
 wy_proc_port (const struct wy_proc *p, const char *name)
 {
@@ -143,8 +143,8 @@
   g_rmdir (dir);
 }
 
-/* Wait for P to end and remove its files.  Returns the exit code, or minus
-   the number of the signal that ended it.  */
+/* Wait for P to end and remove its files.  Returns its exit code, or minus the
+   number of the signal that ended it.  */
 int
 wy_proc_wait (struct wy_proc *p)
 {
@@ -202,7 +202,7 @@
   f->text = g_malloc (a->size_bytes + 1);
   memcpy (f->text, a->body, a->size_bytes + 1);
   f->size_bytes = a->size_bytes;
-  /* The silence timer of the client would keep the loop going.  */
+  /* The idle timer of the client would keep the loop running.  */
   uv_stop (f->loop);
 }
 
@@ -222,9 +222,9 @@
   uv_loop_close (&loop);
 }
 
-/* Call 127.0.0.1:PORT and wait for the whole answer.  HEADERS ends with a
-   pair of NULL, or is NULL.  STATUS is the HTTP status, or the negative
-   error of the call.  The caller frees the text.  */
+/* Call 127.0.0.1:PORT and wait for the complete response.  HEADERS ends with a
+   pair of NULL, or is NULL.  STATUS is the HTTP status, or the negative error
+   of the call.  The caller frees the text.  */
 char *
 wy_fetch_text (uint16_t port, const char *method, const char *path,
                const char *body, const struct wy_http_header_field *headers,
@@ -248,7 +248,7 @@
   return f.text;
 }
 
-/* GET of N bytes, which the caller frees.  */
+/* GET PATH; N is the size of the response body, which the caller frees.  */
 char *
 wy_fetch_bytes (uint16_t port, const char *path, size_t *n, int *status)
 {
@@ -265,7 +265,8 @@
   return f.text;
 }
 
-/* Like wy_fetch_text; the answer as JSON, or NULL when it is none.  */
+/* Like wy_fetch_text.  Returns the response as JSON, or NULL if it is
+   malformed.  */
 json_t *
 wy_fetch_json (uint16_t port, const char *method, const char *path,
                const char *json, const struct wy_http_header_field *headers,
--- a/tests/support/proc.h
+++ b/tests/support/proc.h
@@ -1,4 +1,4 @@
-/* Programs started by tests, and blocking calls to them.  */
+/* Programs started by tests, and blocking HTTP calls to them.  */
 #ifndef WY_TESTS_PROC_H
 #define WY_TESTS_PROC_H
 
@@ -12,7 +12,7 @@
 struct wy_proc
 {
   pid_t pid;
-  char *dir; /* of its files, removed by wy_proc_wait */
+  char *dir; /* holds its files; removed by wy_proc_wait */
   char *ports_file;
   char *timeline;
 };
--- a/tests/support/relay.c
+++ b/tests/support/relay.c
@@ -1,5 +1,5 @@
-/* A TCP relay whose open connections can be made silent, as by a middlebox
-   that has lost track of them: both ends believe the connection open.  */
+/* A TCP relay that can make open connections silent, as a middlebox does that
+   has lost their state: both ends believe that the connection is open.  */
 #include "relay.h"
 
 #include <criterion/criterion.h>
@@ -14,11 +14,11 @@
   BUFFER_SIZE_BYTES = 16384
 };
 
-struct half
+struct endpoint
 {
   uv_tcp_t tcp; /* must stay first */
   struct pair *pair;
-  bool swallow; /* what is read here */
+  bool discard; /* what is read here */
   bool open;
   char buffer[BUFFER_SIZE_BYTES];
 };
@@ -26,7 +26,7 @@
 struct pair
 {
   struct relay *relay;
-  struct half side[2]; /* dialler, listener */
+  struct endpoint side[2]; /* dialler, listener */
   uv_connect_t connect;
   uint32_t handles;
 };
@@ -39,16 +39,16 @@
   GPtrArray *pairs;
 };
 
-struct packet
+struct buffered_write
 {
   uv_write_t req; /* must stay first */
   char data[];
 };
 
 static void
-on_half_closed (uv_handle_t *h)
+on_endpoint_closed (uv_handle_t *h)
 {
-  struct pair *p = ((struct half *)h)->pair;
+  struct pair *p = ((struct endpoint *)h)->pair;
 
   if (--p->handles > 0)
     return;
@@ -63,14 +63,14 @@
     if (p->side[i].open)
       {
         p->side[i].open = false;
-        uv_close ((uv_handle_t *)&p->side[i].tcp, on_half_closed);
+        uv_close ((uv_handle_t *)&p->side[i].tcp, on_endpoint_closed);
       }
 }
 
 static void
 on_alloc (uv_handle_t *h, size_t n, uv_buf_t *buf)
 {
-  *buf = uv_buf_init (((struct half *)h)->buffer, BUFFER_SIZE_BYTES);
+  *buf = uv_buf_init (((struct endpoint *)h)->buffer, BUFFER_SIZE_BYTES);
 }
 
 static void
@@ -80,9 +80,9 @@
 }
 
 static void
-pass_on (struct half *to, const char *p, size_t n)
+forward (struct endpoint *to, const char *p, size_t n)
 {
-  struct packet *k = g_malloc (sizeof *k + n);
+  struct buffered_write *k = g_malloc (sizeof *k + n);
   uv_buf_t buf = uv_buf_init (k->data, (unsigned)n);
 
   memcpy (k->data, p, n);
@@ -92,20 +92,20 @@
 static void
 on_read (uv_stream_t *s, ssize_t n, const uv_buf_t *buf)
 {
-  struct half *from = (struct half *)s;
+  struct endpoint *from = (struct endpoint *)s;
   struct pair *p = from->pair;
-  struct half *to = from == &p->side[0] ? &p->side[1] : &p->side[0];
+  struct endpoint *to = from == &p->side[0] ? &p->side[1] : &p->side[0];
 
   if (n < 0)
     {
-      /* A silent connection does not tell of its end either.  */
-      if (from->swallow)
+      /* A silent connection does not report its end either.  */
+      if (from->discard)
         uv_read_stop (s);
       else
         close_pair (p);
     }
-  else if (n > 0 && !from->swallow && to->open)
-    pass_on (to, buf->base, (size_t)n);
+  else if (n > 0 && !from->discard && to->open)
+    forward (to, buf->base, (size_t)n);
 }
 
 static void
@@ -148,7 +148,7 @@
     close_pair (p);
 }
 
-/* Relay connections to TO_PORT of this host.  */
+/* Start a relay to TO_PORT on loopback.  */
 struct relay *
 relay_start (uv_loop_t *loop, uint16_t to_port)
 {
@@ -169,14 +169,14 @@
   return r;
 }
 
-/* The port to dial.  */
+/* The port that the relay listens on.  */
 uint16_t
 relay_port (const struct relay *r)
 {
   return r->port;
 }
 
-/* Swallow what comes from either side on the connections open now.  */
+/* Discard what is read from the given sides of the connections open now.  */
 void
 relay_discard (struct relay *r, bool from_dialler, bool from_listener)
 {
@@ -184,12 +184,12 @@
     {
       struct pair *p = r->pairs->pdata[i];
 
-      p->side[0].swallow = from_dialler;
-      p->side[1].swallow = from_listener;
+      p->side[0].discard = from_dialler;
+      p->side[1].discard = from_listener;
     }
 }
 
-/* Free R, whose handles are closed.  */
+/* Free R after relay_stop, when its handles are closed.  */
 void
 relay_free (struct relay *r)
 {
--- a/tests/support/yard_fixture.c
+++ b/tests/support/yard_fixture.c
@@ -1,4 +1,4 @@
-/* Two entries with one yard, on one fake table.  */
+/* Two entries that share one yard, on one fake table.  */
 #include "yard_fixture.h"
 
 #include <stdlib.h>
@@ -6,7 +6,7 @@
 
 enum
 {
-  SILENCE_MS = 10000,
+  IDLE_TIMEOUT_MS = 10000,
   BODY_LIMIT_BYTES = 1 << 20,
   POLL_MS = 20,
   BATCH_TRIES = 400
@@ -31,7 +31,7 @@
   memset (w, 0, sizeof *w);
   uv_loop_init (&w->loop);
   w->table = fake_table_new (&w->loop);
-  w->http = wy_http_client_new (&w->loop, SILENCE_MS);
+  w->http = wy_http_client_new (&w->loop, IDLE_TIMEOUT_MS);
   w->lease_ttl_ms = 600;
   if (wy_document_parse_text (&w->document, text, strlen (text), NULL))
     abort ();
@@ -81,7 +81,7 @@
   g_free (holder);
 }
 
-/* Entry I is gone without a word: its lease stays until it ends.  */
+/* Stop entry I without releasing its lease, which then expires.  */
 void
 yard_fixture_crash_entry (struct yard_fixture *w, int i)
 {
@@ -110,20 +110,20 @@
 }
 
 static void
-on_answer (void *ctx, const struct wy_http_response *a)
+on_response (void *ctx, const struct wy_http_response *a)
 {
   struct yard_fixture *w = ctx;
 
-  w->answered = true;
+  w->response_received = true;
   w->status = a->err ? a->err : a->status;
   json_decref (w->body);
   w->body = json_loadb (a->body, a->size_bytes, 0, NULL);
 }
 
 static bool
-is_answered (void *ctx)
+is_done (void *ctx)
 {
-  return ((struct yard_fixture *)ctx)->answered;
+  return ((struct yard_fixture *)ctx)->response_received;
 }
 
 int
@@ -138,9 +138,9 @@
           .body = body,
           .body_size_bytes = body ? strlen (body) : 0 };
 
-  w->answered = false;
-  wy_http_fetch (w->http, &o, on_answer, w);
-  return run_until (&w->loop, is_answered, w) ? w->status : 0;
+  w->response_received = false;
+  wy_http_fetch (w->http, &o, on_response, w);
+  return run_until (&w->loop, is_done, w) ? w->status : 0;
 }
 
 int
--- a/tests/support/yard_fixture.h
+++ b/tests/support/yard_fixture.h
@@ -1,4 +1,4 @@
-/* Two entries with one yard, on one fake table.  */
+/* Two entries that share one yard, on one fake table.  */
 #ifndef WY_TESTS_YARD_FIXTURE_H
 #define WY_TESTS_YARD_FIXTURE_H
 
@@ -25,7 +25,7 @@
   const struct wy_orderer *orderer;
   uint32_t lease_ttl_ms;
   struct yard_entry entry[2];
-  bool answered;
+  bool response_received;
   int status;
   json_t *body;
 };
@@ -35,16 +35,19 @@
 void yard_fixture_crash_entry (struct yard_fixture *w, int i);
 void yard_fixture_free (struct yard_fixture *w);
 
-/* Call entry I and wait for the answer; its status.  */
+/* Call entry I and wait for the response.  Returns the HTTP status, or 0 on
+   timeout.  */
 int yard_call (struct yard_fixture *w, int i, const char *method,
                const char *path, const char *body);
 int yard_submit (struct yard_fixture *w, int i, int step);
-/* Ask entry I for the batch of STEP until it answers other than 202.  */
+/* Request the batch of STEP from entry I until the status is not 202.  Returns
+   the status.  */
 int yard_batch (struct yard_fixture *w, int i, int step);
 int yard_ack (struct yard_fixture *w, int i, int step);
-/* The ids of the batch last read, one a line, to be freed.  */
+/* The ids of the samples in the last batch, one per line.  The caller frees
+   them.  */
 char *yard_sample_ids (struct yard_fixture *w);
-/* How often TEXT stands in the timeline of entry I.  */
+/* The number of occurrences of TEXT in the timeline of entry I.  */
 uint32_t yard_count_text (struct yard_fixture *w, int i, const char *text);
 uint32_t yard_count_events (struct yard_fixture *w, int i, const char *event);
 
