--- a/Makefile
+++ b/Makefile
@@ -87,7 +87,7 @@
 	$(Q)./scripts/check-names.sh
 
 # The pages on settings and log lines are made from the programs; the check
-# fails when they are old.
+# fails when they are old, or when a page names what the tree does not have.
 config-page: all
 	./scripts/config-page.sh $(BUILD)/bin > docs/CONFIG.md
 	./scripts/logs-page.sh > docs/LOGS.md
@@ -95,6 +95,7 @@
 	./scripts/slopes/page.sh | diff docs/CAPACITY.md -
 	./scripts/config-page.sh $(BUILD)/bin | diff docs/CONFIG.md -
 	./scripts/logs-page.sh | diff docs/LOGS.md -
+	./scripts/check-doc-names.sh
 
 # Measures what each role costs (several minutes, bench packages needed) and
 # makes the capacity page from it.
--- a/scripts/slopes/capacity.awk
+++ b/scripts/slopes/capacity.awk
@@ -81,9 +81,9 @@
       pos(per("entry", "targets", "bytes_per_s")), conns),
       a["entry", "targets", "bytes_per_s"] \
       + pos(per("entry", "targets", "bytes_per_s")) * conns, "B/s",
-      bytes_limit, "`src/yard/pace.c`, `src/store/table.c`")
+      bytes_limit, "`src/yard/poll_interval.c`, `src/store/client.c`")
   row("bytes, instance list", "paced to the budget", list_bytes, "B/s",
-      bytes_limit, "`src/entry/members.c`: by tag, else paced")
+      bytes_limit, "`src/entry/instance_list.c`: by tag, else paced")
 
   head("Control of one agent (a node)")
   row("processor, idle", sprintf("%.3g + %.3g x %.3g entries",
@@ -96,7 +96,7 @@
       a["agent", "entries", "rss_kb"], pos(per("agent", "entries", "rss_kb")),
       per_agent), a["agent", "entries", "rss_kb"] \
       + pos(per("agent", "entries", "rss_kb")) * per_agent, "kB", rss_limit,
-      "`src/agent/retain.c`, bounded by retained_bytes")
+      "`src/agent/run.c`, bounded by retained_bytes")
   row("bytes, heartbeats", sprintf("%.3g x %.3g entries",
       pos(per("agent", "entries", "bytes_per_s")), per_agent),
       pos(per("agent", "entries", "bytes_per_s")) * per_agent, "B/s",
@@ -106,10 +106,10 @@
       "300 s", a["agent", "results_retained", "rss_kb"],
       per("agent", "results_retained", "rss_kb")),
       at("agent", "results_retained", "rss_kb", 30000), "kB", rss_limit,
-      "`src/agent/retain.c`: bounded by retained_bytes and retained_ms")
+      "`src/agent/run.c`: bounded by retained_bytes and retained_ms")
   row("memory, parts of weights kept for relaying", "weights_cache_bytes, " \
       "its default", 65536, "kB", rss_limit,
-      "`src/agent/weights.c`: oldest parts give way")
+      "`src/agent/weight_relay.c`: oldest parts give way")
 
   head("Data path")
   row("entry, requests", sprintf("%.3g ms x %d/s / %d entries",
@@ -174,13 +174,13 @@
       config_reads, lease_reads, change_reads, trainers, reads_idle),
       suspect_reads + config_reads + lease_reads + change_reads \
       + sampler_reads, "reads/s", reads_limit,
-      "`wy_store_poll_ms` in `src/store/table.c`")
+      "`wy_store_poll_interval_ms` in `src/store/client.c`")
   step_writes = at("sampler", "samples", "step_table_writes", samples)
   row("writes, ordinary day", sprintf("leases %d x %.3g + steps %d x %.3g / " \
       "%d s + changes 2 x %.3g", trainers, writes_idle, trainers, step_writes,
       step_s, changes), trainers * writes_idle \
       + trainers * step_writes / step_s + 2 * changes, "writes/s",
-      writes_limit, "`src/lease/lease.c`, `src/yard/fix.c`")
+      writes_limit, "`src/lease/lease.c`, `src/yard/batch_commit.c`")
   row("reads, one zone lost", sprintf("as above, and its %d leases of %d " \
       "taken anew", int(2 * trainers / zones) + 1, 2 * trainers),
       suspect_reads + config_reads + 2 * lease_reads + change_reads \
@@ -188,7 +188,7 @@
   row("reads, the minute after an outage", sprintf("every poller at once: " \
       "%d x 3 rows over 5 s of jitter, and one probe each", entries),
       entries * 3 / 5 + entries, "reads/s", reads_limit,
-      "`src/store/outage.c`: one probe at a time, jitter")
+      "`src/store/circuit_breaker.c`: one probe at a time, jitter")
 
   head("Weight fan-out")
   fan = 3; roots = 2; hops = 0; reach = roots; last = roots
@@ -199,7 +199,7 @@
   row("a GiB to all, parts passed on as they come", sprintf("%d children x " \
       "1024 MiB x %.3g s + %d hops x 8 MiB x %.3g s", fan, hop, hops, hop),
       fan * 1024 * hop + hops * 8 * hop, "s", version_s,
-      "`src/agent/weights.c`: parts of 8 MiB, loopback speed")
+      "`src/agent/weight_relay.c`: parts of 8 MiB, loopback speed")
   row("bytes of a link, a GiB", "once", 1, "GiB", 1,
       "each agent reads from one source")
   row("children served by an agent", "fan-out", fan, "children", 4,
