--- a/Makefile
+++ b/Makefile
@@ -44,7 +44,7 @@
 
 all: $(LIB) $(BINS)
 
-# What runs on the platform's machines.
+# The programs that run on the platform's machines.
 deploy: $(BUILD)/bin/wygated $(BUILD)/bin/wyorderd
 
 packages:
@@ -62,7 +62,7 @@
 	@mkdir -p $(@D)
 	$(Q)$(CC) $(CFLAGS) $(LDFLAGS) -o $@ $< $(LIB) $(LDLIBS)
 
-# Tests of the decisions run the benches' model of a yard.
+# Tests of the decisions use the benches' simulation of a yard.
 $(BUILD)/tests/%: $(BUILD)/tests/%.o $(TEST_HELP_OBJ) $(BENCH_HELP_OBJ) $(LIB)
 	@mkdir -p $(@D)
 	$(Q)$(CC) $(CFLAGS) $(LDFLAGS) -o $@ $< $(TEST_HELP_OBJ) $(BENCH_HELP_OBJ) \
@@ -72,7 +72,7 @@
 	@mkdir -p $(@D)
 	$(Q)$(CC) $(CFLAGS) $(LDFLAGS) -o $@ $< $(BENCH_HELP_OBJ) $(LIB) $(LDLIBS)
 
-# clang-tidy runs once per changed file; the stamp remembers a clean verdict.
+# clang-tidy runs once per changed file; the stamp records a run without findings.
 build/tidy/%.ok: %.c $(ALL_H) .clang-tidy
 	@mkdir -p $(@D)
 	$(Q)clang-tidy --quiet $< -- $(CPPFLAGS) -std=c11 2>$@.log \
@@ -86,8 +86,9 @@
 	$(Q)clang-format --dry-run -Werror $(ALL_C) $(ALL_H)
 	$(Q)./scripts/check-names.sh
 
-# The pages on settings and log lines are made from the programs; the check
-# fails when they are old, or when a page names what the tree does not have.
+# The pages on settings and log lines are generated from the programs; the check
+# fails when they are out of date, or when a page names a file, an identifier or
+# a test that the tree does not have.
 config-page: all
 	./scripts/config-page.sh $(BUILD)/bin > docs/CONFIG.md
 	./scripts/logs-page.sh > docs/LOGS.md
@@ -97,8 +98,8 @@
 	./scripts/logs-page.sh | diff docs/LOGS.md -
 	./scripts/check-doc-names.sh
 
-# Measures what each role costs (several minutes, bench packages needed) and
-# makes the capacity page from it.
+# Measures the cost of each role (several minutes, bench packages needed) and
+# generates the capacity page from it.
 slopes: all
 	./scripts/install-packages.sh packages-bench.txt
 	./scripts/slopes/run.sh $(BUILD)/bin build/slopes build/slopes
@@ -122,7 +123,7 @@
 bench: all $(BENCHES)
 	./scripts/bench.sh $(BUILD)/bench
 
-# The figures in virtual time, the same on every machine.
+# Only the figures in virtual time, which are the same on every machine.
 bench-ci: all $(BENCHES)
 	./scripts/bench.sh $(BUILD)/bench ci
 
@@ -145,17 +146,17 @@
 	$(MAKE) all
 	./scripts/demo.sh $(BUILD)/bin build/demo
 
-# The same on a platform that lists its replicas and keeps rows for us.
-# Whether the checker would have noticed one event too many or too few in the
+# Checks that the checker notices one missing or one additional event in the
 # timeline of the last demo.
 mutations: $(BUILD)/tests/test_check_mutations
 	WY_TIMELINE=build/demo/timeline.jsonl $<
 
+# The demo on a platform that lists its replicas and provides a row store.
 demo-platform: packages
 	$(MAKE) all
 	./scripts/demo-platform.sh $(BUILD)/bin $(BUILD)/demo-platform
 
-# make faults SEED=n SECONDS=n: the yard under a seeded mix of faults.
+# make soak-platform SEED=n SECONDS=n: the gates under a seeded mix of faults.
 soak-platform: SEED ?= 1
 soak-platform: SECONDS ?= 15
 soak-platform: packages
@@ -169,13 +170,14 @@
 	  ./scripts/soak-platform.sh $(BUILD)/bin $(BUILD)/soak-platform $$seed $$seconds || exit 1; \
 	done
 
+# make faults SEED=n SECONDS=n: the yard under a seeded mix of faults.
 faults: SEED ?= 1
 faults: SECONDS ?= 60
 faults: packages
 	$(MAKE) all
 	./scripts/faults.sh $(BUILD)/bin build/faults $(SEED) $(SECONDS)
 
-# What entry and agent add to the latency of a call.
+# Measures the latency that entry and agent add to a call.
 latency: all
 	./scripts/latency.sh $(BUILD)/bin build/latency
 
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# bench.sh BUILD/bench [ci]: runs the benches, writes bench/results.tsv (with
-# `ci' BUILD/bench/results.tsv, src/decide alone, no timings and no trainers at
-# the largest size)
-# and fails when a figure crosses its bound in bench/bounds.tsv.
+# bench.sh BUILD/bench [ci]: runs the benches, writes bench/results.tsv and
+# fails when a figure violates its bound in bench/bounds.tsv.  With `ci' it
+# writes BUILD/bench/results.tsv and runs only the benches of src/decide,
+# without timings and without trainers at the largest size.
 #
 # A line of bounds.tsv: case, size, policy, figure, `<=' or `>=', bound.  `*'
 # as size stands for all sizes.  A bound that no result matches is a failure:
-# a renamed figure must not pass unseen.
+# otherwise a renamed figure would no longer be checked.
 set -eu
 dir=$1
 mode=${2:-all}
@@ -58,11 +58,11 @@
       checked++
       if (!(k in v)) { print "no result for bound:", $0; bad++; continue }
       if ($5 == "<=" ? v[k] + 0 <= $6 + 0 : v[k] + 0 >= $6 + 0) continue
-      print "bound crossed:", k, v[k], "want", $5, $6
+      print "bound violated:", k, v[k], "expected", $5, $6
       bad++
     }
   }
   END {
-    printf "%d figures checked against bounds, %d crossed\n", checked, bad
+    printf "%d figures checked against bounds, %d violated\n", checked, bad
     exit bad > 0
   }' "$out" "$root/bench/bounds.tsv"
--- a/scripts/config-page.sh
+++ b/scripts/config-page.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Prints docs/CONFIG.md from the tables in the programs themselves.
+# Prints docs/CONFIG.md from the programs' own tables of settings.
 # Usage: config-page.sh BIN
 set -eu
 bin=$1
--- a/scripts/demo-platform.sh
+++ b/scripts/demo-platform.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Runs two gates and three orderers on loopback against the stand-in of a
-# platform, with a silent engine, lost and refused calls of the store, one gate
-# killed and one stopped, and tells whether every promise held.
+# platform, with an engine that does not respond, store calls that are lost or
+# rejected, one gate killed and one stopped, and reports whether every invariant
+# held.
 # Usage: demo-platform.sh BIN OUTDIR
 set -u
 BIN=$1
@@ -52,12 +53,12 @@
 rc=$?
 cat "$OUT/report.json"
 echo
-[ "$rc" = 0 ] || die "a promise was broken"
+[ "$rc" = 0 ] || die "an invariant was violated, see $OUT/report.json"
 [ "$stopped" = 0 ] || die "gate-0 ended with $stopped"
 jq -e '.steps >= 3 and .answered >= 0.95 * .sent' "$OUT/report.json" >/dev/null \
-  || die "too little was done"
-"$BIN/wyctl" check "$OUT/platform.jsonl" || die "a promise was broken"
+  || die "fewer than 3 steps, or under 95 % of the requests answered"
+"$BIN/wyctl" check "$OUT/platform.jsonl" || die "an invariant was violated"
 id=$(cat "$OUT"/gate-*.log | jq -rR 'fromjson? | select(.event == "job.listed") | .id' | tail -n 1)
 "$BIN/wyctl" explain "$id" "$OUT"/gate-*.log "$OUT"/orderer-*.log \
-  >"$OUT/explain.txt" || die "no story of $id"
-echo "all promises kept; the story of $id is in $OUT/explain.txt"
+  >"$OUT/explain.txt" || die "wyctl explain found nothing about job $id"
+echo "all invariants hold; the log lines about job $id are in $OUT/explain.txt"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs a yard on loopback with one engine killed and one table outage, and
-# tells whether every promise held.  Usage: demo.sh BIN OUTDIR
+# reports whether every invariant held.  Usage: demo.sh BIN OUTDIR
 set -u
 BIN=$1
 OUT=$2
@@ -18,7 +18,7 @@
 . "$HERE/report.sh"
 trap cleanup EXIT
 
-# progress: one line that follows the run, on a terminal only.
+# progress: one line about the state of the run, on a terminal only.
 progress() {
   [ -t 1 ] || return 0
   printf '\r%5.1f s  answered %d  steps trained %d \r' "$(elapsed)" \
@@ -26,7 +26,7 @@
     "$(grep -c trainer.trained "$RUN/trainer-1.jsonl")"
 }
 
-# at_ms MS ACTION...: do it when the load has run for so long.
+# load_ms: milliseconds since the load was started.
 load_ms() {
   echo $(((${EPOCHREALTIME/./} - LOAD_US) / 1000))
 }
@@ -71,7 +71,7 @@
 judge
 rc=$?
 print_report
-[ $done_back = 1 ] || { echo "the run ended before all faults were set" >&2; rc=1; }
+[ $done_back = 1 ] || { echo "the run ended before all faults were injected" >&2; rc=1; }
 jq -e '.yards[0].steps >= 3 and .yards[0].version >= 3' "$OUT/report.json" \
-  >/dev/null || { echo "too few steps or versions" >&2; rc=1; }
+  >/dev/null || { echo "fewer than 3 steps or versions" >&2; rc=1; }
 exit $rc
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the yard under a seeded mix of faults, several at once, and tells
-# whether every promise held.  Usage: faults.sh BIN OUTDIR SEED SECONDS
+# Runs the yard under a seeded mix of faults, several at once, and reports
+# whether every invariant held.  Usage: faults.sh BIN OUTDIR SEED SECONDS
 set -u
 BIN=$1
 OUT=$2
@@ -10,8 +10,8 @@
 SCALE=4
 STEPS=0
 BEGAN_US=${EPOCHREALTIME/./}
-FAULTS_MAX=3   # at once; more leave no part of the yard working
-SETTLE_S=4     # after the last fault, so that requests can be answered
+FAULTS_MAX=3   # at once; with more, no part of the yard may be working
+SETTLE_S=4     # after the last fault, so that open requests can complete
 
 rm -rf "$OUT"
 mkdir -p "$OUT/run"
@@ -21,20 +21,21 @@
 trap cleanup EXIT
 RANDOM=$SEED
 
-# Faults that are on: name -> end in ms of the load, and how it is ended.
+# Active faults: name -> time in ms of the load at which the fault ends, and its
+# kind, which selects the function that ends it.
 declare -A ENDS=() HOW=()
 
 load_ms() {
   echo $(((${EPOCHREALTIME/./} - LOAD_US) / 1000))
 }
 
-# pick NAME...: one of them.
+# pick NAME...: set PICKED to one of them at random.
 pick() {
   local names=("$@")
   PICKED=${names[$((RANDOM % $#))]}
 }
 
-# The processes that may be hit, by the driver's names.
+# The processes that may get a fault, by the driver's names.
 hit_list() {
   echo "${ENGINES[@]}" "${ENGINES[@]/#/agent-}" "${PORTALS[@]}" \
     "${PORTALS[@]/#/agent-}" "${ENTRIES[@]}"
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Runs one libFuzzer target for RUNS inputs from seed 1.  An input that once
-# failed is kept under fuzz/found/TARGET/ and is run first, every time.
+# Runs one libFuzzer target for RUNS inputs from seed 1.  Inputs that have failed
+# are kept under fuzz/found/TARGET/ and run first, every time.
+# Usage: fuzz.sh TARGET RUNS
 set -eu
 target=$1
 runs=$2
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Installs the Debian packages named in packages.txt, or in the list given, that
-# are missing.
-# Does nothing where all of them are present, so that a build needs no root.
+# Installs the missing ones of the Debian packages in packages.txt, or in the
+# given list.  Does nothing if all are present, so that a build needs no root.
+# Usage: install-packages.sh [LIST]
 set -eu
 here=$(cd "$(dirname "$0")/.." && pwd)
 list=$here/${1:-packages.txt}
--- a/scripts/item-stages.py
+++ b/scripts/item-stages.py
@@ -1,13 +1,14 @@
 #!/usr/bin/env python3
-"""Where the time of jobs' items goes, from the log lines of all entries.
+"""Time that the items of jobs spend in each stage, from the log lines of all entries.
 
 Usage: item-stages.py LOG...
 
 Reads lines that hold a JSON object with t, event and the fields of
-docs/LOGS.md; text before the object is passed over. Prints, for each model's
-jobs in the order of their size, quantiles over items of: the wait for a
-replica, the time its text took, the wait for a scoring replica, the score, and
-over jobs: the last text, the last score, all listed, from the job's start.
+docs/LOGS.md; text before the object is skipped. Prints, for the jobs of each
+size in ascending order, quantiles over items of the wait for a replica, the
+time to generate the text, the wait for a scoring replica and the time to score,
+and quantiles over jobs of the times from the job's start to its last text, its
+last score and its last listed result.
 """
 import sys
 
--- a/scripts/latency.sh
+++ b/scripts/latency.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what entry and agent add: the same callers at the same time
-# through the service and directly at the engines, on a calm yard with steps
-# of 1 ms.  Usage: latency.sh BIN OUTDIR [SECONDS]
+# Measures the latency that entry and agent add: the same callers at the same
+# time through the service and directly to the engines, on a yard without faults
+# and with engine steps of 1 ms.  Usage: latency.sh BIN OUTDIR [SECONDS]
 set -u
 BIN=$1
 OUT=$2
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,4 +1,4 @@
-# Functions shared by the drivers of the yard: start, stop and ask processes.
+# Functions shared by the drivers of the yard: start, stop and control processes.
 # The caller sets BIN (programs) and OUT (files of this run).
 
 declare -A PID=() KIND=()
@@ -7,7 +7,7 @@
 OPERATOR=demo-operator
 TRAINER=demo-trainer
 
-# say TEXT...: one line of progress.
+# say TEXT...: print one line of progress with the time since the start.
 say() {
   printf '%5.1f s  %s\n' "$(elapsed)" "$*"
 }
@@ -32,7 +32,7 @@
   KIND[$name]="$program $kind"
 }
 
-# relaunch NAME: start a process again that has died, on its old ports.
+# relaunch NAME: restart a process that has ended, on the same ports.
 relaunch() {
   local name=$1 key port
   while read -r key port; do
@@ -90,7 +90,7 @@
   curl -sS -m 5 -o /dev/null -d "$2" "127.0.0.1:$(port "$1" http)/fault"
 }
 
-# event EV FIELDS: one event of the driver itself in the timeline.
+# event EV FIELDS: write one event of the driver itself to its timeline.
 event() {
   EVENT_SEQ=$((${EVENT_SEQ:-0} + 1))
   printf '{"hlc":%d,"proc":"driver","inc":"%s","seq":%d,"ev":"%s"%s}\n' \
@@ -98,13 +98,13 @@
     "$2" >>"$RUN/driver.jsonl"
 }
 
-# mark EVENT KIND TARGET: note a fault.
+# mark EVENT KIND TARGET: record the start or end of a fault in the timeline.
 mark() {
   event "$1" ",\"kind\":\"$2\",\"target\":\"$3\""
 }
 
-# stop NAME...: SIGTERM, and wait for all of them; a process that does not
-# end by itself within 20 s counts as failed.
+# stop NAME...: send SIGTERM and wait for all of them; a process that does not
+# end within 20 s is killed and counts as failed.
 stop() {
   local name rc
   for name in "$@"; do
--- a/scripts/loglines.py
+++ b/scripts/loglines.py
@@ -1,4 +1,4 @@
-"""Log lines of the entries, from files that hold them among other text."""
+"""Reads log lines of the entries from files that may contain other text."""
 import json
 
 
--- a/scripts/logs-page.sh
+++ b/scripts/logs-page.sh
@@ -9,7 +9,7 @@
   | grep -oE '[a-z_]+\.[a-z_]+' | sort -u)
 known=$(grep -v '^#' "$list" | cut -d'|' -f1 | sort -u)
 if [ "$used" != "$known" ]; then
-  echo "the catalogue and the sources differ:" >&2
+  echo "src/trace/catalogue.txt and the events in src/ differ:" >&2
   printf '%s\n' "$used" >"${TMPDIR:-/tmp}/used.$$"
   printf '%s\n' "$known" | diff "${TMPDIR:-/tmp}/used.$$" - >&2 || true
   rm -f "${TMPDIR:-/tmp}/used.$$"
--- a/scripts/platform.sh
+++ b/scripts/platform.sh
@@ -1,4 +1,5 @@
-# Functions shared by the drivers of the platform path: ports, settings, start.
+# Functions shared by the drivers that run gates against the stand-in of a
+# platform: ports, settings, start.
 # The caller sets BIN (programs) and OUT (files of this run).
 
 declare -A PID=()
@@ -19,8 +20,8 @@
   exit 1
 }
 
-# free_ports N [FROM]: ports that nobody listens on now, below the ephemeral
-# range; FROM keeps runs beside each other apart.
+# free_ports N [FROM]: ports without a listener, below the ephemeral range;
+# concurrent runs use different values of FROM to get different ports.
 free_ports() {
   local n=$1 port used
   used=$(cat /proc/net/tcp | awk 'NR > 1 {split($2, a, ":"); print a[2]}')
@@ -42,7 +43,7 @@
   PID[$name]=$!
 }
 
-# await FILE: until it has content.
+# await FILE: wait until it has content.
 await() {
   local i
   for i in $(seq 200); do
@@ -52,7 +53,7 @@
   die "$1 was not written"
 }
 
-# port_of NAME: where the platform's part NAME listens.
+# port_of NAME: the port on which the part NAME of the platform listens.
 port_of() {
   awk -v n="$1" '$1 == n {print $2}' "$OUT/platform.ports.platform"
 }
@@ -89,7 +90,7 @@
 Y
 }
 
-# platform_ends: wait for the stand-in's own end; its exit code.
+# platform_ends: wait until the stand-in ends; returns its exit code.
 platform_ends() {
   local i rc
   for i in $(seq 600); do
--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs each test program, a few at a time, adds their counts up and closes
-# with one line "N passed, N failed".  A program that ends without a count is
+# Runs each test program, a few at a time, adds up their counts and ends with
+# one line "N passed, N failed".  A program that ends without a count is
 # a failure.  Tests named in KNOWN-RED.txt (first field: PROGRAM:SUITE::TEST)
 # still run; their failure is printed and does not change the verdict.
 set -u
--- a/scripts/slopes/capacity.awk
+++ b/scripts/slopes/capacity.awk
@@ -1,20 +1,20 @@
 # Writes the tables of docs/CAPACITY.md from bench/slopes.tsv.
-# With -v want=broken only what does not fit.
-# The size planned for stands here, once, as the users' letter gives it.
+# With -v want=broken it writes only the rows that do not fit.
+# The planned size, from the users' requirements, is defined here only.
 BEGIN {
   FS = "\t"
   entries = 330; replicas = 3200; requests = 5800; tokens = 1500000
   trainers = 12; samples = 2048; step_s = 18 * 60; version_s = 300
   spread_s = 6; changes_day = 12000; in_force_s = 8; day_s = 86400
   failures = 19; replaced = 330; zones = 7; regions = 2
-  cpu_limit = 11          # ms a second: 1.1 % of a core
+  cpu_limit = 11          # ms per second: 1.1 % of a core
   rss_limit = 128 * 1024  # kB
-  bytes_limit = 4096      # a second
+  bytes_limit = 4096      # per second
   reads_limit = 2000; writes_limit = 300
   names = 2               # models and services an entry serves
   subset = 24             # targets of each that it is connected to
-  full_pace = 16          # entries that may poll at full pace
-  list_bytes = 1000       # a second, at most, for the instance list
+  full_pace = 16          # entries that may poll at the full rate
+  list_bytes = 1000       # per second, at most, for the instance list
 }
 /^#/ { next }
 { a[$1, $2, $3] = $5; b[$1, $2, $3] = $6; r[$1, $2, $3] = $7 }
--- a/scripts/slopes/fit.awk
+++ b/scripts/slopes/fit.awk
@@ -1,5 +1,5 @@
 # Fits a line through the points of each slope by least squares.
-# In:  role  driver  measure  x  y      (tab-separated, one point a line)
+# In:  role  driver  measure  x  y      (tab-separated, one point per line)
 # Out: role  driver  measure  n  intercept  slope  residual
 # residual is the root mean square distance of the points from the line.
 BEGIN { FS = OFS = "\t" }
--- a/scripts/slopes/lib.sh
+++ b/scripts/slopes/lib.sh
@@ -1,18 +1,18 @@
-# Starting daemons and stand-ins for the slopes, and reading what the kernel
-# accounts to them.  Sourced by run.sh, which sets BIN and DIR.
+# Start daemons and stand-ins for the slopes, and read their resource usage from
+# /proc.  Sourced by run.sh, which sets BIN and DIR.
 
 PIDS=
 INSTANCES=
 TICKS_PER_S=$(getconf CLK_TCK)
 
-# A file that a process writes when it is ready.
+# Wait for a file that a process writes when it is ready.
 wait_for () {
   local n
   for n in $(seq 200); do
     [ -s "$1" ] && return
     sleep 0.05
   done
-  echo "$1 did not appear" >&2
+  echo "$1 was not written within 10 s" >&2
   exit 1
 }
 
@@ -86,7 +86,7 @@
   start wyentryd "$name"
 }
 
-base () { # the outside systems, fresh
+base () { # start the outside systems with empty state
   PIDS=
   INSTANCES=
   rm -rf "$DIR"
@@ -104,7 +104,7 @@
   PIDS=
 }
 
-document () { # SERVICE_MEMBERS_JSON [PADDING_MODELS]: the plain document
+document () { # SERVICE_MEMBERS_JSON [PADDING_MODELS]: a minimal document
   jq -nc --argjson members "$1" --arg scoring \
     "127.0.0.1:$(port_of_stand_in scoring)" --argjson extra "${2:-0}" '
     {models: ([{name: "m"}] + [range($extra) | {name: "m\(.)"}]),
@@ -123,15 +123,15 @@
     apply "$DIR/document.json" --digest "$digest" > /dev/null
 }
 
-# cpu ticks, resident kB, bytes read and written by system calls
+# CPU ticks, resident kB, bytes read and written by system calls
 account () { # PID
   awk '{ print $14 + $15 }' "/proc/$1/stat"
   awk '/^VmRSS/ { print $2 }' "/proc/$1/status"
   awk '/^rchar|^wchar/ { n += $2 } END { print n }' "/proc/$1/io"
 }
 
-# One point per measure for the process NAME over SECONDS.
-# measure ROLE DRIVER X NAME SECONDS
+# begin_measure and end_measure write one point per measure for the process NAME
+# over SECONDS.
 begin_measure () { # NAME
   account "$(pid_of "$1")" | tr '\n' ' ' > "$DIR/$1.before"
 }
--- a/scripts/slopes/page.sh
+++ b/scripts/slopes/page.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Prints docs/CAPACITY.md: the text of docs/capacity.in.md with the tables
-# that capacity.awk works out of bench/slopes.tsv in place of its markers.
+# that capacity.awk computes from bench/slopes.tsv in place of its markers.
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 slopes=$here/../../bench/slopes.tsv
--- a/scripts/slopes/run.sh
+++ b/scripts/slopes/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Measures the slopes of docs/CAPACITY.md with the real daemons and small
-# stand-ins on this machine: what a role costs against what drives the cost.
+# stand-ins on this machine: the cost of a role as a function of its load.
 # Usage: run.sh BIN DIR OUT; writes OUT/points.tsv.
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
@@ -9,8 +9,8 @@
 POINTS=$3/points.tsv
 WINDOW_S=${WINDOW_S:-5}
 SETTLE_S=2
-# Idle costs: past the pace of a yard whose rows have just changed, and over
-# several heartbeats of a quiet connection.
+# Idle costs: wait until a yard whose rows have just changed polls at its slow
+# rate, then measure over several heartbeats of an idle connection.
 IDLE_SETTLE_S=${IDLE_SETTLE_S:-12}
 IDLE_WINDOW_S=${IDLE_WINDOW_S:-24}
 mkdir -p "$3"
@@ -37,7 +37,7 @@
       'BEGIN { print (b - a) / s }')"
 }
 
-# An idle entry against the targets it is connected to.
+# An idle entry, by the number of targets that it is connected to.
 by_targets () {
   local n i
   for n in 1 8 24 64; do
@@ -54,7 +54,7 @@
   done
 }
 
-# An idle agent against the entries connected to it.
+# An idle agent, by the number of entries connected to it.
 by_entries () {
   local n i
   for n in 1 4 8 16; do
@@ -106,8 +106,8 @@
     | awk '/^wy_requests_answered_total / { print $2 }'
 }
 
-# Load from stand-in callers; X is what was answered a second, times FACTOR.
-# Settings are given as one word each, KEY:_VALUE.
+# Load from stand-in callers; X is the number of responses per second, times
+# FACTOR.  Each setting is one word, KEY:_VALUE.
 busy_window () { # DRIVER FACTOR [CALLERS_SETTING...]
   local driver=$1 factor=$2 before x
   shift 2
@@ -170,7 +170,7 @@
   done
 }
 
-# Streams that are open and nearly still.
+# Open streams with nearly no traffic.
 by_streams () {
   local n
   for n in 0 32 96 192; do
@@ -275,7 +275,7 @@
   done
 }
 
-# Weight versions published in a window: what staging and swapping cost.
+# Weight versions published in a window: the cost of staging and swapping.
 by_versions () {
   local n v
   for n in 0 1 2 4; do
--- a/scripts/soak-platform.sh
+++ b/scripts/soak-platform.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Runs gates and orderers as processes of their own against the stand-in of a
-# platform, all connections through a proxy that spoils them, while processes
-# are killed, stopped, paused and told to reload, by chance from the seed and
-# several at once; then a calm span in which all must work again.  Tells
-# whether every promise held.
+# Runs gates and orderers as separate processes against the stand-in of a
+# platform.  All connections go through a proxy that injects faults, and
+# processes are killed, stopped, paused and made to reload, at random from the
+# seed and several at once.  Then a period without faults follows, in which all
+# must work again.  Reports whether every invariant held.
 # Usage: soak-platform.sh BIN OUTDIR SEED SECONDS
 set -u
 BIN=$1
@@ -11,7 +11,7 @@
 SEED=$3
 FAULTS_S=$4
 GRACE_S=3
-CALM_S=9 # the last faults end, 4 s to come back, 5 s that are judged
+CALM_S=9 # without faults: 4 s to recover, 5 s that are checked
 GATES=3
 . "$(dirname "$0")/platform.sh"
 rm -rf "$OUT"
@@ -28,7 +28,7 @@
   printf '%6d ms  %s\n' "$(now_ms)" "$*"
 }
 
-# Ports: three a gate; then the proxy's: callers and store of each gate, the
+# Ports: three per gate; then the proxy's: callers and store of each gate, the
 # orderers' store, the replicas.
 base=$((16000 + SEED % 300 * 40))
 mapfile -t OWN < <(free_ports $((3 * GATES)) $base)
@@ -37,7 +37,7 @@
 stores=("${VIA[@]:$GATES:$((GATES + 1))}")
 replicas=("${VIA[@]:$((2 * GATES + 1))}")
 
-# list PORT...: as a YAML list of addresses.
+# list PORT...: the ports as a YAML list of addresses.
 list() {
   local s
   s=$(printf '"127.0.0.1:%s", ' "$@")
@@ -95,22 +95,24 @@
   launch orderer-$i wyorderd
 done
 
-# What is off: name -> time in ms at which it comes back, and how.
+# Processes with a fault: name -> time in ms at which it ends, and its kind.
 declare -A BACK=() HOW=()
-declare -A BORN=()
+# Processes that were started again: name -> time in ms of the start.
+declare -A STARTED=()
 again() {
   case $1 in
   gate-*) launch "$1" wygated ;;
   *) launch "$1" wyorderd ;;
   esac
-  BORN[$1]=$(now_ms)
+  STARTED[$1]=$(now_ms)
 }
 
 begin() {
   local how=$1 name=$2 ms=$3
   [ -z "${BACK[$name]:-}" ] || return 0
-  # One that has not set up its signals yet ends by them, as any program.
-  [ "$(now_ms)" -ge $((${BORN[$name]:-0} + 500)) ] || return 0
+  # A signal would end a process that has not installed its handlers yet, which
+  # would look like a failure.
+  [ "$(now_ms)" -ge $((${STARTED[$name]:-0} + 500)) ] || return 0
   say "$how $name for $ms ms"
   BACK[$name]=$(($(now_ms) + ms))
   HOW[$name]=$how
@@ -131,11 +133,11 @@
   kill) again "$name" ;;
   term)
     if kill -0 "${PID[$name]}" 2>/dev/null && [ "$2" != all ]; then
-      BACK[$name]=$(($(now_ms) + 100)) # still within its grace time
+      BACK[$name]=$(($(now_ms) + 100)) # still within its grace period
       return 0
     fi
     wait "${PID[$name]}"
-    [ $? = 0 ] || die "$name ended with an error after SIGTERM"
+    [ $? = 0 ] || die "$name ended with an error after SIGTERM, see $OUT/$name.log"
     again "$name"
     ;;
   pause) kill -CONT "${PID[$name]}" ;;
@@ -154,7 +156,7 @@
 }
 
 inject() {
-  local how=(kill kill term pause pause hup) name ms # as likely as often named
+  local how=(kill kill term pause pause hup) name ms # named twice: twice as likely
   if [ $((RANDOM % 4)) = 0 ]; then
     name=orderer-$((RANDOM % ENGINES))
   else
@@ -164,12 +166,12 @@
   begin "${how[$((RANDOM % ${#how[@]}))]}" "$name" $ms
 }
 
-# Nobody but us ends a process.
+# A process that ended without a fault from this script has failed.
 all_live() {
   local name
   for name in "${!PID[@]}"; do
     [ -n "${BACK[$name]:-}" ] && continue
-    kill -0 "${PID[$name]}" 2>/dev/null || die "$name ended by itself"
+    kill -0 "${PID[$name]}" 2>/dev/null || die "$name ended unexpectedly, see $OUT/$name.log"
   done
 }
 
@@ -197,10 +199,10 @@
 unset "PID[proxy]"
 cat "$OUT/report.json"
 echo
-[ "$rc" = 0 ] || die "a promise was broken, seed $SEED"
+[ "$rc" = 0 ] || die "an invariant was violated, seed $SEED, see $OUT/report.json"
 jq -e '.steps >= 1 and .calm_sent > 0 and .calm_answered >= 0.99 * .calm_sent' \
   "$OUT/report.json" >/dev/null \
-  || die "not all works again when the faults are over, seed $SEED"
+  || die "no step, or under 99 % of the requests answered after the faults, seed $SEED"
 "$BIN/wyctl" check "$OUT/platform.jsonl" "$OUT/proxy.jsonl" \
-  || die "a promise was broken, seed $SEED"
-echo "seed $SEED: all promises kept"
+  || die "an invariant was violated, seed $SEED"
+echo "seed $SEED: all invariants hold"
--- a/scripts/step-idle.py
+++ b/scripts/step-idle.py
@@ -1,14 +1,14 @@
 #!/usr/bin/env python3
-"""How long trainers idle with enough whole groups, from the log lines of all entries.
+"""Time that trainers idle with enough complete groups, from the log lines of all entries.
 
 Usage: step-idle.py SHARE LOG...
 
-SHARE is the part of a job's groups that its trainer waits for, 0.9 say. Reads
-lines that hold a JSON object with t, event and the fields of docs/LOGS.md; text
-before the object is passed over. Prints for each job that was ended, in seconds
-from its acceptance: when enough groups were whole, when its trainer ended it,
-and the difference; then their mean, p50 and p90. A log that left lines out
-makes groups look whole too early.
+SHARE is the fraction of a job's groups that its trainer waits for, such as 0.9.
+Reads lines that contain a JSON object with t, event and the fields of
+docs/LOGS.md; text before the object is skipped. Prints for each job that was
+ended, in seconds from its acceptance: when enough groups were complete, when its
+trainer ended it, and the difference; then mean, p50 and p90 of the differences.
+If log lines were dropped, groups may seem complete too early.
 """
 import math
 import sys
@@ -40,11 +40,11 @@
     accepted, ended, groups = collect(read(sys.argv[2:]))
     idle = []
     for job in sorted(set(accepted) & set(ended), key=accepted.get):
-        whole = sorted(max(items.values()) for items in groups[job].values())
-        wanted = math.ceil(share * len(whole) - 1e-9)
-        if not whole or whole[wanted - 1] == math.inf:
+        complete = sorted(max(items.values()) for items in groups[job].values())
+        wanted = math.ceil(share * len(complete) - 1e-9)
+        if not complete or complete[wanted - 1] == math.inf:
             continue
-        enough = whole[wanted - 1] - accepted[job]
+        enough = complete[wanted - 1] - accepted[job]
         end = ended[job] - accepted[job]
         print("%s  enough %6.3f  ended %6.3f  idle %6.3f"
               % (job, enough, end, end - enough))
--- a/scripts/yard.sh
+++ b/scripts/yard.sh
@@ -1,4 +1,4 @@
-# The Claims-like yard that the drivers run: 3 availability zones, 2 entries,
+# The yard that the drivers run: 3 availability zones, 2 entries,
 # 9 engines and 3 portal services with their agents, table, weight store,
 # scoring, instance list, a trainer and callers.  Sourced after lib.sh.
 
@@ -44,8 +44,8 @@
   ready "${ENGINES[@]}" "${PORTALS[@]}"
 }
 
-# The agent of a target bears the target's name with "agent-" before it in
-# the driver, and the target's own name towards the service.
+# In the driver the agent of a target has the name of the target with the
+# prefix "agent-"; for the service it has the target's own name.
 start_agents() {
   local t kind name fence
   for t in "${ENGINES[@]}" "${PORTALS[@]}"; do
@@ -65,8 +65,8 @@
   ready "${ENGINES[@]/#/agent-}" "${PORTALS[@]/#/agent-}"
 }
 
-# tell_list [TARGET...]: feed the instance list; the targets named are leaving.
-tell_list() {
+# update_list [TARGET...]: write the instance list; the targets named are leaving.
+update_list() {
   local t leaving=" $* " state
   {
     for t in "${ENGINES[@]}" "${PORTALS[@]}"; do
@@ -90,7 +90,7 @@
 
 start_entries() {
   local t
-  tell_list
+  update_list
   for t in "${ENTRIES[@]}"; do
     settings "$t" availability_zone "$(zone_of "$t")" region Fraser \
       table "$TABLE" objects "$TABLE" list "$LIST" key_1 "$KEY" \
@@ -98,12 +98,12 @@
     launch "$t" wyentryd
   done
   ready "${ENTRIES[@]}"
-  tell_list
+  update_list
   E1=127.0.0.1:$(port entry-1 http)
   E2=127.0.0.1:$(port entry-2 http)
 }
 
-# Put the configuration in force: plan, look, apply.
+# Plan and apply the configuration.
 configure() {
   local digest
   cat >"$RUN/document.json" <<DOC
@@ -130,7 +130,7 @@
         '{"model":"settlement-pattern","prompt":"hello","max_tokens":2}' \
         "$e/v1/completions"; do
       tries=$((tries + 1))
-      [ $tries -lt 100 ] || die "$e does not serve"
+      [ $tries -lt 100 ] || die "$e does not serve requests, see $RUN/driver.log"
       sleep 0.1
     done 2>>"$RUN/driver.log"
   done
@@ -154,10 +154,10 @@
   start_targets
   start_agents
   start_entries
-  configure || die "the configuration was not accepted"
+  configure || die "the configuration could not be applied"
   await_serving
-  # A non-idempotent request issued before its home has known the members for
-  # a while can't be told from a repeated one, and is refused as unknown.
+  # A target that has just received the members can't tell whether a
+  # non-idempotent request was run before, and rejects it as unknown.
   sleep 1
 }
 
