--- a/src/jobs/active_job.c
+++ b/src/jobs/active_job.c
@@ -252,8 +252,8 @@
 }
 
 /* Set the result of I, which is then to be listed.  STAMP is the
-   Response-Stamp of the score response; NULL if the item has no scorer or is
-   given up.  */
+   stamp of the response that scored the text; NULL if the item has no scorer
+   or is given up.  */
 static void
 set_result (struct wy_item *i, bool given_up, const char *stamp)
 {
--- a/src/jobs/result.h
+++ b/src/jobs/result.h
@@ -13,7 +13,8 @@
   char *item;
   bool given_up;
   char *text;
-  char *score;      /* Response-Stamp of the score response; NULL: none */
+  char *score;      /* stamp of the response that scored the text; NULL:
+                       none */
   GArray *versions; /* int64_t, of the weights that generated the text, by
                        first use */
 };
